--- a/packages/ibisspring-directory/src/ibisspring_directory/commands.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the directory's log and their results."""
+"""Commands of the directory's log."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 @dataclass(frozen=True)
 class PutTable:
     """
-    Bring a route table into force where its version is the highest.
+    Use a route table from now on if its version is higher than the current one.
 
-    :param document: what is read back, byte for byte.
+    :param document: the operator's document, which reads return byte for byte.
     """
 
     table: RouteTable
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class PutVersion:
-    """A trainer named a version of its model's weights."""
+    """Record a weight version that a trainer published for its model."""
 
     model: str
     version: int
@@ -33,9 +33,9 @@
 @dataclass(frozen=True)
 class EndpointJoins:
     """
-    A start of an endpoint was heard for the first time.
+    Record that an incarnation of an endpoint announced itself for the first time.
 
-    :param record: its first announcement.
+    :param record: the first announcement.
     """
 
     record: EndpointRecord
@@ -44,7 +44,7 @@
 @dataclass(frozen=True)
 class EndpointLeaves:
     """
-    An endpoint said that it leaves.
+    Record that an endpoint announced its departure.
 
     :param state: `leaving` or `gone`; final for the incarnation.
     """
@@ -56,14 +56,14 @@
 
 @dataclass(frozen=True)
 class FoundJobs:
-    """The stores that found the log of the jobs; only the first such command counts."""
+    """Set the stores that bootstrap the jobs' log; only the first such command has an effect."""
 
     group: Group
 
 
 @dataclass(frozen=True)
 class RetireStore:
-    """An operator empties a store."""
+    """Retire a store: its replica of the jobs' log is to be moved to another store."""
 
     address: str
 
@@ -71,9 +71,10 @@
 @dataclass(frozen=True)
 class SetFleet:
     """
-    How many endpoints of a service are kept; only the first such command of a service counts.
+    Set how many endpoints of a service are kept; only the first such command per service has an
+    effect.
 
-    :param count: over all data centres.
+    :param count: endpoints in all data centres together.
     """
 
     service: str
@@ -85,7 +86,7 @@
     """
     Fix the counts of a usage window.
 
-    :param counts: pairs of client account and requests, sorted.
+    :param counts: pairs of client account and number of requests, sorted.
     """
 
     window: int
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True)
 class WindowReported:
-    """A usage window, and all before it, need not be reported again."""
+    """Record that a usage window and all earlier ones need no further report."""
 
     window: int
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/founding.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/founding.py
@@ -1,4 +1,4 @@
-"""Founds the directory's log at the first start of the whole system, without an operator."""
+"""Bootstraps the directory's log at the first start of the whole system, without an operator."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 class Founding:
     """
-    The task that founds.
+    The task that bootstraps the directory's log.
 
-    All seeds are told the same three addresses, and only the lowest of them founds, once all of
-    them answered with empty disks: two halves that cannot see each other never found two logs, and
-    a VM that lost its disk (which is not told to found) never founds beside what the others hold.
+    All seeds are configured with the same three addresses. Only the seed with the lowest address
+    bootstraps, and only after all three have answered with empty disks. Two partitions therefore
+    never create two logs. A VM that lost its disk is started without the setting `found`, so it
+    never creates a second log beside the one that the others hold.
     """
 
     name = "founding"
@@ -43,26 +44,29 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Found where that falls to this daemon."""
+        """
+        Start the task if `found` is set, this daemon has the lowest seed address and its log is
+        empty.
+        """
         settings = self._settings
         self._consensus = kernel.find("consensus")
-        chosen = bool(settings.seeds) and settings.peer_address == min(settings.seeds)
-        if settings.found and chosen and self._consensus.core.is_empty:
-            self._task = asyncio.create_task(self._found(), name="founding")
+        has_lowest_seed = bool(settings.seeds) and settings.peer_address == min(settings.seeds)
+        if settings.found and has_lowest_seed and self._consensus.core.is_empty:
+            self._task = asyncio.create_task(self._bootstrap(), name="founding")
 
     async def stop(self) -> None:
-        """End the task."""
+        """Cancel the task."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _found(self) -> None:
-        began_s = boot_now()
+    async def _bootstrap(self) -> None:
+        started_s = boot_now()
         while self._consensus.core.is_empty:
-            managed = await bootstrap(self._consensus)
-            if managed.ok:
-                eliot.log_message("founding:founded", after_s=round(boot_now() - began_s, 3))
+            result = await bootstrap(self._consensus)
+            if result.ok:
+                eliot.log_message("founding:founded", after_s=round(boot_now() - started_s, 3))
                 return
-            eliot.log_message("founding:waits", detail=managed.detail)
+            eliot.log_message("founding:waits", detail=result.detail)
             await asyncio.sleep(RETRY_S)
 
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/outside.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/outside.py
@@ -1,4 +1,8 @@
-"""What the directory's leader says to the outside; an adapter puts it into the outside's words."""
+"""
+Requests of the directory's leader to external systems.
+
+An adapter translates them into the interfaces of these systems.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +17,10 @@
 @dataclass(frozen=True)
 class Duty:
     """
-    Under which name and number an order is sent.
+    Sender of an order, as its receiver sees it.
 
-    :param holder: name of the daemon that is in charge.
-    :param fencing: rises with each holder.
+    :param holder: name of the daemon that may send orders.
+    :param fencing: fencing number, which rises with each holder.
     """
 
     holder: str
@@ -26,10 +30,10 @@
 @dataclass(frozen=True)
 class EngineState:
     """
-    What an engine says of itself when asked.
+    State of an engine, as reported by the engine itself.
 
-    :param orders: orders that it accepted since its start.
-    :param busy: an order is being carried out.
+    :param orders: orders that the engine accepted since its start.
+    :param busy: whether the engine is executing an order.
     :param version_by_model: weight versions in use.
     """
 
@@ -41,10 +45,10 @@
 @dataclass(frozen=True)
 class LoadOrder:
     """
-    Asks an engine to load a weight version.
+    An order to an engine to load a weight version.
 
-    :param after_orders: orders that the engine must have accepted before; an order that was held up
-        on its way is void once another one was accepted.
+    :param after_orders: number of orders that the engine must have accepted before this one; an
+        order that is delayed in transit becomes invalid when another one is accepted.
     """
 
     model: str
@@ -55,9 +59,10 @@
 @dataclass(frozen=True)
 class FleetOrder:
     """
-    Asks the platform for a number of endpoints of one kind.
+    An order to the platform for a number of endpoints of one kind.
 
-    :param cheap: of the cheap kind, which may be reclaimed.
+    :param count: endpoints that the data centre is to have, including those that it has.
+    :param cheap: whether to order the cheap kind, which the platform may reclaim.
     """
 
     service: str
@@ -66,27 +71,30 @@
     cheap: bool = False
 
 
-class Outside(Protocol):
-    """The service `outside`."""
+class ExternalRequests(Protocol):
+    """The service `outside`: builds requests to external systems and reads their answers."""
 
     name: str
 
     def usage_report(
         self, window: int, counts: tuple[tuple[str, int], ...], duty: Duty
     ) -> HttpRequest:
-        """Build the report of a closed usage window."""
+        """Build the request that reports a closed usage window."""
 
     def fleet_order(self, order: FleetOrder, duty: Duty) -> HttpRequest:
-        """Build an order to the platform."""
+        """Build the request that sends an order to the platform."""
 
     def engine_state_request(self, record: EndpointRecord) -> HttpRequest:
-        """Build the question to an engine how it is."""
+        """Build the request for an engine's state."""
 
     def engine_state(self, answer: HttpAnswer) -> EngineState | None:
-        """Read its answer; None where it cannot be read."""
+        """
+        Decode an engine's answer to the request for its state; None for an error or a malformed
+        answer.
+        """
 
     def load_order(self, record: EndpointRecord, order: LoadOrder, duty: Duty) -> HttpRequest:
-        """Build an order to an engine."""
+        """Build the request that sends a load order to an engine."""
 
 
-__all__ = ["Duty", "EngineState", "FleetOrder", "LoadOrder", "Outside"]
+__all__ = ["Duty", "EngineState", "ExternalRequests", "FleetOrder", "LoadOrder"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/role.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/role.py
@@ -1,4 +1,4 @@
-"""The services of the control role of a daemon that finds all others by seeds."""
+"""The services of a daemon in the control role, which finds the other daemons by its seeds."""
 
 from __future__ import annotations
 
