--- a/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
@@ -1,4 +1,6 @@
-"""The service `engine_loads`: brings engines to the weight versions that trainers named."""
+"""
+The service `engine_loads`: orders engines to load the weight versions that trainers published.
+"""
 
 from __future__ import annotations
 
@@ -22,30 +24,34 @@
 
 TICK_S = 0.1
 ORDER_TIMEOUT_S = 1.0
-ASK_TIMEOUT_S = 0.7
-# A load takes about a second; asked earlier, the engine would only say that it is busy.
-FIRST_ASK_S = 0.9
-ASK_EVERY_S = 0.3
-GIVE_UP_S = 6.0
+POLL_TIMEOUT_S = 0.7
+# A load takes about a second; an earlier poll would only return that the engine is busy.
+FIRST_POLL_S = 0.9
+POLL_INTERVAL_S = 0.3
+LOAD_TIMEOUT_S = 6.0
 RETRY_S = 1.0
-ACCEPTED = (200, 202)
+ACCEPTED_STATUSES = (200, 202)
 
 
 @dataclass(frozen=True)
-class Loading:
-    """A load that is under way, or an engine that is left alone for a while."""
+class ActiveLoad:
+    """
+    A load in progress, or the pause of an engine after a failed load.
+
+    :param task: runs until the load or the pause has ended.
+    """
 
     model: str
     task: asyncio.Task[None]
 
 
 class EngineLoads:
-    """Orders loads one engine at a time and asks each how it went."""
+    """Orders at most one load of an engine at a time and polls the engine for the outcome."""
 
     name = "engine_loads"
 
     def __init__(self) -> None:
-        self._loading_by_engine: dict[str, Loading] = {}
+        self._active_load_by_engine: dict[str, ActiveLoad] = {}
 
     @classmethod
     def from_config(cls, settings: VmSettings) -> EngineLoads:
@@ -58,54 +64,59 @@
         return cls()
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to compare."""
+        """Start the periodic comparison of the engines' versions with the published ones."""
         self._directory = kernel.find("directory")
         self._duties = kernel.find("duties")
         self._outside = kernel.find("outside")
         self._connections = kernel.find("connections")
         self._counters = kernel.find("counters")
-        self._ticks = kernel.find("timer").subscribe("engine_loads", TICK_S, self._tick)
+        self._tick_timer = kernel.find("timer").subscribe("engine_loads", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """End the ticks and the loads' tasks."""
-        self._ticks.cancel()
-        for loading in self._loading_by_engine.values():
-            loading.task.cancel()
+        """Cancel the periodic comparison and the tasks of the loads."""
+        self._tick_timer.cancel()
+        for active_load in self._active_load_by_engine.values():
+            active_load.task.cancel()
 
     async def _tick(self, now: float) -> None:
-        if not self._duties.in_charge():
+        if not self._duties.may_order():
             return
         directory = self._directory
         record_by_engine = {}
-        for heard in directory.endpoints.table.heard():
-            record = heard.record
+        for received in directory.endpoints.table.heard():
+            record = received.record
             if record.state == SERVING and record.version_by_adapter:
                 record_by_engine[record.endpoint] = record
-        hosts = [self._host(record) for record in record_by_engine.values()]
-        named = directory.state.version_by_model
-        lags = directory.lags.lag_by_model
-        for load in next_loads(hosts, named, loads_at_once(len(hosts)), lags):
+        hosts = [self._to_host(record) for record in record_by_engine.values()]
+        published_versions = directory.state.version_by_model
+        lags = directory.version_lags.lag_by_model
+        for load in next_loads(hosts, published_versions, loads_at_once(len(hosts)), lags):
             record = record_by_engine[load.engine]
             task = asyncio.create_task(self._load(record, load), name=f"load:{load.engine}")
-            self._loading_by_engine[load.engine] = Loading(load.model, task)
+            self._active_load_by_engine[load.engine] = ActiveLoad(load.model, task)
 
-    def _host(self, record: EndpointRecord) -> Host:
-        loading = self._loading_by_engine.get(record.endpoint)
-        model = loading.model if loading is not None else ""
+    def _to_host(self, record: EndpointRecord) -> Host:
+        active_load = self._active_load_by_engine.get(record.endpoint)
+        model = active_load.model if active_load is not None else ""
         return Host(record.endpoint, record.version_by_adapter, model)
 
     async def _load(self, record: EndpointRecord, load: Load) -> None:
         try:
-            if not await self._order(record, load):
-                self._directory.endpoints.note_loading(load.engine, load.model, loads=False)
+            if not await self._order_load(record, load):
+                self._directory.endpoints.set_loading(load.engine, load.model, is_loading=False)
                 await asyncio.sleep(RETRY_S)
         finally:
-            self._loading_by_engine.pop(load.engine, None)
-            self._directory.endpoints.note_loading(load.engine, load.model, loads=False)
+            self._active_load_by_engine.pop(load.engine, None)
+            self._directory.endpoints.set_loading(load.engine, load.model, is_loading=False)
+
+    async def _order_load(self, record: EndpointRecord, load: Load) -> bool:
+        """
+        Order one load and wait until the engine reports the version.
 
-    async def _order(self, record: EndpointRecord, load: Load) -> bool:
-        """Order one load and wait until the engine shows it; False where it did not come."""
-        state = await self._ask(record)
+        :return: False where the engine did not answer, was busy, refused the order or did not
+            report the version in time.
+        """
+        state = await self._poll(record)
         if state is None:
             return False
         if state.version_by_model.get(load.model, 0) >= load.version:
@@ -113,7 +124,7 @@
         if state.busy:
             return False
         order = LoadOrder(load.model, load.version, state.orders)
-        self._directory.endpoints.note_loading(record.endpoint, load.model, loads=True)
+        self._directory.endpoints.set_loading(record.endpoint, load.model, is_loading=True)
         request = self._outside.load_order(record, order, self._duties.duty())
         answer = await self._duties.send(request, ORDER_TIMEOUT_S)
         status = answer.status if isinstance(answer, HttpAnswer) else 0
@@ -126,47 +137,51 @@
             status=status,
         )
         self._counters.add(f"engine_loads.answer_{status}")
-        if status not in ACCEPTED and isinstance(answer, HttpAnswer):
+        if status not in ACCEPTED_STATUSES and isinstance(answer, HttpAnswer):
             return False
-        return await self._shown(record, load)
+        return await self._wait_until_loaded(record, load)
 
-    async def _shown(self, record: EndpointRecord, load: Load) -> bool:
+    async def _wait_until_loaded(self, record: EndpointRecord, load: Load) -> bool:
         """
-        Wait until an engine says that it has the version.
+        Wait until an engine reports the version that was ordered.
+
+        An order without an answer may have been accepted, or may be executed seconds later, so the
+        engine is polled after a failed order as well. The next order is sent only after that. It
+        carries the engine's count of accepted orders, which invalidates an earlier order that is
+        still in transit.
 
-        An order without an answer may have been accepted, or be carried out seconds later, so the
-        engine is asked as well after a failure. Another order is given only after that: it bears
-        the engine's count of orders, which makes the one that was held up void.
+        :return: False where the engine became idle without the version, LOAD_TIMEOUT_S passed, or
+            this daemon may no longer send orders.
         """
-        end_s = boot_now() + GIVE_UP_S
-        await asyncio.sleep(FIRST_ASK_S)
-        while boot_now() < end_s and self._duties.in_charge():
-            state = await self._ask(record)
+        end_s = boot_now() + LOAD_TIMEOUT_S
+        await asyncio.sleep(FIRST_POLL_S)
+        while boot_now() < end_s and self._duties.may_order():
+            state = await self._poll(record)
             if state is not None and state.version_by_model.get(load.model, 0) >= load.version:
                 return True
             if state is not None and not state.busy:
                 return False
-            await asyncio.sleep(ASK_EVERY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
-    async def _ask(self, record: EndpointRecord) -> EngineState | None:
+    async def _poll(self, record: EndpointRecord) -> EngineState | None:
         request = self._outside.engine_state_request(record)
-        answer = await self._connections.ask(request, ASK_TIMEOUT_S)
+        answer = await self._connections.ask(request, POLL_TIMEOUT_S)
         if not isinstance(answer, HttpAnswer):
             return None
         state = self._outside.engine_state(answer)
         if state is None:
             return None
-        self._take(record, state)
+        self._publish_versions(record, state)
         return state
 
-    def _take(self, record: EndpointRecord, state: EngineState) -> None:
-        """Let all daemons know at once what versions an engine has."""
+    def _publish_versions(self, record: EndpointRecord, state: EngineState) -> None:
+        """Publish an engine's versions without waiting for its next announcement."""
         known = self._directory.endpoints.table.record_of(record.endpoint)
         if known is None or known.incarnation != record.incarnation or known.state != SERVING:
             return
         if known.version_by_adapter != state.version_by_model:
-            self._directory.endpoints.learn_versions(known, state.version_by_model)
+            self._directory.endpoints.update_versions(known, state.version_by_model)
 
 
 __all__ = ["EngineLoads"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
@@ -1,4 +1,4 @@
-"""The service `fleet`: orders endpoints from the platform in place of those that are gone."""
+"""The service `fleet`: orders endpoints from the platform in place of those that were lost."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 
 TICK_S = 0.5
 ORDER_TIMEOUT_S = 4.0
-# The endpoints of the first start have all announced themselves by then.
-FIRST_COUNT_AFTER_S = 5.0
+# A leader counts the endpoints only this long after its election. At the first start of the system
+# all endpoints have announced themselves within this time.
+COUNT_AFTER_S = 5.0
 
 
 class Fleet:
-    """Keeps as many endpoints of each service as there were at the first start."""
+    """Keeps at least as many endpoints of each service as there were at the first start."""
 
     name = "fleet"
 
     def __init__(self, settings: VmSettings) -> None:
-        self._scales = settings.scales
+        self._may_scale = settings.scales
         self._fleet_by_service: dict[str, ServiceFleet] = {}
 
     @classmethod
@@ -43,30 +44,31 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to compare."""
+        """Start the periodic comparison of the present endpoints with the wanted ones."""
         self._directory = kernel.find("directory")
         self._duties = kernel.find("duties")
         self._outside = kernel.find("outside")
         self._counters = kernel.find("counters")
-        self._ticks = kernel.find("timer").subscribe("fleet", TICK_S, self._tick)
+        self._tick_timer = kernel.find("timer").subscribe("fleet", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """End the ticks."""
-        self._ticks.cancel()
+        """Cancel the periodic comparison."""
+        self._tick_timer.cancel()
 
     async def _tick(self, now: float) -> None:
         table = self._directory.state.table
-        if not self._scales or table is None or not self._duties.in_charge():
+        if not self._may_scale or table is None or not self._duties.may_order():
             return
-        # A new leader that has not heard all endpoints yet would take some for gone.
-        if now < self._directory.led_since + FIRST_COUNT_AFTER_S:
+        # A new leader that has not received the announcements of all endpoints yet would count some
+        # as lost.
+        if now < self._directory.led_since + COUNT_AFTER_S:
             return
         for terms in table.services:
             if terms.scaling is not None:
-                await self._keep(terms, now)
+                await self._order_missing(terms, now)
 
-    async def _keep(self, terms: ServiceTerms, now: float) -> None:
-        present = self._present(terms.name)
+    async def _order_missing(self, terms: ServiceTerms, now: float) -> None:
+        present = self._count_serving(terms.name)
         total = sum(present.values())
         wanted = self._directory.state.fleet_by_service.get(terms.name)
         if wanted is None:
@@ -101,10 +103,10 @@
             return
         fleet.refused(order.data_centre, now)
 
-    def _present(self, service: str) -> dict[str, int]:
+    def _count_serving(self, service: str) -> dict[str, int]:
         present: dict[str, int] = {}
-        for heard in self._directory.endpoints.table.heard():
-            record = heard.record
+        for received in self._directory.endpoints.table.heard():
+            record = received.record
             if record.service == service and record.state == SERVING:
                 present[record.data_centre] = present.get(record.data_centre, 0) + 1
         return present
--- a/packages/ibisspring-directory/src/ibisspring_directory/known_endpoints.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/known_endpoints.py
@@ -1,4 +1,4 @@
-"""What the directory's leader knows of the endpoints, and how their announcements change it."""
+"""Endpoint records at the directory's leader, and the handlers of the endpoints' announcements."""
 
 from __future__ import annotations
 
@@ -27,20 +27,24 @@
     from ibisspring_core.settings.vm import VmSettings
     from ibisspring_directory.state import DirectoryState
 
-# Beats may be late by seconds; a dead endpoint is left earlier by the requests that fail there.
-SILENT_ANNOUNCEMENTS = 4
-# A new leader hears all endpoints within two announcements; until then entries keep what they knew.
-LEARN_ANNOUNCEMENTS = 2.5
+# An endpoint's record expires after this many announcement intervals without an announcement.
+# Announcements may be delayed by seconds. An endpoint that failed stops receiving requests earlier,
+# as soon as requests to it fail.
+EXPIRY_INTERVALS = 4
+# A new leader receives announcements of all endpoints within two announcement intervals. Until then
+# entries keep the endpoints that they already know.
+LEARNING_INTERVALS = 2.5
 
 Propose = Callable[[Any], Awaitable[Any]]
 
 
 class KnownEndpoints:
     """
-    The endpoints under one leader.
+    Endpoint records during one leader's term.
 
-    :param table: their newest announcements.
-    :param loading: pairs of endpoint and model that begin nothing now.
+    :param table: newest announcement of each endpoint.
+    :param loading: pairs of endpoint and model; the endpoint starts no requests for the model while
+        it loads a weight version.
     """
 
     def __init__(
@@ -52,8 +56,8 @@
         on_change: Callable[[], None],
     ) -> None:
         self._address = settings.peer_address
-        self._ttl_s = settings.announce_every_s * SILENT_ANNOUNCEMENTS
-        self._learn_s = settings.announce_every_s * LEARN_ANNOUNCEMENTS
+        self._ttl_s = settings.announce_every_s * EXPIRY_INTERVALS
+        self._learning_s = settings.announce_every_s * LEARNING_INTERVALS
         self._state = state
         self._counters = counters
         self._propose = propose
@@ -63,77 +67,98 @@
         self.table = EndpointTable(self._ttl_s)
         self.loading: set[tuple[str, str]] = set()
 
-    def begin(self, led_since: float) -> None:
-        """Begin anew as a leader."""
+    def start_term(self, led_since: float) -> None:
+        """
+        Reset the records at the start of a term.
+
+        :param led_since: start of the term, in seconds on the leader's boot clock.
+        """
         self._led_since = led_since
         self.loading.clear()
         self.table = EndpointTable(self._ttl_s)
-        # After the end of all processes nobody knows an endpoint until each has announced itself;
-        # those that joined before serve callers at once, and the dead among them go silent.
-        for record in self._state.joined_by_id.values():
+        # After a restart of all processes no daemon knows an endpoint until that endpoint has
+        # announced itself. Endpoints that joined before the restart are therefore used at once; the
+        # records of those that failed expire.
+        for record in self._state.joined_by_endpoint.values():
             self.table.take(record, led_since)
 
-    def learning(self, now: float) -> bool:
-        """Whether this leader may not have heard all endpoints yet."""
-        return now - self._led_since <= self._learn_s
+    def is_learning(self, now: float) -> bool:
+        """Whether this leader may still lack the announcements of some endpoints."""
+        return now - self._led_since <= self._learning_s
 
     def expire(self, now: float) -> None:
-        """End the records of endpoints that went silent."""
+        """Mark endpoints as gone that have sent no announcement for EXPIRY_INTERVALS intervals."""
         for endpoint in self.table.expire(now):
             eliot.log_message("directory:endpoint_silent", endpoint=endpoint, bound_s=self._ttl_s)
             self._counters.add("directory.endpoint_silent")
 
-    def placed(self, now: float, with_versions: bool = True) -> tuple[Placed, ...]:
-        """All that is known but what went silent, with its age."""
+    def records_with_ages(self, now: float, with_versions: bool = True) -> tuple[Placed, ...]:
+        """
+        Records of all endpoints that are not gone, with the time since their newest announcement.
+
+        :param with_versions: whether the records contain the endpoints' weight versions.
+        """
         return tuple(
             Placed(
-                heard.record if with_versions else replace(heard.record, version_by_adapter={}),
-                now - heard.heard_at,
+                (
+                    received.record
+                    if with_versions
+                    else replace(received.record, version_by_adapter={})
+                ),
+                now - received.heard_at,
             )
-            for heard in self.table.heard()
-            if heard.record.state != GONE
+            for received in self.table.heard()
+            if received.record.state != GONE
         )
 
     async def announce(self, announce: Announce) -> Any:
-        """Take in an endpoint's announcement; a leaving one is committed before it is answered."""
+        """Merge an endpoint's announcement; a departure is committed before it is acknowledged."""
         record = announce.record
-        # Committed, a departure outlives this leader: a "serving" that was held up on its way must
-        # not bring the endpoint back under the next one.
+        # A committed departure outlives this leader: a delayed announcement with the state
+        # `serving` must not restore the endpoint under the next leader.
         if record.state == LEAVING:
             key = (record.endpoint, record.incarnation)
-            if key not in self._state.left:
+            if key not in self._state.state_by_departed:
                 committed = await self._propose(EndpointLeaves(*key, LEAVING))
                 if isinstance(committed, Refusal):
                     return committed
-        self._take(record)
+        self._merge(record)
         return Announced(self._address)
 
     async def depart(self, message: Depart) -> Any:
-        """Take in that an endpoint is gone; it may say so without naming its start."""
+        """Handle the departure of an endpoint; the message may leave the incarnation unknown."""
         known = self.table.record_of(message.endpoint)
         if known is None:
-            if self.learning(boot_now()):
-                return Refusal(Reason.IN_PROGRESS, True, self._learn_s, "not heard of yet")
+            if self.is_learning(boot_now()):
+                return Refusal(
+                    Reason.IN_PROGRESS,
+                    True,
+                    self._learning_s,
+                    "the new leader has received no announcement of this endpoint yet",
+                )
             return Announced(self._address)
         if message.incarnation not in (UNKNOWN_INCARNATION, known.incarnation):
             return Announced(self._address)
-        gone = replace(known, state=LEAVING, sequence=known.sequence + 1)
-        return await self.announce(Announce(gone))
+        departure = replace(known, state=LEAVING, sequence=known.sequence + 1)
+        return await self.announce(Announce(departure))
 
-    def _take(self, record: EndpointRecord) -> None:
-        """Merge an announcement and let the daemons know where something changed."""
+    def _merge(self, record: EndpointRecord) -> None:
+        """Merge an announcement and wake the waiting renewals where a record changed."""
         now = boot_now()
-        if record.state != LEAVING and (record.endpoint, record.incarnation) in self._state.left:
+        if (
+            record.state != LEAVING
+            and (record.endpoint, record.incarnation) in self._state.state_by_departed
+        ):
             return
         known = self.table.record_of(record.endpoint)
         if known is not None and known.incarnation == record.incarnation:
-            record = replace(record, version_by_adapter=_newest_versions(known, record))
-        reason = self.table.take(record, now)
-        if reason:
+            record = replace(record, version_by_adapter=_merge_versions(known, record))
+        drop_reason = self.table.take(record, now)
+        if drop_reason:
             self._counters.add("directory.announcement_dropped")
-        joined = self._state.joined_by_id.get(record.endpoint)
-        if not reason and (joined is None or joined.incarnation < record.incarnation):
-            self._note_joined(record)
+        joined = self._state.joined_by_endpoint.get(record.endpoint)
+        if not drop_reason and (joined is None or joined.incarnation < record.incarnation):
+            self._commit_joined(record)
         if self.table.changed:
             eliot.log_message(
                 "directory:endpoint",
@@ -146,42 +171,48 @@
             self.table.changed.clear()
             self._on_change()
 
-    def _note_joined(self, record: EndpointRecord) -> None:
-        """Commit that an endpoint is there, without keeping its announcement waiting."""
+    def _commit_joined(self, record: EndpointRecord) -> None:
+        """Commit that an endpoint joined, without delaying the answer to its announcement."""
         if record.state != SERVING:
             return
         task = asyncio.ensure_future(self._propose(EndpointJoins(record)))
         self._proposals.add(task)
         task.add_done_callback(self._proposals.discard)
 
-    def learn_versions(self, known: EndpointRecord, version_by_model: dict[str, int]) -> None:
-        """Take in what an engine said of its versions between two announcements."""
-        # A later sequence than the known one would make the engine's next announcement look old.
+    def update_versions(self, known: EndpointRecord, version_by_model: dict[str, int]) -> None:
+        """
+        Update an engine's weight versions from a report that it sent between two announcements.
+        """
+        # The record keeps its sequence number: with a higher one, the engine's next announcement
+        # would be dropped as outdated.
         self.table.set_versions(known.endpoint, version_by_model)
         self.table.changed.clear()
         self._on_change()
 
-    def note_loading(self, endpoint: str, model: str, loads: bool) -> None:
-        """Let all daemons know that an engine begins nothing for a model, or does so again."""
-        if loads:
+    def set_loading(self, endpoint: str, model: str, is_loading: bool) -> None:
+        """
+        Publish whether an engine is loading a weight version of a model and starts no requests for
+        it.
+        """
+        if is_loading:
             self.loading.add((endpoint, model))
         else:
             self.loading.discard((endpoint, model))
         self._on_change()
 
 
-def _newest_versions(known: EndpointRecord, record: EndpointRecord) -> dict[str, int]:
+def _merge_versions(known: EndpointRecord, record: EndpointRecord) -> dict[str, int]:
     """
-    Join the versions of two announcements of one start.
+    Merge the weight versions of two announcements of one incarnation.
 
-    Versions only rise there; an announcement that was on its way while the engine loaded would
-    otherwise bring the earlier version back for one announcement, and the load would be ordered a
-    second time.
+    Versions only rise within an incarnation. An announcement that was sent before a load finished
+    and arrives after it would otherwise restore the older version for one announcement interval,
+    and the load would be ordered a second time.
     """
-    joined = dict(record.version_by_adapter)
+    newest = dict(record.version_by_adapter)
     for name, version in known.version_by_adapter.items():
-        joined[name] = max(joined.get(name, 0), version)
-    return joined
+        newest[name] = max(newest.get(name, 0), version)
+    return newest
 
 
 __all__ = ["KnownEndpoints"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/membership.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/membership.py
@@ -1,4 +1,7 @@
-"""The service `control_membership`: who holds the directory's log, and who founds the jobs' log."""
+"""
+The service `control_membership`: replaces members of the directory's log and bootstraps the jobs'
+log.
+"""
 
 from __future__ import annotations
 
@@ -21,13 +24,16 @@
 
 TICK_S = 0.5
 RENEW_TIMEOUT_S = 1.5
-# The first stores of a system start within a third of a second of each other; the log is founded
-# by those that are there then, also where the deployment has fewer than wanted.
-FOUND_AFTER_S = 2.0
+# The first stores of a system start within a third of a second of each other. After this time the
+# jobs' log is bootstrapped by the stores that have renewed, also where the deployment has fewer
+# than wanted.
+BOOTSTRAP_AFTER_S = 2.0
 
 
 class ControlMembership:
-    """Control VMs tell the leader of their disks; the leader exchanges those that are gone."""
+    """
+    Reports this VM's disk to the leader; the leader replaces members that are no longer reachable.
+    """
 
     name = "control_membership"
 
@@ -35,7 +41,7 @@
         self._settings = settings
         self._wanted = 2 * settings.losses + 1
         self._incarnation = secrets.token_hex(8)
-        self._stores_since = 0.0
+        self._first_store_at = 0.0
 
     @classmethod
     def from_config(cls, settings: VmSettings) -> ControlMembership:
@@ -48,28 +54,31 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to tell and to look."""
+        """Start the periodic renewal and the periodic check of the members."""
         self._consensus = kernel.find("consensus")
         self._directory = kernel.find("directory")
         self._current_settings = kernel.find("current_settings")
         self._leader = LeaderClient(kernel.find("peer_client"), self._addresses)
         timer = kernel.find("timer")
-        self._subscriptions = (
+        self._timers = (
             timer.subscribe("control_membership", TICK_S, self._tick),
             timer.subscribe("control_renewal", TICK_S, self._renew),
         )
 
     async def stop(self) -> None:
-        """End both."""
-        for subscription in self._subscriptions:
-            subscription.cancel()
+        """Cancel both timers."""
+        for timer in self._timers:
+            timer.cancel()
 
     def _addresses(self) -> tuple[str, ...]:
-        known = tuple(voter.daemon for voter in self._consensus.core.members.voters)
-        return tuple(dict.fromkeys((*known, *self._current_settings.seeds)))
+        voters = tuple(voter.daemon for voter in self._consensus.core.members.voters)
+        return tuple(dict.fromkeys((*voters, *self._current_settings.seeds)))
 
     async def _renew(self, now: float) -> None:
-        """Tell the leader that this VM is there; one that is no member becomes a candidate."""
+        """
+        Renew this VM's session at the leader; a VM that is no member of the log becomes a
+        candidate.
+        """
         settings = self._settings
         renew = Renew(
             address=settings.peer_address,
@@ -80,42 +89,46 @@
             member=own_member(settings, self._consensus),
             wall_s=self._directory.own_wall_s(),
         )
-        if self._directory.leads():
+        if self._directory.holds_lease():
             await self._directory.renew(renew)
             return
         await self._leader.call(renew, RENEW_TIMEOUT_S, RENEW_TIMEOUT_S / 2)
 
     async def _tick(self, now: float) -> None:
-        if not self._directory.leads():
+        if not self._directory.holds_lease():
             return
-        await self._found_jobs(now)
+        await self._bootstrap_jobs_log(now)
         members = self._directory.sessions.members(now, "control")
-        change = next_change(self._consensus.core.state, candidates(members), (), self._wanted)
+        change = next_change(self._consensus.core.state, to_candidates(members), (), self._wanted)
         if change is not None:
             eliot.log_message("membership:change", log="directory", change=str(change))
             self._consensus.dispatch(change)
 
-    async def _found_jobs(self, now: float) -> None:
-        """Choose the stores that found the jobs' log, once, at the first start."""
+    async def _bootstrap_jobs_log(self, now: float) -> None:
+        """
+        Choose the stores that bootstrap the jobs' log; runs once, at the first start of the system.
+        """
         if self._directory.state.job_group is not None:
             return
-        stores = [one for one in self._directory.sessions.members(now, "store") if one.empty]
+        stores = [store for store in self._directory.sessions.members(now, "store") if store.empty]
         if not stores:
-            self._stores_since = 0.0
+            self._first_store_at = 0.0
             return
-        self._stores_since = self._stores_since or now
-        if len(stores) < self._wanted and now < self._stores_since + FOUND_AFTER_S:
+        self._first_store_at = self._first_store_at or now
+        if len(stores) < self._wanted and now < self._first_store_at + BOOTSTRAP_AFTER_S:
             return
-        group = Group(secrets.token_hex(8), spread(stores, self._wanted))
+        group = Group(secrets.token_hex(8), choose_across_data_centres(stores, self._wanted))
         await self._directory.propose(FoundJobs(group))
-        eliot.log_message("membership:jobs_founded", by=[one.address for one in group.founders])
+        eliot.log_message(
+            "membership:jobs_founded", by=[founder.address for founder in group.founders]
+        )
 
 
-def candidates(members: tuple[Member, ...]) -> list[Candidate]:
+def to_candidates(members: tuple[Member, ...]) -> list[Candidate]:
     """
-    Turn disks into candidates for a log.
+    Convert members into candidates for a log.
 
-    :return: one for each.
+    :return: one candidate for each member.
     """
     return [
         Candidate(ReplicaId(member.address, member.disk_id), member.data_centre)
@@ -123,20 +136,20 @@
     ]
 
 
-def spread(members: list[Member], wanted: int) -> tuple[Member, ...]:
+def choose_across_data_centres(members: list[Member], wanted: int) -> tuple[Member, ...]:
     """
-    Choose members over as many data centres as possible.
+    Choose members in as many data centres as possible.
 
-    :return: at most `wanted` of them.
+    :return: at most `wanted` members.
     """
     chosen: list[Member] = []
-    left = list(members)
-    while left and len(chosen) < wanted:
-        used = [one.data_centre for one in chosen]
-        best = min(left, key=lambda one: (used.count(one.data_centre), one.address))
+    remaining = list(members)
+    while remaining and len(chosen) < wanted:
+        used = [member.data_centre for member in chosen]
+        best = min(remaining, key=lambda member: (used.count(member.data_centre), member.address))
         chosen.append(best)
-        left.remove(best)
+        remaining.remove(best)
     return tuple(chosen)
 
 
-__all__ = ["ControlMembership", "candidates", "spread"]
+__all__ = ["ControlMembership", "choose_across_data_centres", "to_candidates"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/service.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/service.py
@@ -1,4 +1,7 @@
-"""The service `directory`: answers daemons, operators, trainers and endpoints on the leader."""
+"""
+The service `directory`: the leader's handlers of requests from daemons, operators, trainers and
+endpoints.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
     RetireStore,
 )
 from ibisspring_directory.known_endpoints import KnownEndpoints
-from ibisspring_directory.sessions import IN_TOUCH_S, Sessions
+from ibisspring_directory.sessions import SESSION_ACTIVE_S, Sessions
 from ibisspring_directory.usage import WindowCounts
 from ibisspring_directory.version_lags import VersionLags
 from ibisspring_directory.views import Revision
@@ -46,35 +49,48 @@
     from ibisspring_directory.sessions import Session
 
 SWEEP_S = 0.2
-# Operators wait this long at most for entries that renew and still lack the change: less than the
-# time after which they would take the order for lost.
-MAX_IN_FORCE_WAIT_S = 2.5
-# A store that is frozen or started again is back within this time.
-STORE_BACK_S = 4.0
-# Revisions of views with weight versions and loads are above all others: a store that has just
-# become a member of the jobs' log holds a lower one and is told at once.
-LOADS_FROM = 1 << 32
-# Messages of counts beside the renewals, from all entries together. Entries space theirs out, so
-# that a large fleet costs the leader no more.
+# A request to replace the route table waits at most this long for active entries that still use the
+# older one. The limit is below the time after which the operator's client treats the request as
+# lost.
+MAX_TABLE_WAIT_S = 2.5
+# A store that was frozen or restarted renews its session again within this time.
+STORE_RESTART_S = 4.0
+# Full views, which contain weight versions and loads, have revisions above those of all entry
+# views. A store that has just become a member of the jobs' log holds a lower revision and is
+# therefore sent the full view at once.
+FIRST_FULL_REVISION = 1 << 32
+# Limit of the messages with usage counts that all entries together send between their renewals. The
+# pause between an entry's messages grows with the number of entries, so that a large fleet costs
+# the leader no more.
 USAGE_MESSAGES_PER_S = 500
 
 
 class Directory:
-    """Volatile knowledge of the leader beside the replicated state."""
+    """
+    Answers directory requests and keeps the leader's state that is not replicated.
+
+    That state is cleared at the start of each term and rebuilt from renewals and announcements.
+
+    :param sessions: newest renewals of the daemons.
+    :param endpoints: newest announcements of the endpoints.
+    :param usage_counts: requests in usage windows that are not closed.
+    :param version_lags: by model, how many weight versions an engine may be behind.
+    :param led_since: start of this daemon's term as the leader, in seconds on its boot clock.
+    """
 
     name = "directory"
 
     def __init__(self, settings: VmSettings) -> None:
         self.settings = settings
         self.sessions = Sessions()
-        self.revision = Revision(LOADS_FROM)
+        self.full_revision = Revision(FIRST_FULL_REVISION)
         self.entry_revision = Revision()
-        self._entry_part: tuple[Any, ...] = ()
-        self.counts = WindowCounts()
-        self.lags = VersionLags()
+        self._last_entry_view_key: tuple[Any, ...] = ()
+        self.usage_counts = WindowCounts()
+        self.version_lags = VersionLags()
         self.led_since = 0.0
         self._term = 0
-        self._seen: tuple[Any, ...] = ()
+        self._last_sweep_state: tuple[Any, ...] = ()
 
     @classmethod
     def from_config(cls, settings: VmSettings) -> Directory:
@@ -87,14 +103,14 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Register what is answered here."""
+        """Register the message handlers and the periodic sweep."""
         self.consensus = kernel.find("consensus")
         self.state = kernel.find("state")
         self._counters = kernel.find("counters")
         self.endpoints = KnownEndpoints(
-            self.settings, self.state, self._counters, self.propose, self.rise
+            self.settings, self.state, self._counters, self.propose, self.mark_changed
         )
-        self.state.subscribe(self.rise)
+        self.state.subscribe(self.mark_changed)
         server = kernel.find("peer_server")
         server.answer(Renew, self.renew)
         on_leader = {
@@ -107,44 +123,50 @@
             CountUsage: self.count_usage,
         }
         for message_type, handler in on_leader.items():
-            server.answer(message_type, self._only_leading(handler))
-        self._sweeps = kernel.find("timer").subscribe("directory", SWEEP_S, self._sweep)
+            server.answer(message_type, self._leader_only(handler))
+        self._sweep_timer = kernel.find("timer").subscribe("directory", SWEEP_S, self._sweep)
 
     async def stop(self) -> None:
-        """End the sweeps."""
-        self._sweeps.cancel()
+        """Cancel the sweep."""
+        self._sweep_timer.cancel()
 
-    def leads(self) -> bool:
-        """Whether this daemon surely is the directory's only leader."""
+    def holds_lease(self) -> bool:
+        """Whether this daemon is the leader under a lease that excludes any other leader."""
         return self.consensus.is_leader and self.consensus.lease_left_s() > 0
 
     def not_leader(self) -> NotLeader:
-        """Whom to ask instead."""
+        """
+        Build the answer of a daemon that is not the leader, with the address of the last known
+        leader.
+        """
         return NotLeader(self.consensus.leader_hint)
 
-    def rise(self) -> None:
+    def mark_changed(self) -> None:
         """
-        Let the daemons that wait know that something changed.
+        Increment the revisions and wake the renewals that wait for a change.
 
-        Daemons are told only of what they use. Weight versions and loads change several times a
-        second, and only the jobs' dispatcher asks for them: entries and stores that hold no replica
-        of the jobs' log are not woken for these.
+        Weight versions and loads change several times a second, and only the jobs' dispatcher uses
+        them. Renewals of entries, and of stores without a replica of the jobs' log, are therefore
+        woken only when another part of the view changes.
         """
-        self.revision.rise()
-        part = self._part_for_entries()
-        if part != self._entry_part:
-            self._entry_part = part
-            self.entry_revision.rise()
+        self.full_revision.increment()
+        key = self._entry_view_key()
+        if key != self._last_entry_view_key:
+            self._last_entry_view_key = key
+            self.entry_revision.increment()
 
-    def _part_for_entries(self) -> tuple[Any, ...]:
+    def _entry_view_key(self) -> tuple[Any, ...]:
         now = boot_now()
         leader = self.sessions.job_leader(now)
-        records = (heard.record for heard in self.endpoints.table.heard())
+        records = (received.record for received in self.endpoints.table.heard())
         return (
             self._term,
             self.state.table_version,
-            tuple((one.endpoint, one.incarnation, one.state, one.address) for one in records),
-            self.endpoints.learning(now),
+            tuple(
+                (record.endpoint, record.incarnation, record.state, record.address)
+                for record in records
+            ),
+            self.endpoints.is_learning(now),
             self.sessions.members(now, "store"),
             _address_of(leader),
             self.state.job_group,
@@ -155,163 +177,179 @@
         return tuple(voter.daemon for voter in self.consensus.core.members.voters)
 
     def _revision_for(self, renew: Renew) -> Revision:
-        return self.revision if _uses_loads(renew) else self.entry_revision
+        return self.full_revision if _gets_full_view(renew) else self.entry_revision
 
-    def _only_leading(self, handler: Any) -> Any:
+    def _leader_only(self, handler: Any) -> Any:
         async def answer(message: Any) -> Any:
-            if not self.leads():
+            if not self.holds_lease():
                 return self.not_leader()
-            self.begin_term()
+            self.start_term()
             return await handler(message)
 
         return answer
 
-    def begin_term(self) -> None:
-        """Begin anew where this daemon leads under another term than before."""
+    def start_term(self) -> None:
+        """Clear the state that is not replicated if this daemon was elected in a new term."""
         if self._term == self.consensus.term:
             return
         self._term = self.consensus.term
         self.led_since = boot_now()
         self.sessions.clear()
-        self.counts.clear()
-        self.lags.clear()
-        self.endpoints.begin(self.led_since)
-        self.rise()
+        self.usage_counts.clear()
+        self.version_lags.clear()
+        self.endpoints.start_term(self.led_since)
+        self.mark_changed()
         eliot.log_message("directory:leads", term=self._term, daemon=self.settings.daemon)
 
     async def _sweep(self, now: float) -> None:
-        if not self.leads():
+        if not self.holds_lease():
             return
-        self.begin_term()
-        self.sessions.forget(now)
+        self.start_term()
+        self.sessions.remove_expired(now)
         self.endpoints.expire(now)
         leader = self.sessions.job_leader(now)
-        seen = (
+        sweep_state = (
             self.sessions.members(now, "store"),
             _address_of(leader),
-            self.endpoints.learning(now),
+            self.endpoints.is_learning(now),
         )
-        if seen != self._seen or self.endpoints.table.changed:
-            self._seen = seen
+        if sweep_state != self._last_sweep_state or self.endpoints.table.changed:
+            self._last_sweep_state = sweep_state
             self.endpoints.table.changed.clear()
-            self.rise()
+            self.mark_changed()
 
     def own_wall_s(self) -> float:
-        """This VM's wall clock, which may be off."""
+        """This VM's wall clock in seconds since 1970, which may be wrong."""
         return wall_now()
 
-    def wall_s(self) -> float:
-        """The time of day that most daemons agree on, in seconds since 1970."""
+    def agreed_wall_s(self) -> float:
+        """The wall clock that most daemons agree on, in seconds since 1970."""
         now = boot_now()
         return now + self.sessions.wall_offset_s(now, wall_now() - now)
 
     async def renew(self, renew: Renew) -> Any:
-        """Answer a daemon's renewal with what is new, waiting for it where nothing is."""
-        if not self.leads():
+        """
+        Record a daemon's renewal and answer with the newest view.
+
+        If the daemon already holds that view, wait up to its `hold_s` seconds for a change.
+        """
+        if not self.holds_lease():
             return self.not_leader()
-        self.begin_term()
+        self.start_term()
         epoch = self._term
-        led_before = self.sessions.job_leader(boot_now())
-        if self.sessions.take(renew, boot_now()):
+        leader_before = self.sessions.job_leader(boot_now())
+        if self.sessions.record(renew, boot_now()):
             eliot.log_message("directory:daemon", daemon=renew.daemon, role=renew.role)
-        self.counts.take(renew, self.state.closed_window)
-        self.lags.take(renew.allowed, self.state.version_by_model)
-        leads_now = self.sessions.job_leader(boot_now())
-        if leads_now is not None and leads_now.renew.address != _address_of(led_before):
-            self.rise()
-        held = renew.epoch == epoch and renew.table_version == self.state.table_version
+        self.usage_counts.merge(renew, self.state.closed_window)
+        self.version_lags.update(renew.allowed, self.state.version_by_model)
+        leader_now = self.sessions.job_leader(boot_now())
+        if leader_now is not None and leader_now.renew.address != _address_of(leader_before):
+            self.mark_changed()
+        same_epoch_and_table = (
+            renew.epoch == epoch and renew.table_version == self.state.table_version
+        )
 
         revision = self._revision_for(renew)
 
-        def is_new() -> bool:
-            return not held or revision.number > renew.revision
+        def has_update() -> bool:
+            return not same_epoch_and_table or revision.number > renew.revision
 
-        if not is_new():
-            # A daemon that waits here is in touch, and all that it has is in force there.
-            await revision.wait(renew.hold_s, is_new)
-        if not self.leads() or self._term != epoch:
+        if not has_update():
+            # While a daemon waits here, its session is active and it uses the table version that it
+            # sent.
+            await revision.wait(renew.hold_s, has_update)
+        if not self.holds_lease() or self._term != epoch:
             return self.not_leader()
-        if renew.role == CONTROL or not is_new():
-            return Unchanged(self.wall_s(), self.state.closed_window)
-        return self._view(renew)
+        if renew.role == CONTROL or not has_update():
+            return Unchanged(self.agreed_wall_s(), self.state.closed_window)
+        return self._build_view(renew)
 
     async def count_usage(self, message: CountUsage) -> UsageCounted:
-        """Note an entry's counts at once, so that its end costs no more than the newest."""
-        self.counts.take(message, self.state.closed_window)
-        entries = len(self.sessions.in_touch(boot_now(), ENTRY))
+        """
+        Record an entry's usage counts between two renewals and answer with the pause to the next
+        message.
+
+        If the entry fails, only the counts since its last message are lost.
+        """
+        self.usage_counts.merge(message, self.state.closed_window)
+        entries = len(self.sessions.active(boot_now(), ENTRY))
         return UsageCounted(entries / USAGE_MESSAGES_PER_S)
 
-    def _view(self, renew: Renew) -> View:
+    def _build_view(self, renew: Renew) -> View:
         now = boot_now()
         state = self.state
         leader = self.sessions.job_leader(now)
         lacks_table = renew.table_version != state.table_version
-        loads = _uses_loads(renew)
+        is_full = _gets_full_view(renew)
         return View(
             epoch=self._term,
             revision=self._revision_for(renew).number,
             table=state.table if lacks_table else None,
             table_version=state.table_version,
-            endpoints=self.endpoints.placed(now, with_versions=loads),
-            learning=self.endpoints.learning(now),
-            version_by_model=dict(state.version_by_model) if loads else {},
-            loading=tuple(sorted(self.endpoints.loading)) if loads else (),
+            endpoints=self.endpoints.records_with_ages(now, with_versions=is_full),
+            learning=self.endpoints.is_learning(now),
+            version_by_model=dict(state.version_by_model) if is_full else {},
+            loading=tuple(sorted(self.endpoints.loading)) if is_full else (),
             stores=self.sessions.members(now, "store"),
             job_leader=_address_of(leader),
             job_group=state.job_group,
             controls=self._controls(),
-            wall_s=self.wall_s(),
+            wall_s=self.agreed_wall_s(),
             closed_window=state.closed_window,
             retiring=state.retiring,
         )
 
     async def propose(self, command: Any) -> Committed | Refusal:
-        """Commit a command of the directory."""
+        """Commit a command to the directory's log."""
         return await self.consensus.propose(COMMANDS.encode(command))
 
     async def replace_table(self, message: ReplaceTable) -> Any:
-        """Commit a route table and answer once it is in force at the entries in touch."""
+        """
+        Commit a route table; answer once all active entries use it, or after MAX_TABLE_WAIT_S.
+        """
         version = message.table.version
         if version > self.state.table_version:
             committed = await self.propose(PutTable(message.table, message.document))
             if isinstance(committed, Refusal):
                 return committed
             eliot.log_message("directory:table", version=version, routes=len(message.table.routes))
-        if not await self._in_force(self.state.table_version):
+        if not await self._wait_until_applied(self.state.table_version):
             self._counters.add("directory.table_not_everywhere")
-        if not self.leads():
+        if not self.holds_lease():
             return Refusal(Reason.MAY_HAVE_RUN, False, None, "the leader changed")
         return TableReplaced(self.state.table_version)
 
-    async def _in_force(self, version: int) -> bool:
+    async def _wait_until_applied(self, version: int) -> bool:
         """
-        Wait until no entry in touch serves by an older table.
+        Wait until no active entry uses an older table.
 
-        A leader that has just been elected knows no entry yet and would call a table in force that
-        nobody has heard of, so it waits for their renewals first.
+        A newly elected leader has no sessions yet and would confirm a table that no entry has
+        received, so it waits SESSION_ACTIVE_S for the entries' renewals first.
+
+        :return: False where the time limit passed or this daemon is no longer the leader.
         """
 
-        def everywhere() -> bool:
+        def is_applied() -> bool:
             now = boot_now()
-            known = now > self.led_since + IN_TOUCH_S
-            return known and not self.sessions.lacking(version, now)
+            sessions_known = now > self.led_since + SESSION_ACTIVE_S
+            return sessions_known and not self.sessions.with_older_table(version, now)
 
-        end_s = boot_now() + MAX_IN_FORCE_WAIT_S
-        while not everywhere():
-            if boot_now() > end_s or not self.leads():
+        end_s = boot_now() + MAX_TABLE_WAIT_S
+        while not is_applied():
+            if boot_now() > end_s or not self.holds_lease():
                 return False
-            await self.revision.wait(0.05, everywhere)
+            await self.full_revision.wait(0.05, is_applied)
         return True
 
     async def read_table(self, message: ReadTable) -> Any:
-        """Read the newest table once a quorum confirmed that none is newer."""
+        """Read the newest table after a quorum has confirmed that no newer one is committed."""
         confirmed = await self.consensus.confirm_read()
         if isinstance(confirmed, Refusal):
             return confirmed
         return TableRead(self.state.table_version, self.state.document)
 
     async def name_version(self, message: NameVersion) -> Any:
-        """Record a version that a trainer named."""
+        """Commit the weight version that a trainer published, unless a newer one is known."""
         if message.version > self.state.version_by_model.get(message.model, 0):
             committed = await self.propose(PutVersion(message.model, message.version))
             if isinstance(committed, Refusal):
@@ -320,16 +358,21 @@
         return VersionNamed()
 
     async def retire(self, message: Retire) -> Any:
-        """Begin to empty a store, or tell how far it is."""
+        """Start the retirement of a store, or report its progress."""
         now = boot_now()
         address = self.sessions.address_of(message.daemon)
         leader = self.sessions.job_leader(now)
-        if address is None and now < self.led_since + STORE_BACK_S:
-            return Refusal(Reason.NO_LEADER, True, IN_TOUCH_S, "a new leader knows no store yet")
+        if address is None and now < self.led_since + STORE_RESTART_S:
+            return Refusal(
+                Reason.NO_LEADER,
+                True,
+                SESSION_ACTIVE_S,
+                "the new leader has received no renewal of this store yet",
+            )
         if address is None:
             return Retiring("unknown")
         if message.begin and address not in self.state.retiring:
-            refused = self._refused_retirement(address, now)
+            refused = self._retirement_refusal(address, now)
             if refused is not None:
                 return refused
             committed = await self.propose(RetireStore(address))
@@ -340,40 +383,51 @@
             return Retiring("active")
         return Retiring("active" if address in leader.renew.job_members else "completed")
 
-    def _refused_retirement(self, address: str, now: float) -> Retiring | Refusal | None:
+    def _retirement_refusal(self, address: str, now: float) -> Retiring | Refusal | None:
         """
-        Tell why a store can't be emptied now.
+        Check whether a store can be retired now.
+
+        `too_few` is a final answer. It is sent only where too few stores have renewed within
+        STORE_RESTART_S; while a missing store may still return within that time, the operator
+        receives a refusal and may retry.
 
-        Too few stores is a final answer, so that a store which is silent for a moment doesn't lead
-        to it: the operator asks again instead.
+        :return: the answer to the operator; None where the retirement may start.
         """
         needed = 2 * self.settings.losses + 1
-        in_touch = self._stores_left(address, now, IN_TOUCH_S)
-        if in_touch >= needed:
+        active = self._count_other_stores(address, now, SESSION_ACTIVE_S)
+        if active >= needed:
             return None
-        expected = self._stores_left(address, now, STORE_BACK_S)
-        final = expected < needed and now >= self.led_since + IN_TOUCH_S
+        expected = self._count_other_stores(address, now, STORE_RESTART_S)
+        final = expected < needed and now >= self.led_since + SESSION_ACTIVE_S
         eliot.log_message(
             "directory:retire_refused",
             address=address,
-            in_touch=in_touch,
+            in_touch=active,
             expected=expected,
             needed=needed,
             reason="too_few" if final else "silent_stores",
         )
         if final:
             return Retiring("too_few")
-        detail = f"{in_touch} other stores are in touch, {needed} are needed"
-        return Refusal(Reason.NO_ENDPOINT, True, IN_TOUCH_S, detail)
+        detail = f"{active} other stores renewed recently, {needed} are needed"
+        return Refusal(Reason.NO_ENDPOINT, True, SESSION_ACTIVE_S, detail)
 
-    def _stores_left(self, address: str, now: float, within_s: float) -> int:
-        """How many stores could hold the jobs' log without one of them."""
+    def _count_other_stores(self, address: str, now: float, within_s: float) -> int:
+        """
+        Number of stores that could hold the jobs' log without the one at `address`.
+
+        :param within_s: longest time since a store's last renewal, in seconds.
+        """
         stores = {member.address for member in self.sessions.members(now, "store", within_s)}
         return len(stores - {address} - set(self.state.retiring))
 
 
-def _uses_loads(renew: Renew) -> bool:
-    """Whether a daemon may lead the jobs' log, which is handed out by versions and loads."""
+def _gets_full_view(renew: Renew) -> bool:
+    """
+    Whether a daemon holds a replica of the jobs' log.
+
+    Such a daemon may become that log's leader, whose dispatcher needs weight versions and loads.
+    """
     return renew.member is not None and not renew.member.empty
 
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/sessions.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/sessions.py
@@ -1,4 +1,6 @@
-"""Which daemons are in touch with the directory's leader, and what they have taken in."""
+"""
+Sessions of the daemons at the directory's leader: their newest renewals and when these arrived.
+"""
 
 from __future__ import annotations
 
@@ -9,9 +11,10 @@
 if TYPE_CHECKING:
     from ibisspring_core.messages.directory import Member, Renew
 
-# Daemons renew at least every half second, so that two renewals may be lost before one is taken
-# for out of touch. A shorter time would answer an operator before a slow daemon has the change.
-IN_TOUCH_S = 1.2
+# A session is active for this long after the daemon's last renewal. Daemons renew at least every
+# half second, so two renewals in a row may be lost. With a shorter time an operator would be
+# answered before a slow daemon has received the change.
+SESSION_ACTIVE_S = 1.2
 FORGET_S = 30.0
 
 
@@ -20,82 +23,90 @@
     """
     The newest renewal of a daemon.
 
-    :param heard_at: when it arrived, in seconds on the leader's boot clock.
+    :param received_at: when the renewal arrived, in seconds on the leader's boot clock.
     """
 
     renew: Renew
-    heard_at: float
+    received_at: float
 
 
 class Sessions:
-    """Sessions by the daemons' peer address; `now` is always given."""
+    """
+    Sessions by peer address of the daemon.
+
+    Callers pass the current time as `now`, in seconds on the leader's boot clock.
+    """
 
     def __init__(self) -> None:
         self._session_by_address: dict[str, Session] = {}
 
     def clear(self) -> None:
-        """Forget all, when this daemon becomes the leader."""
+        """Remove all sessions, when this daemon becomes the leader."""
         self._session_by_address.clear()
 
-    def take(self, renew: Renew, now: float) -> bool:
+    def record(self, renew: Renew, now: float) -> bool:
         """
-        Take in a renewal.
+        Record a renewal.
 
-        :return: whether the daemon is new or started again.
+        :return: whether the daemon is new or was restarted.
         """
         known = self._session_by_address.get(renew.address)
         self._session_by_address[renew.address] = Session(renew, now)
         return known is None or known.renew.incarnation != renew.incarnation
 
-    def forget(self, now: float) -> None:
-        """Drop daemons that were silent for long."""
+    def remove_expired(self, now: float) -> None:
+        """Remove the sessions without a renewal for FORGET_S seconds."""
         for address, session in list(self._session_by_address.items()):
-            if now - session.heard_at > FORGET_S:
+            if now - session.received_at > FORGET_S:
                 del self._session_by_address[address]
 
-    def in_touch(self, now: float, role: str, within_s: float = IN_TOUCH_S) -> tuple[Session, ...]:
+    def active(
+        self, now: float, role: str, within_s: float = SESSION_ACTIVE_S
+    ) -> tuple[Session, ...]:
         """
-        Find the daemons of a role that renewed lately.
+        Find the active sessions of a role.
 
-        :param within_s: what counts as lately, in seconds.
-        :return: their sessions.
+        :param within_s: longest time since the last renewal, in seconds.
         """
         found = []
         for session in self._session_by_address.values():
-            if session.renew.role == role and now - session.heard_at <= within_s:
+            if session.renew.role == role and now - session.received_at <= within_s:
                 found.append(session)
         return tuple(found)
 
-    def lacking(self, table_version: int, now: float) -> tuple[str, ...]:
+    def with_older_table(self, table_version: int, now: float) -> tuple[str, ...]:
         """
-        Find the entries in touch where an older route table is in force.
+        Find the active entries that use an older route table.
 
-        :return: their names.
+        :param table_version: version that an entry must use at least.
+        :return: names of the entries.
         """
         found = []
-        for session in self.in_touch(now, "entry"):
+        for session in self.active(now, "entry"):
             if session.renew.table_version < table_version:
                 found.append(session.renew.daemon)
         return tuple(found)
 
-    def members(self, now: float, role: str, within_s: float = IN_TOUCH_S) -> tuple[Member, ...]:
+    def members(
+        self, now: float, role: str, within_s: float = SESSION_ACTIVE_S
+    ) -> tuple[Member, ...]:
         """
-        Find the disks of a role's daemons in touch.
+        Find the active daemons of a role that may hold a replica of a log.
 
-        :param within_s: what counts as in touch, in seconds.
-        :return: them, sorted by address.
+        :param within_s: longest time since the last renewal, in seconds.
+        :return: their members, sorted by address.
         """
         found = []
-        for session in self.in_touch(now, role, within_s):
+        for session in self.active(now, role, within_s):
             if session.renew.member is not None:
                 found.append(session.renew.member)
         return tuple(sorted(found, key=lambda member: member.address))
 
     def address_of(self, daemon: str) -> str | None:
         """
-        Find a daemon by its name.
+        Find a daemon's peer address by its name.
 
-        :return: its peer address; None for one that was never heard.
+        :return: the address; None where the daemon has no session.
         """
         for address, session in self._session_by_address.items():
             if session.renew.daemon == daemon:
@@ -104,33 +115,39 @@
 
     def job_leader(self, now: float) -> Session | None:
         """
-        Find the store that leads the jobs' log.
+        Find the leader of the jobs' log.
 
-        :return: the one that said so last; None where none did.
+        :return: session of the store that reported last that it is the leader; None where no active
+            store does.
         """
-        leaders = [one for one in self.in_touch(now, "store") if one.renew.leads_jobs]
-        return max(leaders, key=lambda one: one.heard_at, default=None)
+        leaders = [session for session in self.active(now, "store") if session.renew.leads_jobs]
+        return max(leaders, key=lambda session: session.received_at, default=None)
 
     def demand(self, service: str, now: float) -> int:
-        """The most items of a service that were to be run at a time lately."""
+        """
+        Recent peak of the items of a service that were to run at the same time, from the jobs'
+        leader.
+
+        :return: the number; 0 where the leader is unknown or reports none.
+        """
         leader = self.job_leader(now)
         return dict(leader.renew.demand).get(service, 0) if leader is not None else 0
 
     def wall_offset_s(self, now: float, own_offset_s: float) -> float:
         """
-        Agree on the time of day.
+        Estimate the correct wall clock from those of all daemons.
 
-        The wall clock of some VMs may be seconds off, the leader's among them. The median of all
-        that are in touch is right while fewer than half of them are off.
+        The wall clocks of some VMs, possibly the leader's, may be wrong by seconds. The median over
+        all active sessions is right while fewer than half of the clocks are wrong.
 
-        :param own_offset_s: the leader's wall clock less its boot clock.
-        :return: what to add to the leader's boot clock.
+        :param own_offset_s: the leader's wall clock minus its boot clock, in seconds.
+        :return: seconds to add to the leader's boot clock.
         """
         offsets = [own_offset_s]
         for session in self._session_by_address.values():
-            if now - session.heard_at <= IN_TOUCH_S and session.renew.wall_s:
-                offsets.append(session.renew.wall_s - session.heard_at)
+            if now - session.received_at <= SESSION_ACTIVE_S and session.renew.wall_s:
+                offsets.append(session.renew.wall_s - session.received_at)
         return statistics.median_low(offsets)
 
 
-__all__ = ["IN_TOUCH_S", "Session", "Sessions"]
+__all__ = ["SESSION_ACTIVE_S", "Session", "Sessions"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/state.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/state.py
@@ -1,8 +1,8 @@
 """
-The directory's state machine.
+The directory's replicated state machine.
 
-Deterministic: it reads no clock and no random number, so that replicas which apply the same log
-hold the same state, also when some of them started from a snapshot.
+It is deterministic: it reads no clock and no random numbers, so that replicas which apply the same
+log hold the same state, including replicas that started from a snapshot.
 """
 
 from __future__ import annotations
@@ -31,21 +31,28 @@
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
 
-# Endpoints that left are kept to know their late announcements; a system that replaces them all
-# the day long must not grow by them.
-MAX_LEFT = 4096
-# Endpoints that crash for good never leave; the oldest are forgotten.
+# Endpoints that left are remembered so that their delayed announcements are dropped. The limit
+# keeps the state from growing in a system that replaces its endpoints continuously.
+MAX_DEPARTED = 4096
+# An endpoint that is permanently lost in a crash never announces its departure; the records of the
+# endpoints that joined first are removed.
 MAX_JOINED = 1024
 
 
 @dataclass(frozen=True)
 class Snapshot:
     """
-    The whole state.
-
-    :param left: endpoint, incarnation and state of those that leave or left, oldest first.
-    :param joined: first announcements of the endpoints that did not leave, oldest first.
-    :param fleet_by_service: endpoints that are kept of a service.
+    The complete state.
+
+    :param document: the operator's document of the route table, byte for byte.
+    :param version_by_model: newest weight version that trainers published.
+    :param left: endpoint, incarnation and state of endpoints that are leaving or have left, oldest
+        first.
+    :param joined: first announcements of the endpoints that have not left, oldest first.
+    :param job_group: founding members of the jobs' log; None before its bootstrap.
+    :param retiring: peer addresses of the stores that are being retired.
+    :param fleet_by_service: number of endpoints to keep of a service.
+    :param closed_window: newest usage window whose counts are fixed; -1 for none.
     :param windows: closed usage windows that are not reported yet.
     """
 
@@ -62,13 +69,13 @@
 
 
 class DirectoryState:
-    """The service `state`; only consensus applies to it, others read."""
+    """The service `state`: changed only by committed commands, read by other services."""
 
     name = "state"
 
     def __init__(self) -> None:
-        self._load(Snapshot())
-        self._on_change: list[Callable[[], None]] = []
+        self._load_snapshot(Snapshot())
+        self._change_callbacks: list[Callable[[], None]] = []
         self._apply_by_type: dict[type[Any], Callable[[Any], None]] = {
             PutTable: self._put_table,
             PutVersion: self._put_version,
@@ -82,43 +89,46 @@
         }
 
     async def start(self, kernel: Kernel) -> None:
-        """Nothing to start."""
+        """No-op: the state depends on no other service."""
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: nothing runs in the background."""
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call back after each change."""
-        self._on_change.append(callback)
+        """Register a callback that is called after each change of the state."""
+        self._change_callbacks.append(callback)
 
     @property
     def table_version(self) -> int:
-        """Version of the table in force; -1 before the first."""
+        """Version of the current route table; -1 before the first one."""
         return self.table.version if self.table is not None else -1
 
     def apply(self, index: int, data: bytes) -> bytes:
         """
         Apply one committed command.
 
-        :param index: its log index.
-        :param data: a command, encoded by COMMANDS.
-        :return: nothing; what a command did is read from the state.
+        :param index: log index of the command.
+        :param data: the command, encoded by COMMANDS.
+        :return: always empty; the effect of a command is read from the state.
         """
         command = COMMANDS.decode(data)
         self._apply_by_type[type(command)](command)
-        self._changed()
+        self._notify_changed()
         return b""
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
-        left = tuple((name, born, state) for (name, born), state in self.left.items())
+        """Encode the complete state as a Snapshot."""
+        left = tuple(
+            (name, incarnation, state)
+            for (name, incarnation), state in self.state_by_departed.items()
+        )
         return encode(
             Snapshot(
                 self.table,
                 self.document,
                 self.version_by_model,
                 left,
-                tuple(self.joined_by_id.values()),
+                tuple(self.joined_by_endpoint.values()),
                 self.job_group,
                 self.retiring,
                 self.fleet_by_service,
@@ -128,20 +138,22 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Take the state over from a snapshot."""
-        self._load(decode(data, Snapshot))
-        self._changed()
+        """Replace the state by that of an encoded Snapshot."""
+        self._load_snapshot(decode(data, Snapshot))
+        self._notify_changed()
 
-    def _changed(self) -> None:
-        for callback in self._on_change:
+    def _notify_changed(self) -> None:
+        for callback in self._change_callbacks:
             callback()
 
-    def _load(self, snapshot: Snapshot) -> None:
+    def _load_snapshot(self, snapshot: Snapshot) -> None:
         self.table = snapshot.table
         self.document = snapshot.document
         self.version_by_model = dict(snapshot.version_by_model)
-        self.left = {(name, born): state for name, born, state in snapshot.left}
-        self.joined_by_id = {record.endpoint: record for record in snapshot.joined}
+        self.state_by_departed = {
+            (name, incarnation): state for name, incarnation, state in snapshot.left
+        }
+        self.joined_by_endpoint = {record.endpoint: record for record in snapshot.joined}
         self.job_group = snapshot.job_group
         self.retiring = snapshot.retiring
         self.fleet_by_service = dict(snapshot.fleet_by_service)
@@ -149,8 +161,8 @@
         self.window_by_number = {window.window: window for window in snapshot.windows}
 
     def _put_table(self, command: PutTable) -> None:
-        # Equal versions change nothing either: other content under the version that is held must
-        # neither come into force nor be read back.
+        # A command with the current version is ignored too: another table under the same version
+        # must neither be applied nor be read back.
         if command.table.version <= self.table_version:
             return
         self.table = command.table
@@ -162,24 +174,24 @@
 
     def _endpoint_joins(self, command: EndpointJoins) -> None:
         record = command.record
-        if (record.endpoint, record.incarnation) in self.left:
+        if (record.endpoint, record.incarnation) in self.state_by_departed:
             return
-        known = self.joined_by_id.pop(record.endpoint, record)
-        newest = max(known, record, key=lambda one: one.incarnation)
-        self.joined_by_id[record.endpoint] = newest
-        while len(self.joined_by_id) > MAX_JOINED:
-            del self.joined_by_id[next(iter(self.joined_by_id))]
+        known = self.joined_by_endpoint.pop(record.endpoint, record)
+        newest = max(known, record, key=lambda candidate: candidate.incarnation)
+        self.joined_by_endpoint[record.endpoint] = newest
+        while len(self.joined_by_endpoint) > MAX_JOINED:
+            del self.joined_by_endpoint[next(iter(self.joined_by_endpoint))]
 
     def _endpoint_leaves(self, command: EndpointLeaves) -> None:
         key = (command.endpoint, command.incarnation)
-        joined = self.joined_by_id.get(command.endpoint)
+        joined = self.joined_by_endpoint.get(command.endpoint)
         if joined is not None and joined.incarnation <= command.incarnation:
-            del self.joined_by_id[command.endpoint]
-        if self.left.get(key) == "gone":
+            del self.joined_by_endpoint[command.endpoint]
+        if self.state_by_departed.get(key) == "gone":
             return
-        self.left[key] = command.state
-        while len(self.left) > MAX_LEFT:
-            del self.left[next(iter(self.left))]
+        self.state_by_departed[key] = command.state
+        while len(self.state_by_departed) > MAX_DEPARTED:
+            del self.state_by_departed[next(iter(self.state_by_departed))]
 
     def _found_jobs(self, command: FoundJobs) -> None:
         if self.job_group is None:
@@ -193,8 +205,8 @@
         self.fleet_by_service.setdefault(command.service, command.count)
 
     def _close_window(self, command: CloseWindow) -> None:
-        # The first close of a window fixes it: a leader that was deposed in between may have
-        # reported it with those figures.
+        # Only the first command that closes a window counts: its counts may already have been
+        # reported by a leader that was deposed before this command.
         if command.window <= self.closed_window:
             return
         self.closed_window = command.window
--- a/packages/ibisspring-directory/src/ibisspring_directory/status.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/status.py
@@ -1,4 +1,4 @@
-"""The service `directory_status`: tells operators what the directory's leader knows."""
+"""The service `directory_status`: reports the state of the directory's leader to operators."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings.vm import VmSettings
 
-LOADS = "loads of weights"
+WEIGHT_LOADS = "loads of weights"
 FLEET = "fleet"
-USAGE = "usage reports"
+USAGE_REPORTS = "usage reports"
 
 
 class StatusService:
-    """Answers on the leader."""
+    """Answers status requests where this daemon is the leader."""
 
     name = "directory_status"
 
@@ -42,67 +42,69 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Register what is answered here."""
+        """Register the handler of status requests."""
         self._directory = kernel.find("directory")
         self._duties = kernel.find("duties")
         self._consensus = kernel.find("consensus")
         kernel.find("peer_server").answer(ReadDirectoryStatus, self.read)
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: nothing runs in the background."""
 
     async def read(self, message: ReadDirectoryStatus) -> Any:
-        """Tell how things are, on the leader."""
+        """Build the directory's status; NotLeader where this daemon is not the leader."""
         directory = self._directory
-        if not directory.leads():
+        if not directory.holds_lease():
             return directory.not_leader()
         now = boot_now()
         state = directory.state
         voters = self._consensus.core.members.voters
-        heard = directory.endpoints.table.heard()
+        received = directory.endpoints.table.heard()
         return DirectoryStatus(
             leader=self._settings.daemon,
             term=self._consensus.term,
             voters=tuple(voter.daemon for voter in voters),
             table_version=state.table_version,
             daemons=self._daemons(now),
-            endpoints=tuple(one.record for one in heard if one.record.state != GONE),
+            endpoints=tuple(known.record for known in received if known.record.state != GONE),
             loading=tuple(sorted(directory.endpoints.loading)),
             version_by_model=dict(state.version_by_model),
-            duties=self._held(),
+            duties=self._duty_statuses(),
             closed_window=state.closed_window,
         )
 
     def _daemons(self, now: float) -> tuple[DaemonStatus, ...]:
-        found = []
+        statuses = []
         for role in (CONTROL, ENTRY, STORE):
-            for session in self._directory.sessions.in_touch(now, role):
+            for session in self._directory.sessions.active(now, role):
                 renew = session.renew
-                found.append(
+                statuses.append(
                     DaemonStatus(
                         renew.daemon,
                         renew.role,
                         renew.data_centre,
                         renew.address,
                         renew.table_version,
-                        round(now - session.heard_at, 3),
+                        round(now - session.received_at, 3),
                         renew.leads_jobs,
                     )
                 )
-        return tuple(sorted(found, key=lambda one: (one.role, one.daemon)))
+        return tuple(sorted(statuses, key=lambda status: (status.role, status.daemon)))
 
-    def _held(self) -> tuple[DutyStatus, ...]:
+    def _duty_statuses(self) -> tuple[DutyStatus, ...]:
         settings = self._settings
-        names = [LOADS]
+        names = [WEIGHT_LOADS]
         if settings.scales:
             names.append(FLEET)
         if settings.usage_window_s:
-            names.append(USAGE)
-        in_charge = self._duties.in_charge()
+            names.append(USAGE_REPORTS)
+        may_order = self._duties.may_order()
         duty = self._duties.duty()
-        waits_s = self._duties.waits_s()
-        holder = settings.daemon if in_charge else ""
-        return tuple(DutyStatus(name, holder, duty.fencing, round(waits_s, 3)) for name in names)
+        wait_left_s = self._duties.wait_left_s()
+        holder = settings.daemon if may_order else ""
+        return tuple(
+            DutyStatus(name, holder, duty.fencing, round(wait_left_s, 3)) for name in names
+        )
 
 
-__all__ = ["FLEET", "LOADS", "USAGE", "StatusService"]
+__all__ = ["FLEET", "USAGE_REPORTS", "WEIGHT_LOADS", "StatusService"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/usage.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/usage.py
@@ -1,4 +1,4 @@
-"""Requests by usage window, as the entries counted them."""
+"""Request counts by usage window, as reported by the entries."""
 
 from __future__ import annotations
 
@@ -9,35 +9,38 @@
 
 
 class WindowCounts:
-    """Newest counts by window, entry start and client account."""
+    """Newest request counts by window, entry incarnation and client account."""
 
     def __init__(self) -> None:
         self._count_by_key: dict[tuple[int, str, str], int] = {}
 
     def clear(self) -> None:
-        """Forget all; entries send again what is not confirmed."""
+        """
+        Remove all counts; the entries resend those of windows that are not confirmed as closed.
+        """
         self._count_by_key.clear()
 
-    def take(self, told: Renew | CountUsage, closed_window: int) -> None:
+    def merge(self, message: Renew | CountUsage, closed_window: int) -> None:
         """
-        Take in an entry's counts; each takes the place of its earlier ones.
+        Merge an entry's counts; each replaces an earlier count of the same window and client
+        account.
 
-        Counts of one start only rise. A smaller one was sent earlier and came late.
+        Counts of one incarnation only rise, so a smaller count is an older one that was delayed.
 
-        :param closed_window: newest window whose figures are fixed.
+        :param closed_window: newest window whose counts are fixed.
         """
-        start = f"{told.address}/{told.incarnation}"
-        for one in told.usage:
-            if one.window <= closed_window:
+        incarnation = f"{message.address}/{message.incarnation}"
+        for usage in message.usage:
+            if usage.window <= closed_window:
                 continue
-            key = (one.window, start, one.client_account)
-            self._count_by_key[key] = max(one.count, self._count_by_key.get(key, 0))
+            key = (usage.window, incarnation, usage.client_account)
+            self._count_by_key[key] = max(usage.count, self._count_by_key.get(key, 0))
 
     def close(self, window: int) -> tuple[tuple[str, int], ...]:
         """
-        Add up a window; what came late for earlier ones is dropped.
+        Remove and add up the counts of a window; counts of earlier windows are discarded as late.
 
-        :return: pairs of client account and requests, sorted.
+        :return: pairs of client account and number of requests, sorted.
         """
         total_by_account: dict[str, int] = {}
         for key in [key for key in self._count_by_key if key[0] <= window]:
--- a/packages/ibisspring-directory/src/ibisspring_directory/usage_reports.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/usage_reports.py
@@ -1,4 +1,7 @@
-"""The service `usage_reports`: closes usage windows and reports each with one set of figures."""
+"""
+The service `usage_reports`: closes usage windows and reports each window with a single set of
+counts.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +19,17 @@
     from ibisspring_core.settings.vm import VmSettings
 
 TICK_S = 0.25
-# Entries send their counts with renewals, twice a second; the rest of the time until a report is
-# due is left for a change of leader and for a platform that is slow or down.
+# Entries send their counts with renewals, twice a second. The remaining time until a report is due
+# allows for a change of leader and for a platform that is slow or unavailable.
 CLOSE_AFTER_S = 2.5
 REPORT_TIMEOUT_S = 4.0
-# After a long outage the newest windows are still of use; each missing one would cost a call.
-MAX_BACKLOG = 12
+# After a long outage only the newest windows are closed and reported: they are still of use, while
+# each further missing window would cost a call to the platform.
+MAX_BACKLOG_WINDOWS = 12
 
 
 class UsageReports:
-    """One window after the other, in order."""
+    """Reports the windows one at a time, in order."""
 
     name = "usage_reports"
 
@@ -43,19 +47,19 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to look at the clock."""
+        """Start the periodic check for windows that are due."""
         self._directory = kernel.find("directory")
         self._duties = kernel.find("duties")
         self._outside = kernel.find("outside")
         self._counters = kernel.find("counters")
-        self._ticks = kernel.find("timer").subscribe("usage_reports", TICK_S, self._tick)
+        self._tick_timer = kernel.find("timer").subscribe("usage_reports", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """End the ticks."""
-        self._ticks.cancel()
+        """Cancel the periodic check."""
+        self._tick_timer.cancel()
 
     async def _tick(self, now: float) -> None:
-        if not self._window_s or not self._duties.in_charge():
+        if not self._window_s or not self._duties.may_order():
             return
         await self._close_due()
         for window in list(self._directory.state.window_by_number.values()):
@@ -64,17 +68,17 @@
 
     async def _close_due(self) -> None:
         """
-        Fix the figures of the windows that ended.
+        Fix the counts of the windows that have ended.
 
-        They are committed before they are reported: a leader that takes over reports the same
-        figures again, never others for the same window.
+        The counts are committed before they are reported: a leader that takes over reports the same
+        counts again, and never different ones for the same window.
         """
         directory = self._directory
-        newest = math.floor((directory.wall_s() - CLOSE_AFTER_S) / self._window_s) - 1
+        newest = math.floor((directory.agreed_wall_s() - CLOSE_AFTER_S) / self._window_s) - 1
         closed = directory.state.closed_window
-        first = newest if closed < 0 else max(closed + 1, newest - MAX_BACKLOG)
+        first = newest if closed < 0 else max(closed + 1, newest - MAX_BACKLOG_WINDOWS)
         for window in range(first, newest + 1):
-            command = CloseWindow(window, directory.counts.close(window))
+            command = CloseWindow(window, directory.usage_counts.close(window))
             if isinstance(await directory.propose(command), Refusal):
                 return
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/version_lags.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/version_lags.py
@@ -1,4 +1,4 @@
-"""How many weight versions an engine may be behind, learnt from the jobs that come."""
+"""Number of weight versions that an engine may be behind, derived from the submitted jobs."""
 
 from __future__ import annotations
 
@@ -11,32 +11,38 @@
 
 
 class VersionLags:
-    """Allowed lag by model under one leader; 0 until its first job was heard of."""
+    """
+    Allowed lag by model during one leader's term; unset, which callers read as 0, until the first
+    job of the model is reported.
+    """
 
     def __init__(self) -> None:
         self.lag_by_model: dict[str, int] = {}
         self._allowed_by_model: dict[str, int] = {}
 
     def clear(self) -> None:
-        """Forget all, when this daemon becomes the leader."""
+        """Remove all lags, when this daemon becomes the leader."""
         self.lag_by_model.clear()
         self._allowed_by_model.clear()
 
-    def take(self, allowed: tuple[tuple[str, int], ...], named: Mapping[str, int]) -> None:
+    def update(
+        self, allowed: tuple[tuple[str, int], ...], newest_by_model: Mapping[str, int]
+    ) -> None:
         """
-        Take in what the jobs' leader says.
+        Update the lags from a renewal of the jobs' leader.
 
-        A model's lag is only looked at when its newest job changes: between the naming of the next
-        version and the job that asks for it, an engine would seem to be allowed one version more.
+        A model's lag is recomputed only when the oldest version that its newest job allows changes.
+        Between the publication of the next version and the submission of the job that needs it, the
+        computed lag would be one version too large.
 
-        :param allowed: pairs of model and the oldest version that its newest job takes.
-        :param named: newest version by model.
+        :param allowed: pairs of model and the oldest version that its newest job allows.
+        :param newest_by_model: newest version that trainers published.
         """
         for model, oldest in allowed:
             if self._allowed_by_model.get(model) == oldest:
                 continue
             self._allowed_by_model[model] = oldest
-            self.lag_by_model[model] = allowed_lag(named.get(model, 0), oldest)
+            self.lag_by_model[model] = allowed_lag(newest_by_model.get(model, 0), oldest)
 
 
 __all__ = ["VersionLags"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/views.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/views.py
@@ -1,4 +1,4 @@
-"""The view that daemons hold, its revision, and the renewals that wait for the next one."""
+"""The revision of a view and the renewals that wait for its next increment."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 
 class Revision:
-    """A number that rises with each change of the view; renewals wait on it."""
+    """Counter that rises with each change of a view."""
 
     def __init__(self, first: int = 1) -> None:
         self.number = first
-        self._changed = asyncio.Event()
+        self._incremented = asyncio.Event()
 
-    def rise(self) -> None:
-        """Something in the view changed; all that wait look again."""
+    def increment(self) -> None:
+        """Increment the revision and wake all waiting calls, which check their condition again."""
         self.number += 1
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._incremented.set()
+        self._incremented = asyncio.Event()
 
     async def wait(self, hold_s: float, condition: Callable[[], bool]) -> bool:
         """
-        Wait until a condition holds, looking after each change.
+        Wait until a condition holds, checking it after each increment.
 
-        :param hold_s: longest wait.
-        :return: whether it holds.
+        :param hold_s: longest wait in seconds.
+        :return: whether the condition holds.
         """
         end_s = boot_now() + hold_s
         while not condition():
             left_s = end_s - boot_now()
             if left_s <= 0:
                 return False
-            changed = self._changed
+            incremented = self._incremented
             try:
                 async with asyncio.timeout(left_s):
-                    await changed.wait()
+                    await incremented.wait()
             except TimeoutError:
                 return condition()
         return True
--- a/tests/unit/directory/test_duties.py
+++ b/tests/unit/directory/test_duties.py
@@ -1,4 +1,4 @@
-"""Who may order from the outside, and from when on."""
+"""Which daemon may send orders to external systems, and from which moment."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
 
 
 class _Directory:
-    """Stand-in for the directory of a daemon that began to lead at second 100."""
+    """Stand-in for the directory of a daemon that became the leader at second 100."""
 
     name = "directory"
     led_since = 100.0
 
     def __init__(self) -> None:
-        self.leading = True
+        self.has_lease = True
 
     async def start(self, kernel) -> None: ...
 
     async def stop(self) -> None: ...
 
-    def leads(self) -> bool:
-        return self.leading
+    def holds_lease(self) -> bool:
+        return self.has_lease
 
 
-class _World:
+class _Leader:
     def __init__(self) -> None:
         self.now = 100.0
         self.directory = _Directory()
@@ -55,83 +55,85 @@
 
 
 @pytest.fixture
-async def world(monkeypatch):
-    world = _World()
-    monkeypatch.setattr(duties_module, "boot_now", lambda: world.now)
-    kernel = Kernel.from_services((world.consensus, world.directory, world.duties))
+async def leader(monkeypatch):
+    leader = _Leader()
+    monkeypatch.setattr(duties_module, "boot_now", lambda: leader.now)
+    kernel = Kernel.from_services((leader.consensus, leader.directory, leader.duties))
     await kernel.start()
-    return world
+    return leader
 
 
-async def test_a_new_leader_orders_nothing_until_its_predecessors_orders_are_over(world):
+async def test_a_new_leader_orders_nothing_until_its_predecessors_orders_are_over(leader):
     """
-    A leader is frozen with an order on its way; another takes over and orders at once.
+    A leader is frozen while its order is in transit; another takes over and orders at once.
 
-    The receiver sees the orders of two holders in turns: the first one's was held up and arrives
-    after the second one's.
+    The receiver would see the orders of two holders alternate: the delayed order of the first
+    holder arrives after that of the second.
     """
-    world.now = 100.0 + WAIT_SHARE_OF_GAP * GAP_S - 0.01
+    leader.now = 100.0 + WAIT_SHARE_OF_GAP * GAP_S - 0.01
 
-    assert not world.duties.in_charge()
-    answer = await world.duties.send(ORDER, 0.1)
+    assert not leader.duties.may_order()
+    answer = await leader.duties.send(ORDER, 0.1)
     assert isinstance(answer, NoAnswer)
     assert not answer.sent
 
-    world.now = 100.0 + WAIT_SHARE_OF_GAP * GAP_S
+    leader.now = 100.0 + WAIT_SHARE_OF_GAP * GAP_S
 
-    assert world.duties.in_charge()
+    assert leader.duties.may_order()
 
 
-async def test_holders_that_change_as_fast_as_they_can_take_no_turns_inside_the_gap(world) -> None:
+async def test_holders_that_change_as_fast_as_they_can_take_no_turns_inside_the_gap(leader) -> None:
     """
-    A leader orders, is lost, its successor orders and is lost at once, and the first leads again.
+    A leader orders and is lost, its successor orders and is lost at once, and the first leads
+    again.
 
-    A receiver that sees the first one's order, the other's and the first one's again inside the
-    gap takes it that both believe to be in charge.
+    A receiver that sees an order of the first holder, one of the second and again one of the first
+    within the gap concludes that both consider themselves the holder.
     """
     ordered = []
-    world.now = 100.0
+    leader.now = 100.0
     for _ in range(3):
-        # Its predecessor's lease was over when it was elected: the order before is in the past.
-        world.directory.led_since = world.now
-        while not world.duties.in_charge():
-            world.now += 0.01
-        ordered.append(world.now)
+        # The previous leader's lease had ended at the election, so its order was sent before that.
+        leader.directory.led_since = leader.now
+        while not leader.duties.may_order():
+            leader.now += 0.01
+        ordered.append(leader.now)
 
     assert ordered[2] - ordered[0] >= GAP_S - 0.001
 
 
-async def test_a_daemon_that_leads_no_more_orders_nothing(world) -> None:
-    world.now = 200.0
-    world.directory.leading = False
+async def test_a_deposed_leader_sends_no_order(leader) -> None:
+    leader.now = 200.0
+    leader.directory.has_lease = False
 
-    assert not world.duties.in_charge()
-    answer = await world.duties.send(ORDER, 0.1)
+    assert not leader.duties.may_order()
+    answer = await leader.duties.send(ORDER, 0.1)
     assert isinstance(answer, NoAnswer)
     assert not answer.sent
 
 
-async def test_the_number_of_a_holder_is_its_term(world) -> None:
-    assert world.duties.duty() == Duty("core-1", 7)
+async def test_the_fencing_number_is_the_term(leader) -> None:
+    assert leader.duties.duty() == Duty("core-1", 7)
 
 
-async def test_an_order_does_not_go_out_under_a_later_term(world, monkeypatch) -> None:
+async def test_an_order_does_not_go_out_under_a_later_term(leader, monkeypatch) -> None:
     """
-    A leader is deposed and elected again while an order waits: it would bear the old number.
+    A leader is deposed and elected again while an order waits; the order carries the old fencing
+    number.
 
-    Its number is then below that of the leader between, which the receiver may have seen.
+    That number is lower than that of the leader in between, which the receiver may have seen.
     """
-    world.now = 200.0
-    asked = []
+    leader.now = 200.0
+    lease_left = []
 
     async def send(request, lease_left_s, least_left_s, timeout_s):
-        asked.append(lease_left_s())
-        world.consensus.term = 9
-        asked.append(lease_left_s())
+        lease_left.append(lease_left_s())
+        leader.consensus.term = 9
+        lease_left.append(lease_left_s())
         return NoAnswer(False, "the lease lapsed")
 
     monkeypatch.setattr(duties_module, "send_guarded", send)
 
-    await world.duties.send(ORDER, 0.1)
+    await leader.duties.send(ORDER, 0.1)
 
-    assert asked == [LEASE_S, 0.0]
+    assert lease_left == [LEASE_S, 0.0]
--- a/tests/unit/directory/test_version_lags.py
+++ b/tests/unit/directory/test_version_lags.py
@@ -3,41 +3,41 @@
 from ibisspring_directory.version_lags import VersionLags
 
 
-def test_the_lag_is_learnt_when_a_job_comes() -> None:
+def test_the_first_job_of_a_model_sets_its_lag() -> None:
     lags = VersionLags()
 
-    lags.take((("m", 6),), {"m": 7})
+    lags.update((("m", 6),), {"m": 7})
 
     assert lags.lag_by_model == {"m": 1}
 
 
-def test_a_version_that_is_named_before_its_job_comes_allows_no_more() -> None:
+def test_a_version_published_before_its_job_does_not_raise_the_lag() -> None:
     """
-    Version 8 is named; for a moment the newest job is still the one that takes version 6.
+    Version 8 is published while the newest job is still the one that allows version 6.
 
-    Read then, engines would seem to be allowed two versions of lag, and would not be made ready
-    for the job that is about to come.
+    A lag computed at that moment would allow engines to be two versions behind, and no engine would
+    load version 8 before the job that needs it.
     """
     lags = VersionLags()
-    lags.take((("m", 6),), {"m": 7})
+    lags.update((("m", 6),), {"m": 7})
 
-    lags.take((("m", 6),), {"m": 8})
+    lags.update((("m", 6),), {"m": 8})
 
     assert lags.lag_by_model == {"m": 1}
 
 
-def test_a_job_that_takes_only_the_newest_is_believed_at_once() -> None:
+def test_a_job_that_allows_only_the_newest_version_sets_the_lag_to_zero() -> None:
     lags = VersionLags()
-    lags.take((("m", 6),), {"m": 7})
+    lags.update((("m", 6),), {"m": 7})
 
-    lags.take((("m", 8),), {"m": 8})
+    lags.update((("m", 8),), {"m": 8})
 
     assert lags.lag_by_model == {"m": 0}
 
 
-def test_a_new_leader_knows_no_lag() -> None:
+def test_clear_removes_all_lags() -> None:
     lags = VersionLags()
-    lags.take((("m", 6),), {"m": 7})
+    lags.update((("m", 6),), {"m": 7})
 
     lags.clear()
 
