--- a/packages/ibisspring-jobs/src/ibisspring_jobs/commands.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the jobs' log."""
+"""The commands that are replicated in the consensus log of the jobs."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True)
 class AcceptJob:
-    """Keep a job; a second one under its id changes nothing."""
+    """Add a job; a second command with the same job id has no effect."""
 
     job: Job
 
 
 @dataclass(frozen=True)
 class RecordResults:
-    """List results, each item once, in this order."""
+    """Append results to the job's list in this order; an item that is listed already is skipped."""
 
     job: str
     results: tuple[ItemResult, ...]
@@ -26,9 +26,10 @@
 @dataclass(frozen=True)
 class RecordKept:
     """
-    List results whose texts are kept whole already; they come without their output.
+    Append results whose complete text is already in the log as parts.
 
-    A text then travels to the other stores once, and not as its parts and once more as its result.
+    The results come without their `output`, which each store joins from the parts. Without this,
+    each text would be replicated twice: once as its parts and once in its result.
     """
 
     job: str
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True)
 class KeepTexts:
-    """Keep what was made of items that have not ended."""
+    """Store parts of the texts of items that are not listed yet."""
 
     job: str
     parts: tuple[TextPart, ...]
@@ -45,14 +46,14 @@
 
 @dataclass(frozen=True)
 class CloseJob:
-    """Nothing of the job is to run any more."""
+    """End a job: its items that are not listed are dropped and no longer run."""
 
     job: str
 
 
 @dataclass(frozen=True)
 class ForgetJobs:
-    """Drop jobs that nobody may ask for any more."""
+    """Remove jobs whose results are past their retention time."""
 
     jobs: tuple[str, ...]
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
@@ -1,4 +1,9 @@
-"""Hands the items of all open jobs to runners; it has no network, and `now` is always given."""
+"""
+Assigns the items of all open jobs to engines and runners, on the leader of the jobs' log.
+
+The module does no I/O and reads no clock: every method that depends on the time takes it as `now`,
+in seconds since boot.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +16,8 @@
 from ibisspring_decisions.dispatch import place
 from ibisspring_decisions.stragglers import LEAST_LEFT, MovableRun, choose_moves
 from ibisspring_jobs.engines import Engines
-from ibisspring_jobs.items import Items, Key, memory_of
-from ibisspring_jobs.progress import ItemProgress, abandoned
+from ibisspring_jobs.items import ItemKey, Items, memory_tokens_of
+from ibisspring_jobs.progress import ItemProgress, abandoned_result
 from ibisspring_jobs.runners import Runners
 from ibisspring_jobs.runs import Run
 from ibisspring_jobs.surroundings import Surroundings
@@ -21,41 +26,51 @@
     from ibisspring_core.messages.endpoints import EndpointRecord
     from ibisspring_core.messages.jobs import TakeWork
     from ibisspring_jobs.runners import Runner
-    from ibisspring_jobs.state import JobsState, KeptJob
+    from ibisspring_jobs.state import JobRecord, JobsState
 
-# A failed item waits, so that an engine that fails all it gets does not use up its attempts.
-FAILED_PAUSE_S = 0.2
-# Only this long after its terms allow it an item is given up, so that no clock that is a little
-# ahead does so too early.
+# Seconds until an item may run again after a failed run. Without this delay, an engine that fails
+# every request at once would use up the item's attempts.
+FAILED_RETRY_DELAY_S = 0.2
+# An item is abandoned only this many seconds after the time limit of its job, because a clock that
+# is slightly ahead would otherwise abandon it too early.
 GIVE_UP_SLACK_S = 1.0
-# A run that has just begun tells nothing of its engine, and one that moved stays where it is.
-SETTLED_S = 0.4
-# Tokens of an event on the engines of today, for a guess of what a run has left.
+# A run may move to another engine only after this many seconds: the first events of a run show
+# nothing about the speed of its engine, and an item that has just moved is not moved again.
+MIN_RUN_BEFORE_MOVE_S = 0.4
+# Tokens per stream event of current engines, to estimate the events that a run still has to
+# produce.
 TOKENS_PER_EVENT = 60
 
 
 class Dispatcher:
-    """The runs under one epoch."""
+    """
+    The runs under one epoch; a new leader of the jobs' log starts a new epoch.
+
+    :param run_by_number: runs in progress by the number of their assignment.
+    """
 
-    def __init__(self, state: JobsState, around: Surroundings, epoch: int) -> None:
+    def __init__(self, state: JobsState, context: Surroundings, epoch: int) -> None:
         self.epoch = epoch
         self.runners = Runners()
         self.run_by_number: dict[int, Run] = {}
         self._state = state
-        self._around = around
-        self._numbers = 0
-        self.engines = Engines(around)
+        self._context = context
+        self._last_number = 0
+        self.engines = Engines(context)
         self.items = Items(state)
 
     def take(self, call: TakeWork, now: float) -> Runner:
         """
-        Take in a runner's call for work.
+        Register a runner's call for work, and compare the runs that it reports with those known.
+
+        Runs that the runner does not have are removed, and runs that are unknown here are
+        cancelled.
 
         :return: the runner.
         """
-        runner, lost = self.runners.take(call, now)
+        runner, lost = self.runners.register_call(call, now)
         for number in lost:
-            self._lose(number, "answer lost")
+            self._drop_lost_run(number, "not held by the runner")
         for number in call.running:
             if number not in self.run_by_number:
                 runner.cancelled.append(number)
@@ -63,44 +78,53 @@
         return runner
 
     def move_stragglers(self, now: float) -> None:
-        """Let runs leave engines that are much slower than most, where others have places."""
+        """Move runs from engines that are much slower than the median to others with free slots."""
         slow = self.engines.paces.slow()
         if not slow:
             return
-        busy = [
+        runs_on_slow = [
             run for run in self.run_by_number.values() if run.endpoint in slow and not run.scoring
         ]
-        job_by_id = {run.job: self._state.job_by_id[run.job].job for run in busy}
-        allowed_by_job = {key: self.engines.allowed(job, now) for key, job in job_by_id.items()}
+        job_by_id = {run.job: self._state.job_by_id[run.job].job for run in runs_on_slow}
+        allowed_by_job = {
+            job_id: self.engines.allowed(job, now) for job_id, job in job_by_id.items()
+        }
         for service in {job.service for job in job_by_id.values()}:
             waiting = sum(1 for _ in self.items.waiting(service, self.engines, now))
-            records = self._around.serving(service)
-            rooms = self.engines.rooms(service, records, self.run_by_number.values(), now)
-            free_by_engine = {room.engine: max(0, room.slots) for room in rooms}
+            records = self._context.serving(service)
+            capacities = self.engines.free_capacities(
+                service, records, self.run_by_number.values(), now
+            )
+            free_by_engine = {capacity.engine: max(0, capacity.slots) for capacity in capacities}
             movable = [
                 MovableRun(
                     run.number,
                     run.endpoint,
-                    self._events_left(run),
+                    self._remaining_events(run),
                     allowed_by_job[run.job],
                 )
-                for run in busy
+                for run in runs_on_slow
                 if run.endpoint in free_by_engine
                 and not run.moved
-                and now - run.began_s > SETTLED_S
+                and now - run.started_at > MIN_RUN_BEFORE_MOVE_S
             ]
             for number in choose_moves(movable, slow, free_by_engine, waiting):
-                self._move(self.run_by_number[number])
+                self._request_move(self.run_by_number[number])
 
-    def _events_left(self, run: Run) -> float:
-        """Reckon what a run has to make yet, by the most of its estimate and what it has made."""
+    def _remaining_events(self, run: Run) -> float:
+        """
+        Estimate the events that a run still has to produce.
+
+        :return: the expected total minus the events so far, and at least LEAST_LEFT; 0.0 if the
+            item is listed or its job has ended.
+        """
         item = self.items.item_of(run)
         if item is None:
             return 0.0
-        made = run.resume_after + run.events
-        return max(item.expected_tokens / TOKENS_PER_EVENT - made, LEAST_LEFT)
+        produced = run.resume_after + run.events
+        return max(item.expected_tokens / TOKENS_PER_EVENT - produced, LEAST_LEFT)
 
-    def _move(self, run: Run) -> None:
+    def _request_move(self, run: Run) -> None:
         run.moved = True
         runner = self.runners.runner_by_address.get(run.runner)
         if runner is None:
@@ -111,90 +135,105 @@
 
     def sweep(self, now: float) -> list[tuple[str, ItemResult]]:
         """
-        Take work back from silent runners.
+        Remove the runs of runners that timed out, and find the items past their time limit.
 
-        :return: job and result of the items that are to be given up.
+        :return: job id and abandoned result of each item of a job whose time limit has passed.
         """
-        for runner in self.runners.silent(now):
+        for runner in self.runners.remove_timed_out(now):
             for number in tuple(runner.sequence_by_number):
-                self._lose(number, "runner silent")
-        given_up = []
-        wall_s = self._around.wall_s()
-        for job_id, kept in self._state.job_by_id.items():
-            if kept.ended or wall_s < kept.job.submitted_s + kept.job.give_up_s + GIVE_UP_SLACK_S:
+                self._drop_lost_run(number, "runner timed out")
+        abandoned = []
+        wall_s = self._context.wall_s()
+        for job_id, job_record in self._state.job_by_id.items():
+            if (
+                job_record.ended
+                or wall_s < job_record.job.submitted_s + job_record.job.give_up_s + GIVE_UP_SLACK_S
+            ):
                 continue
-            given_up.extend((job_id, abandoned(item)) for item in kept.item_by_id)
-        return given_up
+            abandoned.extend((job_id, abandoned_result(item)) for item in job_record.item_by_id)
+        return abandoned
 
-    def forget_job(self, job: str) -> None:
-        """Stop the runs of items that are listed or whose job ended."""
-        kept = self._state.job_by_id.get(job)
-        self.items.forget(job)
+    def cancel_finished_runs(self, job: str) -> None:
+        """
+        Cancel the runs of a job's items that are listed, or all of them if the job has ended.
+
+        :param job: id of the job.
+        """
+        job_record = self._state.job_by_id.get(job)
+        self.items.remove_finished(job)
         for run in [run for run in self.run_by_number.values() if run.job == job]:
-            if kept is not None and run.item in kept.item_by_id:
+            if job_record is not None and run.item in job_record.item_by_id:
                 continue
-            self._end(run.number)
+            self._remove_run(run.number)
             runner = self.runners.runner_by_address.get(run.runner)
             if runner is not None:
                 runner.cancelled.append(run.number)
                 runner.wake.set()
 
     def match(self, now: float) -> None:
-        """Place what waits and put it into the outboxes of runners that wait for work."""
-        if not any(one.takes(now) for one in self.runners.runner_by_address.values()):
+        """Assign waiting items to engines and available runners, as far as slots are free."""
+        if not any(runner.is_available(now) for runner in self.runners.runner_by_address.values()):
             return
-        self._match_unscored(now)
+        self._assign_unscored(now)
         for service in self.items.services():
             self._match_service(service, now)
 
-    def _match_unscored(self, now: float) -> None:
+    def _assign_unscored(self, now: float) -> None:
         """
-        Hand out whole texts whose reward call is with no runner.
+        Assign the reward calls of items whose text is complete and that no runner has.
 
-        The runner that reads a text scores it as well. Where that one or the jobs' leader was lost
-        in between, the text must neither be made again nor stay without its score.
+        Normally the runner that received a text also makes its reward call. If that runner or the
+        leader of the jobs' log fails in between, the text must neither be generated again nor
+        remain without a score.
         """
-        for key in self.items.to_be_scored():
-            runner = self.runners.best(key[1], "", now)
+        for key in self.items.awaiting_score():
+            runner = self.runners.choose(key[1], "", now)
             if runner is None:
                 return
             self._assign(key, None, runner, now)
 
     def _match_service(self, service: str, now: float) -> None:
-        record_by_engine = {one.endpoint: one for one in self._around.serving(service)}
+        record_by_engine = {serving.endpoint: serving for serving in self._context.serving(service)}
         records = record_by_engine.values()
         runs = self.run_by_number.values()
-        if not self.engines.any_place(service, records, runs):
+        if not self.engines.any_free_slot(service, records, runs):
             return
-        rooms = self.engines.rooms(service, records, runs, now)
-        for placement in place(self.items.waiting(service, self.engines, now), rooms):
+        capacities = self.engines.free_capacities(service, records, runs, now)
+        for placement in place(self.items.waiting(service, self.engines, now), capacities):
             record = record_by_engine[placement.engine]
-            runner = self._runner_for(record, now)
+            runner = self._choose_runner(record, now)
             if runner is None:
                 return
             self._assign(placement.key, record, runner, now)
 
-    def _runner_for(self, record: EndpointRecord, now: float) -> Runner | None:
+    def _choose_runner(self, record: EndpointRecord, now: float) -> Runner | None:
         def connected(runner: str) -> bool:
-            return self.engines.connected(runner, record.endpoint, now)
+            return self.engines.has_idle_connection(runner, record.endpoint, now)
 
-        return self.runners.best(record.endpoint, record.data_centre, now, connected)
+        return self.runners.choose(record.endpoint, record.data_centre, now, connected)
 
-    def release(self, outcome: Outcome, now: float) -> None:
-        """Note that a run came to its end, and that its connection is idle from now on."""
+    def release_connection(self, outcome: Outcome, now: float) -> None:
+        """Record that a run ended and that its connection is idle, if the engine keeps it open."""
         run = self.run_by_number.get(outcome.number)
         if run is not None:
-            self.engines.released(run, outcome, now)
+            self.engines.connection_released(run, outcome, now)
+
+    def _assign(
+        self, key: ItemKey, record: EndpointRecord | None, runner: Runner, now: float
+    ) -> None:
+        """
+        Assign an item to a runner.
 
-    def _assign(self, key: Key, record: EndpointRecord | None, runner: Runner, now: float) -> None:
-        """Give an item to a runner; without an endpoint its whole text is only to be scored."""
+        :param record: the endpoint; None if the item's text is complete and only its reward call is
+            to be made.
+        """
         job = self._state.job_by_id[key[0]].job
         item = self._state.job_by_id[key[0]].item_by_id[key[1]]
         resume_after = self.items.progress_of(key).events
-        self._numbers += 1
-        left_s = job.submitted_s + job.give_up_s - self._around.wall_s()
+        self._last_number += 1
+        left_s = job.submitted_s + job.give_up_s - self._context.wall_s()
         assignment = Assignment(
-            number=self._numbers,
+            number=self._last_number,
             job=job.job,
             item=item,
             client_account=job.client_account,
@@ -209,59 +248,62 @@
             max_attempts=job.max_attempts,
         )
         run = Run(
-            self._numbers,
+            self._last_number,
             *key,
             runner.address,
             assignment.endpoint,
-            memory_of(item),
+            memory_tokens_of(item),
             now,
             resume_after,
             scoring=record is None,
         )
         self.run_by_number[run.number] = run
-        self.items.begins(key, run.number)
+        self.items.run_started(key, run.number)
         if record is not None:
             group = (job.job, item.group)
-            self.engines.begins(runner.address, record.endpoint, group, now)
-        runner.give(assignment)
+            self.engines.run_started(runner.address, record.endpoint, group, now)
+        runner.assign(assignment)
 
-    def apart(self, outcome: Outcome) -> tuple[Outcome, ...]:
+    def split_outcome(self, outcome: Outcome) -> tuple[Outcome, ...]:
         """
-        Take the end of a run apart from the text that it made, where the text's beginning is kept.
+        Split a completed run's outcome if earlier parts of its text are in the log.
+
+        A result that contains the complete text would replicate these parts a second time.
 
-        Listed in one piece, the text would go to all replicas of the log a second time.
+        :return: the last text part and the outcome without text; otherwise the unchanged outcome.
         """
         run = self.run_by_number.get(outcome.number)
-        kept = self._state.job_by_id.get(run.job) if run is not None else None
-        if outcome.kind != "done" or not outcome.events or kept is None:
+        job_record = self._state.job_by_id.get(run.job) if run is not None else None
+        if outcome.kind != "done" or not outcome.events or job_record is None:
             return (outcome,)
         if (
-            run.item not in kept.item_by_id
+            run.item not in job_record.item_by_id
             or not self.items.progress_of((run.job, run.item)).events
         ):
             return (outcome,)
-        last = replace(outcome, kind=PART, whole=True)
+        last_part = replace(outcome, kind=PART, whole=True)
         after = outcome.after + outcome.events
-        return last, replace(outcome, output="", events=0, versions=(), after=after)
+        return last_part, replace(outcome, output="", events=0, versions=(), after=after)
 
-    def take_part(self, outcome: Outcome) -> tuple[str, TextPart] | None:
+    def accept_part(self, outcome: Outcome) -> tuple[str, TextPart] | None:
         """
-        Take in what a run made.
+        Add the text that a run produced to the progress of its item.
 
-        A run that ended early hands on what it made as one does that goes on: kept only in memory,
-        the text of the item's next run would not follow on what the log has, and a new leader
-        would begin at the gap.
+        The text of a run that ended early is committed in the same way as that of a run in
+        progress. If it were kept only in memory, the log would lack the text before the item's next
+        run, and a new leader would resume the item at that gap.
 
-        :return: job and part, to be kept; None where it does not follow on what is known.
+        :return: job id and the part to be committed to the log; None if the text does not continue
+            the known text, or if the job does not accept its weight versions.
         """
         run = self.run_by_number.get(outcome.number)
-        kept = self._state.job_by_id.get(run.job) if run is not None else None
-        if kept is None or run.item not in kept.item_by_id:
+        job_record = self._state.job_by_id.get(run.job) if run is not None else None
+        if job_record is None or run.item not in job_record.item_by_id:
             return None
         progress = self.items.progress_of((run.job, run.item))
         if progress.events != run.resume_after + outcome.after:
             return None
-        if progress.whole and not outcome.events:
+        if progress.complete and not outcome.events:
             return None
         part = TextPart(
             run.item,
@@ -272,55 +314,58 @@
             outcome.whole,
         )
         progress.add(part)
-        run.scoring = progress.whole
-        if not progress.fits(kept.job):
-            # The run goes on in vain; its end begins the item anew.
+        run.scoring = progress.complete
+        if not progress.versions_allowed(job_record.job):
+            # The run continues, but its text is discarded when it ends; the item then runs again
+            # from the beginning.
             return None
         return run.job, part
 
     def report(self, outcome: Outcome, now: float) -> tuple[str, ItemResult] | None:
         """
-        Take in how a run ended.
+        Process the outcome of a run that ended.
 
-        An item that ended does not begin again while its result is being committed.
+        An item with a result is not assigned again while the result is being committed.
 
-        :return: job and result, where the item has ended with it.
+        :return: job id and result if the item is completed or abandoned; None if it runs again or
+            the outcome does not count.
         """
-        ended = self._take_outcome(outcome, now)
+        ended = self._apply_outcome(outcome, now)
         if ended is not None:
-            self.items.ending.add((ended[0], ended[1].item))
+            self.items.committing.add((ended[0], ended[1].item))
         return ended
 
-    def _take_outcome(self, outcome: Outcome, now: float) -> tuple[str, ItemResult] | None:
+    def _apply_outcome(self, outcome: Outcome, now: float) -> tuple[str, ItemResult] | None:
         run = self.run_by_number.get(outcome.number)
         if run is None:
             return None
-        self._end(outcome.number)
-        kept = self._state.job_by_id.get(run.job)
-        if kept is None or run.item not in kept.item_by_id:
+        self._remove_run(outcome.number)
+        job_record = self._state.job_by_id.get(run.job)
+        if job_record is None or run.item not in job_record.item_by_id:
             return None
         key = (run.job, run.item)
         progress = self.items.progress_of(key)
         if progress.events == run.resume_after + outcome.after:
             progress.add(outcome)
         elif outcome.kind == "done":
-            # Another run went on from elsewhere meanwhile: this one's text does not join.
+            # Another run of the item has changed its text meanwhile, so the text of this run does
+            # not continue it.
             return None
-        if not progress.fits(kept.job):
+        if not progress.versions_allowed(job_record.job):
             eliot.log_message("dispatch:versions", item=run.item, versions=progress.versions)
-            progress.begin_anew()
+            progress.reset()
             return None
         if outcome.kind == "done":
-            if kept.item_by_id[run.item].reward is not None and not outcome.score:
-                # A text without its score is no result: only the reward call is begun anew.
-                progress.whole = True
+            if job_record.item_by_id[run.item].reward is not None and not outcome.score:
+                # The item needs a score, so this is no result; only its reward call is repeated.
+                progress.complete = True
                 self.items.unscored.add(key)
                 return None
-            return run.job, progress.completed(run.item, outcome.score)
-        return self._failed(run, outcome, kept, progress, now)
+            return run.job, progress.completed_result(run.item, outcome.score)
+        return self._handle_failure(run, outcome, job_record, progress, now)
 
-    def _failed(
-        self, run: Run, outcome: Outcome, kept: KeptJob, progress: ItemProgress, now: float
+    def _handle_failure(
+        self, run: Run, outcome: Outcome, job_record: JobRecord, progress: ItemProgress, now: float
     ) -> tuple[str, ItemResult] | None:
         eliot.log_message(
             "dispatch:run_failed",
@@ -328,31 +373,31 @@
             kind=outcome.kind,
             endpoint=run.endpoint,
             events=progress.events,
-            whole=progress.whole,
+            whole=progress.complete,
         )
         if outcome.kind in ("impossible", "unscored"):
-            return run.job, abandoned(run.item)
+            return run.job, abandoned_result(run.item)
         if run.moved or run.scoring:
             return None
-        self.engines.rest(run.endpoint, kept.job.model, outcome.kind, now)
+        self.engines.pause(run.endpoint, job_record.job.model, outcome.kind, now)
         if outcome.kind == "failed":
             progress.failures += 1
-            progress.not_before_s = now + FAILED_PAUSE_S
-            if progress.failures >= kept.job.max_attempts:
-                return run.job, abandoned(run.item)
+            progress.not_before_s = now + FAILED_RETRY_DELAY_S
+            if progress.failures >= job_record.job.max_attempts:
+                return run.job, abandoned_result(run.item)
         return None
 
-    def _lose(self, number: int, cause: str) -> None:
+    def _drop_lost_run(self, number: int, cause: str) -> None:
         run = self.run_by_number.get(number)
         if run is not None:
             eliot.log_message("dispatch:lost", item=run.item, runner=run.runner, cause=cause)
-        self._end(number)
+        self._remove_run(number)
 
-    def _end(self, number: int) -> None:
+    def _remove_run(self, number: int) -> None:
         run = self.run_by_number.pop(number, None)
         if run is None:
             return
-        self.items.ends((run.job, run.item), number)
+        self.items.run_ended((run.job, run.item), number)
         runner = self.runners.runner_by_address.get(run.runner)
         if runner is not None:
             runner.sequence_by_number.pop(number, None)
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
@@ -1,4 +1,4 @@
-"""What the dispatcher knows of the engines by using them; `now` is always given."""
+"""What the dispatcher learned about the engines from its own runs."""
 
 from __future__ import annotations
 
@@ -18,105 +18,138 @@
     from ibisspring_jobs.runs import Run
     from ibisspring_jobs.surroundings import Surroundings
 
-# An engine that broke a run, or had another version than believed, is left alone this long: the
-# directory's next view mostly tells why.
-REST_S = {"broken": 0.5, "turned_away": 0.1, "stale": 0.2, "failed": 0.0}
-# For a service whose engines' memory is not known.
-ANY_MEMORY = 1 << 30
+# Seconds for which an engine gets no new runs after a run ended badly, by the kind of the outcome:
+# the stream broke, the engine rejected the run, or it had another weight version than expected. By
+# then the next directory update usually shows the cause.
+PAUSE_S = {"broken": 0.5, "turned_away": 0.1, "stale": 0.2, "failed": 0.0}
+# Memory limit of engines whose service does not state one.
+UNLIMITED_MEMORY_TOKENS = 1 << 30
 
 
 class Engines:
     """
-    Paces, idle connections, prompts read and rests of all engines.
+    Paces, idle connections, cached prompts and pauses of all engines.
 
-    :param paces: how long each takes for an event.
+    In all methods `now` is in seconds since boot.
+
+    :param paces: seconds per event of each engine.
     """
 
-    def __init__(self, around: Surroundings) -> None:
+    def __init__(self, context: Surroundings) -> None:
         self.paces = EnginePaces()
-        self._around = around
-        self._kept_by_runner = KeptConnections()
-        self._kept = KeptConnections()
+        self._context = context
+        self._idle_by_runner = KeptConnections()
+        self._idle = KeptConnections()
         self._groups_by_engine: dict[str, set[tuple[str, str]]] = {}
-        self._rest_until_by_engine: dict[tuple[str, str], float] = {}
+        self._paused_until_by_engine: dict[tuple[str, str], float] = {}
 
     def allowed(self, job: Job, now: float) -> frozenset[str]:
-        """Engines that may run a job's items now, by their weights, loads and rests."""
-        found = []
-        for record in self._around.serving(job.service):
-            rests = max(
-                self._rest_until_by_engine.get((record.endpoint, ""), 0.0),
-                self._rest_until_by_engine.get((record.endpoint, job.model), 0.0),
+        """
+        Return the ids of the engines that may run a job's items now.
+
+        Engines are excluded while they are paused, load weights of the job's model, or have a
+        weight version below the job's minimum.
+        """
+        allowed = []
+        for record in self._context.serving(job.service):
+            paused_until = max(
+                self._paused_until_by_engine.get((record.endpoint, ""), 0.0),
+                self._paused_until_by_engine.get((record.endpoint, job.model), 0.0),
             )
             version = record.version_by_adapter.get(job.model)
             too_old = version is not None and version < job.min_version
-            if now < rests or too_old or self._around.loads(record.endpoint, job.model):
+            if (
+                now < paused_until
+                or too_old
+                or self._context.is_loading(record.endpoint, job.model)
+            ):
                 continue
-            found.append(record.endpoint)
-        return frozenset(found)
+            allowed.append(record.endpoint)
+        return frozenset(allowed)
 
-    def rest(self, engine: str, model: str, kind: str, now: float) -> None:
+    def pause(self, engine: str, model: str, kind: str, now: float) -> None:
         """
-        Leave an engine alone after a run that ended badly.
+        Assign no runs to an engine for a while, after one of its runs ended badly.
 
-        :param kind: how the run ended; a stale one tells of its model only.
+        :param model: model of the run; an engine with a stale version is paused for this model
+            only.
+        :param kind: kind of the run's outcome, which determines the length of the pause.
         """
-        of_model = model if kind == "stale" else ""
-        self._rest_until_by_engine[(engine, of_model)] = now + REST_S.get(kind, 0.0)
+        paused_model = model if kind == "stale" else ""
+        self._paused_until_by_engine[(engine, paused_model)] = now + PAUSE_S.get(kind, 0.0)
 
-    def any_place(
+    def any_free_slot(
         self, service: str, records: Iterable[EndpointRecord], runs: Iterable[Run]
     ) -> bool:
-        """Whether any of some engines has a place left beside the runs under way."""
+        """
+        Whether any of the given engines has a free slot.
+
+        :param records: the engines, all of the same service.
+        :param runs: all runs in progress.
+        """
         running = Counter(run.endpoint for run in runs if not run.scoring)
-        terms = self._around.terms(service)
-        return any(running[one.endpoint] < _slots(one, terms) for one in records)
+        terms = self._context.terms(service)
+        return any(running[record.endpoint] < _slot_count(record, terms) for record in records)
 
-    def rooms(
+    def free_capacities(
         self, service: str, records: Iterable[EndpointRecord], runs: Iterable[Run], now: float
     ) -> list[EngineRoom]:
-        """Tell what each of some engines has left beside the runs under way."""
+        """
+        Return the free slots and memory of the given engines, with their pace and connections.
+
+        :param records: the engines, all of the same service.
+        :param runs: all runs in progress, which use slots and memory.
+        """
         runs_by_engine: dict[str, list[Run]] = {}
         for run in runs:
             if not run.scoring:
                 runs_by_engine.setdefault(run.endpoint, []).append(run)
-        terms = self._around.terms(service)
-        memory = terms.memory_tokens if terms and terms.memory_tokens else ANY_MEMORY
-        rooms = []
+        terms = self._context.terms(service)
+        memory = terms.memory_tokens if terms and terms.memory_tokens else UNLIMITED_MEMORY_TOKENS
+        capacities = []
         for record in records:
             engine = record.endpoint
-            own = runs_by_engine.get(engine, [])
-            rooms.append(
+            engine_runs = runs_by_engine.get(engine, [])
+            capacities.append(
                 EngineRoom(
                     engine=engine,
-                    slots=_slots(record, terms) - len(own),
-                    tokens=memory - sum(run.tokens for run in own),
-                    running=len(own),
+                    slots=_slot_count(record, terms) - len(engine_runs),
+                    tokens=memory - sum(run.tokens for run in engine_runs),
+                    running=len(engine_runs),
                     slowness=self.paces.slowness(engine),
                     groups=self._groups_by_engine.get(engine, set()),
-                    connected=self._kept.idle((engine,), now),
+                    connected=self._idle.idle((engine,), now),
                 )
             )
-        return rooms
+        return capacities
+
+    def has_idle_connection(self, runner: str, engine: str, now: float) -> bool:
+        """
+        Whether a runner has an idle connection to an engine.
 
-    def connected(self, runner: str, engine: str, now: float) -> bool:
-        """Whether a runner, by its address, has an idle connection to an engine."""
-        return self._kept_by_runner.idle((runner, engine), now) > 0
+        :param runner: address of the runner.
+        """
+        return self._idle_by_runner.idle((runner, engine), now) > 0
+
+    def run_started(self, runner: str, engine: str, group: tuple[str, str], now: float) -> None:
+        """
+        Record that a run uses a connection, and that the engine caches the prompt of its group.
 
-    def begins(self, runner: str, engine: str, group: tuple[str, str], now: float) -> None:
-        """Note that a runner begins an item at an engine, which reads its group's prompt."""
-        self._kept_by_runner.taken((runner, engine), now)
-        self._kept.taken((engine,), now)
+        :param runner: address of the runner.
+        :param group: job id and group of the item.
+        """
+        self._idle_by_runner.taken((runner, engine), now)
+        self._idle.taken((engine,), now)
         self._groups_by_engine.setdefault(engine, set()).add(group)
 
-    def released(self, run: Run, outcome: Outcome, now: float) -> None:
-        """Note that a run came to its end, and that its connection is idle from now on."""
+    def connection_released(self, run: Run, outcome: Outcome, now: float) -> None:
+        """Record that a run ended and that its connection is idle, if the engine keeps it open."""
         if outcome.kept_s:
-            self._kept_by_runner.released((run.runner, run.endpoint), now, outcome.kept_s)
-            self._kept.released((run.endpoint,), now, outcome.kept_s)
+            self._idle_by_runner.released((run.runner, run.endpoint), now, outcome.kept_s)
+            self._idle.released((run.endpoint,), now, outcome.kept_s)
 
 
-def _slots(record: EndpointRecord, terms: ServiceTerms | None) -> int:
+def _slot_count(record: EndpointRecord, terms: ServiceTerms | None) -> int:
     return record.load.capacity or (terms.capacity if terms else 1)
 
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/items.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/items.py
@@ -1,4 +1,4 @@
-"""Items of all open jobs that have not ended: their progress, their runs, and which may begin."""
+"""The items of all open jobs that are not listed: their progress, their runs and their order."""
 
 from __future__ import annotations
 
@@ -14,160 +14,183 @@
     from ibisspring_decisions.dispatch import Rank
     from ibisspring_jobs.engines import Engines
     from ibisspring_jobs.runs import Run
-    from ibisspring_jobs.state import JobsState, KeptJob
+    from ibisspring_jobs.state import JobRecord, JobsState
 
-Key = tuple[str, str]
-"""Job and item."""
+ItemKey = tuple[str, str]
+"""Job id and item id."""
 
 
 class Items:
     """
-    The items under one epoch; `now` is always given.
+    The items under one epoch of the dispatcher.
 
-    :param ending: items whose result is being committed.
-    :param unscored: items whose whole text is with no runner.
+    :param committing: items whose result is being committed to the log.
+    :param unscored: items whose text is complete but not scored, and whose reward call is assigned
+        to no runner.
     """
 
     def __init__(self, state: JobsState) -> None:
         self._state = state
         self._progress_by_job: dict[str, dict[str, ItemProgress]] = {}
-        self._runs_by_key: dict[Key, set[int]] = {}
-        # What ranks the items of one job never changes, so each job is sorted once.
+        self._runs_by_key: dict[ItemKey, set[int]] = {}
+        # The rank of an item within its job never changes, so each job is sorted only once.
         self._ordered_by_job: dict[str, list[JobItem]] = {}
-        self.ending: set[Key] = set()
-        self.unscored: set[Key] = {
+        self.committing: set[ItemKey] = set()
+        self.unscored: set[ItemKey] = {
             (job_id, item)
-            for job_id, kept in state.job_by_id.items()
-            for item in kept.item_by_id
-            if kept.whole_text(item) is not None
+            for job_id, job_record in state.job_by_id.items()
+            for item in job_record.item_by_id
+            if job_record.complete_text(item) is not None
         }
 
-    def progress_of(self, key: Key) -> ItemProgress:
-        """What is known of an item; after a change of leader, what the log kept."""
+    def progress_of(self, key: ItemKey) -> ItemProgress:
+        """Return the progress of an item; after a change of leader, restore it from the log."""
         progress = self._known_progress(key)
         if progress is None:
-            kept = self._state.job_by_id[key[0]]
-            progress = ItemProgress.from_parts(kept.parts_by_item.get(key[1], ()))
+            job_record = self._state.job_by_id[key[0]]
+            progress = ItemProgress.from_parts(job_record.parts_by_item.get(key[1], ()))
             self._progress_by_job.setdefault(key[0], {})[key[1]] = progress
         return progress
 
-    def _known_progress(self, key: Key) -> ItemProgress | None:
+    def _known_progress(self, key: ItemKey) -> ItemProgress | None:
         return self._progress_by_job.get(key[0], {}).get(key[1])
 
-    def begins(self, key: Key, number: int) -> None:
-        """Note a run of an item."""
+    def run_started(self, key: ItemKey, number: int) -> None:
+        """
+        Record that a run of an item started.
+
+        :param number: number of the assignment.
+        """
         self._runs_by_key.setdefault(key, set()).add(number)
         self.unscored.discard(key)
 
-    def ends(self, key: Key, number: int) -> None:
-        """Note that a run of an item is over; a whole text that it leaves is to be scored."""
+    def run_ended(self, key: ItemKey, number: int) -> None:
+        """
+        Record that a run of an item ended; a complete text without a score is to be scored.
+
+        :param number: number of the assignment.
+        """
         runs = self._runs_by_key.get(key)
         if runs is not None:
             runs.discard(number)
             if not runs:
                 del self._runs_by_key[key]
         progress = self._known_progress(key)
-        if progress is not None and progress.whole:
+        if progress is not None and progress.complete:
             self.unscored.add(key)
 
-    def forget(self, job: str) -> None:
-        """Forget the items of a job that are listed or are not to run any more."""
-        kept = self._state.job_by_id.get(job)
-        open_items = kept.item_by_id if kept is not None else {}
+    def remove_finished(self, job: str) -> None:
+        """
+        Remove the items of a job that are listed, or all of them if the job has ended.
+
+        :param job: id of the job.
+        """
+        job_record = self._state.job_by_id.get(job)
+        open_items = job_record.item_by_id if job_record is not None else {}
 
-        def is_open(key: Key) -> bool:
+        def is_open(key: ItemKey) -> bool:
             return key[0] != job or key[1] in open_items
 
-        self.ending = {key for key in self.ending if is_open(key)}
+        self.committing = {key for key in self.committing if is_open(key)}
         self.unscored = {key for key in self.unscored if is_open(key)}
         if not open_items:
             self._progress_by_job.pop(job, None)
             self._ordered_by_job.pop(job, None)
             return
-        known = self._progress_by_job.get(job, {})
-        for item in [item for item in known if item not in open_items]:
-            del known[item]
+        progress_by_item = self._progress_by_job.get(job, {})
+        for item in [item for item in progress_by_item if item not in open_items]:
+            del progress_by_item[item]
         if job in self._ordered_by_job:
             ordered = self._ordered_by_job[job]
-            self._ordered_by_job[job] = [one for one in ordered if one.item in open_items]
+            self._ordered_by_job[job] = [
+                job_item for job_item in ordered if job_item.item in open_items
+            ]
 
-    def to_be_scored(self) -> Iterable[Key]:
-        """Items whose whole text only lacks its score, and that no runner has."""
+    def awaiting_score(self) -> Iterable[ItemKey]:
+        """Yield the items whose text is complete and whose reward call is assigned to no runner."""
         for key in sorted(self.unscored):
-            kept = self._state.job_by_id.get(key[0])
-            if kept is None or key[1] not in kept.item_by_id or not self.progress_of(key).whole:
+            job_record = self._state.job_by_id.get(key[0])
+            if (
+                job_record is None
+                or key[1] not in job_record.item_by_id
+                or not self.progress_of(key).complete
+            ):
                 self.unscored.discard(key)
                 continue
-            if key not in self._runs_by_key and key not in self.ending:
+            if key not in self._runs_by_key and key not in self.committing:
                 yield key
 
     def services(self) -> frozenset[str]:
-        """Services that have items which are not listed yet."""
-        return frozenset(kept.job.service for kept in self._open_jobs())
+        """Return the names of the services that have items without a result."""
+        return frozenset(job_record.job.service for job_record in self._open_jobs())
 
-    def _open_jobs(self) -> Iterator[KeptJob]:
-        for kept in self._state.job_by_id.values():
-            if kept.item_by_id and not kept.ended:
-                yield kept
+    def _open_jobs(self) -> Iterator[JobRecord]:
+        for job_record in self._state.job_by_id.values():
+            if job_record.item_by_id and not job_record.ended:
+                yield job_record
 
     def waiting(self, service: str, engines: Engines, now: float) -> Iterator[WaitingItem]:
-        """Items that may begin at some engine of a service, the one that begins first first."""
-        jobs = [kept for kept in self._open_jobs() if kept.job.service == service]
-        jobs.sort(key=lambda kept: (kept.job.priority, _due_s(kept)))
-        for kept in jobs:
-            allowed = engines.allowed(kept.job, now)
+        """
+        Yield the items of a service that may start now, in the order in which they should start.
+
+        :param now: seconds since boot.
+        """
+        jobs = [job_record for job_record in self._open_jobs() if job_record.job.service == service]
+        jobs.sort(key=lambda job_record: (job_record.job.priority, _due_s(job_record)))
+        for job_record in jobs:
+            allowed = engines.allowed(job_record.job, now)
             if allowed:
-                yield from self._waiting_of(kept, allowed, now)
+                yield from self._waiting_items_of(job_record, allowed, now)
 
-    def _waiting_of(
-        self, kept: KeptJob, engines: frozenset[str], now: float
+    def _waiting_items_of(
+        self, job_record: JobRecord, engines: frozenset[str], now: float
     ) -> Iterator[WaitingItem]:
-        for item in self._ordered(kept):
-            key = (kept.job.job, item.item)
-            if key in self.ending or key in self.unscored or key in self._runs_by_key:
+        for item in self._ordered(job_record):
+            key = (job_record.job.job, item.item)
+            if key in self.committing or key in self.unscored or key in self._runs_by_key:
                 continue
             progress = self._known_progress(key)
             if progress is not None and now < progress.not_before_s:
                 continue
-            yield _waiting_item(kept, item, engines)
+            yield _waiting_item(job_record, item, engines)
 
-    def _ordered(self, kept: KeptJob) -> list[JobItem]:
-        ordered = self._ordered_by_job.get(kept.job.job)
+    def _ordered(self, job_record: JobRecord) -> list[JobItem]:
+        ordered = self._ordered_by_job.get(job_record.job.job)
         if ordered is None:
 
             def rank(item: JobItem) -> Rank:
-                return order_of(_waiting_item(kept, item, frozenset()))
+                return order_of(_waiting_item(job_record, item, frozenset()))
 
-            ordered = sorted(kept.item_by_id.values(), key=rank)
-            self._ordered_by_job[kept.job.job] = ordered
+            ordered = sorted(job_record.item_by_id.values(), key=rank)
+            self._ordered_by_job[job_record.job.job] = ordered
         return ordered
 
     def item_of(self, run: Run) -> JobItem | None:
-        """The item of a run; None where it has ended."""
-        kept = self._state.job_by_id.get(run.job)
-        return kept.item_by_id.get(run.item) if kept is not None else None
+        """Return the item of a run; None if the item is listed or its job has ended."""
+        job_record = self._state.job_by_id.get(run.job)
+        return job_record.item_by_id.get(run.item) if job_record is not None else None
 
 
-def _due_s(kept: KeptJob) -> float:
-    return kept.job.submitted_s + kept.job.due_s
+def _due_s(job_record: JobRecord) -> float:
+    return job_record.job.submitted_s + job_record.job.due_s
 
 
-def _waiting_item(kept: KeptJob, item: JobItem, engines: frozenset[str]) -> WaitingItem:
+def _waiting_item(job_record: JobRecord, item: JobItem, engines: frozenset[str]) -> WaitingItem:
     return WaitingItem(
-        key=(kept.job.job, item.item),
-        group=(kept.job.job, item.group),
-        due_s=_due_s(kept),
-        priority=kept.job.priority,
-        carried=item.group in kept.carried,
+        key=(job_record.job.job, item.item),
+        group=(job_record.job.job, item.group),
+        due_s=_due_s(job_record),
+        priority=job_record.job.priority,
+        carried=item.group in job_record.carried,
         expected_tokens=item.expected_tokens,
-        tokens=memory_of(item),
+        tokens=memory_tokens_of(item),
         engines=engines,
     )
 
 
-def memory_of(item: JobItem) -> int:
-    """Tokens that an item takes at its engine."""
+def memory_tokens_of(item: JobItem) -> int:
+    """Return the memory that an item is expected to take at its engine, in tokens."""
     return memory_needed(item.tokens, item.prompt_tokens, item.expected_tokens)
 
 
-__all__ = ["Items", "Key", "memory_of"]
+__all__ = ["ItemKey", "Items", "memory_tokens_of"]
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
@@ -1,4 +1,4 @@
-"""The service `job_membership`: which stores hold the jobs' log."""
+"""The service `job_membership`: bootstraps the jobs' log and replaces its failed replicas."""
 
 from __future__ import annotations
 
@@ -17,17 +17,23 @@
     from ibisspring_core.messages.directory import Renew
     from ibisspring_core.settings.vm import VmSettings
 
+# Interval at which the leader compares the members of the log with the available stores.
 TICK_S = 0.3
 
 
 class JobMembership:
-    """Tells the directory of this store's disk, founds, and exchanges members that are gone."""
+    """
+    Manages which stores hold a replica of the jobs' log.
+
+    Every store reports its disk to the directory. The stores that the directory selected bootstrap
+    the log. The leader replaces members that are permanently lost or being retired.
+    """
 
     name = "job_membership"
 
     def __init__(self, settings: VmSettings) -> None:
         self._settings = settings
-        self._wanted = 2 * settings.losses + 1
+        self._target_voters = 2 * settings.losses + 1
 
     @classmethod
     def from_config(cls, settings: VmSettings) -> JobMembership:
@@ -40,16 +46,16 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to tell and to look."""
+        """Subscribe to the directory view and start the ticks."""
         self._consensus = kernel.find("consensus")
         self._jobs = kernel.find("jobs")
         self._view = kernel.find("directory_view")
         self._view.describe(self._describe)
-        self._view.subscribe(self._found)
+        self._view.subscribe(self._bootstrap)
         self._ticks = kernel.find("timer").subscribe("job_membership", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """End the ticks."""
+        """Stop the ticks."""
         self._ticks.cancel()
 
     def _describe(self, renew: Renew) -> Renew:
@@ -61,21 +67,24 @@
             member=own_member(self._settings, consensus),
             leads_jobs=consensus.is_leader,
             job_members=tuple(replica.daemon for replica in replicas),
-            demand=self._jobs.demand() if consensus.is_leader else (),
-            allowed=self._jobs.oldest_allowed() if consensus.is_leader else (),
+            demand=self._jobs.peak_demand() if consensus.is_leader else (),
+            allowed=self._jobs.oldest_allowed_versions() if consensus.is_leader else (),
         )
 
-    def _found(self) -> None:
+    def _bootstrap(self) -> None:
         """
-        Found the log together with the others that the directory chose.
+        Bootstrap the log if the directory selected this store's disk as one of its first replicas.
 
-        The choice names disks and is replicated: each founder writes the same first entry, and a
-        store that lost its disk since is not among them and founds nothing.
+        The selection is replicated and names disk ids, so each selected store writes the same first
+        log entry. A store that has lost its disk since has a new disk id, is therefore not in the
+        selection, and bootstraps nothing.
         """
         group = self._view.view.job_group
         if group is None or not self._consensus.core.is_empty:
             return
-        voters = tuple(sorted(ReplicaId(one.address, one.disk_id) for one in group.founders))
+        voters = tuple(
+            sorted(ReplicaId(founder.address, founder.disk_id) for founder in group.founders)
+        )
         if self._consensus.replica in voters:
             self._consensus.dispatch(events.Bootstrap(Members(voters, cluster=group.cluster)))
             eliot.log_message("job_membership:founded", cluster=group.cluster)
@@ -85,9 +94,12 @@
             return
         view = self._view.view
         candidates = [
-            Candidate(ReplicaId(one.address, one.disk_id), one.data_centre) for one in view.stores
+            Candidate(ReplicaId(store.address, store.disk_id), store.data_centre)
+            for store in view.stores
         ]
-        change = next_change(self._consensus.core.state, candidates, view.retiring, self._wanted)
+        change = next_change(
+            self._consensus.core.state, candidates, view.retiring, self._target_voters
+        )
         if change is not None:
             eliot.log_message("membership:change", log="jobs", change=str(change))
             self._consensus.dispatch(change)
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/paces.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/paces.py
@@ -1,4 +1,8 @@
-"""How long each engine takes for an event, as the streams that run show it."""
+"""
+The pace of each engine: how many seconds it takes per event of a stream.
+
+The paces are computed from the event counts that runners report for their running streams.
+"""
 
 from __future__ import annotations
 
@@ -10,22 +14,27 @@
     from ibisspring_core.messages.jobs import TakeWork
     from ibisspring_jobs.runs import Run
 
-# Streams' time that must be seen before their events tell an engine's pace.
-MEASURE_S = 0.3
+# Seconds of streaming, summed over an engine's streams, that a runner's call must cover before it
+# counts as a measurement of the engine's pace.
+MIN_MEASURED_S = 0.3
 
 
 class EnginePaces:
-    """Paces by engine; `now` is always given."""
+    """Paces by engine id."""
 
     def __init__(self) -> None:
         self._pace_by_engine: dict[str, Pace] = {}
 
     def slow(self) -> frozenset[str]:
-        """Engines that are much slower than most."""
+        """Return the ids of the engines that are much slower than the median."""
         return slow_engines(self._pace_by_engine)
 
     def slowness(self, engine: str) -> float:
-        """Time that an engine takes against the fastest; 1.0 for that one and for an unknown."""
+        """
+        Return an engine's seconds per event, divided by those of the fastest engine.
+
+        :return: 1.0 for the fastest engine and for an engine without measurements.
+        """
         paces = [pace.seconds for pace in self._pace_by_engine.values() if pace.seconds]
         fastest = min(paces, default=1.0)
         pace = self._pace_by_engine.get(engine)
@@ -33,10 +42,11 @@
 
     def measure(self, call: TakeWork, run_by_number: dict[int, Run], now: float) -> None:
         """
-        Learn from the streams that run how long each engine takes for an event.
+        Update the paces from the event counts in a runner's call.
 
-        :param call: a runner's call, which tells the events of its streams.
-        :param run_by_number: the runs under way; what the call tells of them is noted there.
+        :param call: a runner's call for work, with the number of events of each of its streams.
+        :param run_by_number: runs in progress; their `events` and `last_update_at` are updated.
+        :param now: seconds since boot.
         """
         seconds_by_engine: dict[str, float] = {}
         events_by_engine: dict[str, int] = {}
@@ -45,15 +55,15 @@
             if run is None or run.scoring:
                 continue
             engine = run.endpoint
-            if run.noted_s and events:
-                passed_s = now - run.noted_s
+            if run.last_update_at and events:
+                passed_s = now - run.last_update_at
                 seconds_by_engine[engine] = seconds_by_engine.get(engine, 0.0) + passed_s
-                made = events - run.events
-                events_by_engine[engine] = events_by_engine.get(engine, 0) + made
-            run.noted_s = now
+                new_events = events - run.events
+                events_by_engine[engine] = events_by_engine.get(engine, 0) + new_events
+            run.last_update_at = now
             run.events = events
         for engine, seconds in seconds_by_engine.items():
-            if seconds >= MEASURE_S:
+            if seconds >= MIN_MEASURED_S:
                 pace = self._pace_by_engine.setdefault(engine, Pace())
                 pace.measure(seconds / max(1, events_by_engine[engine]))
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/peaks.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/peaks.py
@@ -1,4 +1,4 @@
-"""The most items that were to be run at a time, by service."""
+"""The recent peak number of open items of each service, by which the fleet is sized."""
 
 from __future__ import annotations
 
@@ -7,29 +7,40 @@
 if TYPE_CHECKING:
     from ibisspring_jobs.state import JobsState
 
-# Longer than the pause between two steps of a trainer, so that the fleet does not follow each one.
-REMEMBER_S = 20.0
+# Seconds after which a peak is replaced by a lower current value. Longer than the pause between two
+# steps of a trainer, so that the fleet does not shrink and grow with each step.
+PEAK_RETENTION_S = 20.0
 
 
 class Peaks:
-    """Peaks of the last while; `now` is always given."""
+    """
+    Peaks by service.
+
+    :param peak_by_service: highest recent number of items that are not listed, by service name.
+    """
 
     def __init__(self) -> None:
         self.peak_by_service: dict[str, int] = {}
-        self._noted_s_by_service: dict[str, float] = {}
-
-    def note(self, state: JobsState, now: float) -> None:
-        """Look at all open jobs."""
-        open_by_service: dict[str, int] = {}
-        for kept in state.job_by_id.values():
-            if not kept.ended:
-                service = kept.job.service
-                open_by_service[service] = open_by_service.get(service, 0) + len(kept.item_by_id)
-        for service, count in open_by_service.items():
-            old = now - self._noted_s_by_service.get(service, 0.0) > REMEMBER_S
-            if count >= self.peak_by_service.get(service, 0) or old:
+        self._peak_at_by_service: dict[str, float] = {}
+
+    def update(self, state: JobsState, now: float) -> None:
+        """
+        Update the peaks with the current number of open items.
+
+        :param now: seconds since boot.
+        """
+        open_items_by_service: dict[str, int] = {}
+        for job_record in state.job_by_id.values():
+            if not job_record.ended:
+                service = job_record.job.service
+                open_items_by_service[service] = open_items_by_service.get(service, 0) + len(
+                    job_record.item_by_id
+                )
+        for service, count in open_items_by_service.items():
+            expired = now - self._peak_at_by_service.get(service, 0.0) > PEAK_RETENTION_S
+            if count >= self.peak_by_service.get(service, 0) or expired:
                 self.peak_by_service[service] = count
-                self._noted_s_by_service[service] = now
+                self._peak_at_by_service[service] = now
 
 
 __all__ = ["Peaks"]
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/progress.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/progress.py
@@ -1,4 +1,4 @@
-"""What is known of an item that has not ended: what runs made of it and how they failed."""
+"""The progress of an item that has no result yet: the text of its runs and their failures."""
 
 from __future__ import annotations
 
@@ -16,67 +16,71 @@
 @dataclass
 class ItemProgress:
     """
-    Progress of one item; a new leader goes on from the parts that are kept in the log.
-
-    :param parts: data of the events so far, one string for each run that made some.
-    :param events: how many events these are.
-    :param versions: weight versions that made them, in order.
-    :param whole: the text has ended; what may be left is its reward call.
-    :param failures: runs that failed by the endpoint's word.
-    :param not_before_s: when it may run again.
+    Progress of one item, in memory; a new leader restores it from the parts in the log.
+
+    :param parts: event data of the text so far, one string per part that contains events.
+    :param events: number of events in `parts`.
+    :param versions: weight versions that produced the text, in order.
+    :param complete: the text has ended; at most the item's reward call is still to be made.
+    :param failures: runs that the endpoint reported as failed.
+    :param not_before_s: earliest time of the next run, in seconds since boot.
     """
 
     parts: list[str] = field(default_factory=list)
     events: int = 0
     versions: list[int] = field(default_factory=list)
-    whole: bool = False
+    complete: bool = False
     failures: int = 0
     not_before_s: float = 0.0
 
     @classmethod
     def from_parts(cls, parts: Iterable[TextPart]) -> ItemProgress:
-        """Go on from what is kept of an item."""
+        """Restore the progress from the parts of an item's text that are in the log."""
         progress = cls()
         for part in parts:
             progress.add(part)
         return progress
 
-    def add(self, made: Outcome | TextPart) -> None:
-        """Add what a run made after the events before."""
-        self.whole = self.whole or made.whole
-        if not made.events:
+    def add(self, produced: Outcome | TextPart) -> None:
+        """Append the text that a run produced."""
+        self.complete = self.complete or produced.whole
+        if not produced.events:
             return
-        self.parts.append(made.output)
-        self.events += made.events
-        for version in made.versions:
+        self.parts.append(produced.output)
+        self.events += produced.events
+        for version in produced.versions:
             if not self.versions or self.versions[-1] != version:
                 self.versions.append(version)
 
-    def fits(self, job: Job) -> bool:
+    def versions_allowed(self, job: Job) -> bool:
         """
-        Tell whether a job takes the versions that made it.
+        Whether a job accepts the weight versions that produced the text.
 
-        A text may be joined from runs on engines of different versions.
+        Runs at engines with different versions may have contributed to the same text.
         """
         if any(version < job.min_version for version in self.versions):
             return False
         return not (job.single_version and len(set(self.versions)) > 1)
 
-    def begin_anew(self) -> None:
-        """Throw the text away."""
+    def reset(self) -> None:
+        """Discard the text, so that the next run starts from the beginning."""
         self.parts.clear()
         self.events = 0
-        self.whole = False
+        self.complete = False
         self.versions.clear()
 
-    def completed(self, item: str, score: str) -> ItemResult:
-        """Join the whole text."""
+    def completed_result(self, item: str, score: str) -> ItemResult:
+        """
+        Return the result of an item whose text is complete.
+
+        :param score: answer of the reward call; empty if the item has none.
+        """
         return ItemResult(item, COMPLETED, "\n".join(self.parts), tuple(self.versions), score)
 
 
-def abandoned(item: str) -> ItemResult:
-    """The result of an item that was given up."""
+def abandoned_result(item: str) -> ItemResult:
+    """Return the result of an item that failed permanently or exceeded its job's time limit."""
     return ItemResult(item, ABANDONED)
 
 
-__all__ = ["ItemProgress", "abandoned"]
+__all__ = ["ItemProgress", "abandoned_result"]
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/role.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/role.py
@@ -1,4 +1,4 @@
-"""The services of the store role."""
+"""The services of a daemon in the store role."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 def build_services(settings: VmSettings) -> tuple[Service, ...]:
     """
-    Build the services of this role in start order.
+    Build the services of this role in the order in which they are started.
 
-    :param settings: checked settings.
+    :param settings: checked settings of a store.
     :return: the services.
     """
     replica = ReplicaConfig(
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/runners.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/runners.py
@@ -1,4 +1,4 @@
-"""The daemons that run items, and what each of them holds."""
+"""The runners (daemons that run items) and the assignments of each of them."""
 
 from __future__ import annotations
 
@@ -13,37 +13,45 @@
 
     from ibisspring_core.messages.jobs import Assignment, TakeWork
 
-# Runners ask for work at least every half second. Their items begin elsewhere after this silence:
-# an item may run twice, and a trainer waits for it.
-SILENT_S = 1.5
-# A runner calls again as soon as it has an answer. Passed over in these milliseconds, it would see
-# its engines' runs go to a runner that has no connections to them.
-COMES_BACK_S = 0.1
-# An engine's runs stay with one runner until that one has so many more than the usual: its loss
-# then costs no more than a few texts' last second.
-CROWDED_RUNS = 8
-CROWDED_TIMES = 2
+# Runners call for work at least every 0.5 s. After this many seconds without a call, the items of a
+# runner are assigned to others. If the runner is still alive, its items run twice; until the limit
+# is reached, a trainer waits for the items of a failed runner.
+RUNNER_TIMEOUT_S = 1.5
+# A runner calls again as soon as its previous call is answered, so for this many seconds after an
+# answer it counts as available. If it were skipped in the milliseconds until its next call, the
+# runs of its engines would be assigned to a runner that has no connections to them.
+NEXT_CALL_GRACE_S = 0.1
+# The runs of an engine are assigned to the same runner until the runner has at least this many runs
+# and at least this many times the mean of all runners. The loss of a runner then costs no more than
+# the last second of a few texts.
+OVERLOAD_MIN_RUNS = 8
+OVERLOAD_FACTOR = 2
 
 
 @dataclass
 class Runner:
     """
-    One runner as the dispatcher knows it.
-
-    :param sequence: of its newest call.
-    :param sequence_by_number: call in whose answer an assignment was given, by its number.
-    :param outbox: assignments for the answer to the call that waits.
-    :param cancelled: numbers to stop, for the same.
-    :param moved: numbers to stop and report, for the same.
-    :param waiting: a call of it waits for work.
-    :param answered_at: when its last call was answered.
-    :param free: items that it still takes.
+    A runner and what is to be sent to it.
+
+    :param address: peer address of the daemon.
+    :param incarnation: differs after each restart of the daemon.
+    :param received_at: when its last call was received, in seconds since boot.
+    :param sequence: sequence number of its last call.
+    :param sequence_by_number: its assignments by number, each with the sequence number of the call
+        whose answer contains the assignment.
+    :param outbox: assignments to be sent with the next answer.
+    :param cancelled: numbers of the assignments to stop, to be sent with the next answer.
+    :param moved: numbers of the assignments to stop and report, to be sent with the next answer.
+    :param waiting: whether a call of the runner is open.
+    :param answered_at: when its last call was answered, in seconds since boot.
+    :param free_slots: number of further items that it accepts.
+    :param wake: set when there is something to answer an open call with.
     """
 
     address: str
     data_centre: str
     incarnation: str
-    heard_at: float
+    received_at: float
     sequence: int = 0
     sequence_by_number: dict[int, int] = field(default_factory=dict)
     outbox: list[Assignment] = field(default_factory=list)
@@ -51,33 +59,43 @@
     moved: list[int] = field(default_factory=list)
     waiting: bool = False
     answered_at: float = float("-inf")
-    free: int = 0
+    free_slots: int = 0
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def takes(self, now: float) -> bool:
-        """Whether it gets what it is given within milliseconds: its call waits or will be here."""
-        return self.waiting or now - self.answered_at < COMES_BACK_S
+    def is_available(self, now: float) -> bool:
+        """
+        Whether an assignment would reach the runner within milliseconds.
+
+        This holds while a call of it is open, and for NEXT_CALL_GRACE_S after its last answer.
+
+        :param now: seconds since boot.
+        """
+        return self.waiting or now - self.answered_at < NEXT_CALL_GRACE_S
 
-    def give(self, assignment: Assignment) -> None:
-        """Put an assignment into the answer to the call that waits, or to its next one."""
+    def assign(self, assignment: Assignment) -> None:
+        """Add an assignment to the answer of the open call, or of the next call if none is open."""
         self.sequence_by_number[assignment.number] = self.sequence + (not self.waiting)
-        self.free -= 1
+        self.free_slots -= 1
         self.outbox.append(assignment)
         self.wake.set()
 
 
 class Runners:
-    """Runners by address; `now` is always given."""
+    """
+    The runners that have called within RUNNER_TIMEOUT_S, by address.
+
+    In all methods `now` is in seconds since boot.
+    """
 
     def __init__(self) -> None:
         self.runner_by_address: dict[str, Runner] = {}
 
-    def take(self, call: TakeWork, now: float) -> tuple[Runner, tuple[int, ...]]:
+    def register_call(self, call: TakeWork, now: float) -> tuple[Runner, tuple[int, ...]]:
         """
-        Take in a call for work.
+        Add or update a runner by its call for work.
 
-        :return: the runner, and the numbers of assignments that it does not hold any more: their
-            answer was lost on its way, or the runner started anew.
+        :return: the runner, and the numbers of the assignments that it does not run: the answer
+            with the assignment did not reach it, or it was restarted since.
         """
         runner = self.runner_by_address.get(call.runner)
         lost: tuple[int, ...] = ()
@@ -91,19 +109,23 @@
             for number, sequence in runner.sequence_by_number.items()
             if sequence < call.sequence and number not in running
         )
-        runner.heard_at = now
+        runner.received_at = now
         runner.sequence = call.sequence
-        runner.free = call.free
+        runner.free_slots = call.free
         return runner, lost + missing
 
-    def silent(self, now: float) -> tuple[Runner, ...]:
-        """Remove and return the runners that were silent for too long."""
-        found = [one for one in self.runner_by_address.values() if now - one.heard_at > SILENT_S]
-        for runner in found:
+    def remove_timed_out(self, now: float) -> tuple[Runner, ...]:
+        """Remove and return the runners that have not called for RUNNER_TIMEOUT_S."""
+        timed_out = [
+            candidate
+            for candidate in self.runner_by_address.values()
+            if now - candidate.received_at > RUNNER_TIMEOUT_S
+        ]
+        for runner in timed_out:
             del self.runner_by_address[runner.address]
-        return tuple(found)
+        return tuple(timed_out)
 
-    def best(
+    def choose(
         self,
         endpoint: str,
         data_centre: str,
@@ -111,30 +133,38 @@
         connected: Callable[[str], bool] = lambda _: False,
     ) -> Runner | None:
         """
-        Choose who runs an item at an endpoint.
+        Choose the runner for an item at an endpoint.
 
-        A runner that has an idle connection to it goes first: any other one would open one more.
-        Else each endpoint has an order of its own of the runners in its data centre, and its runs
-        go to the first of them.
+        Runners with an idle connection to the endpoint are preferred, since any other would open a
+        new one; then runners in the endpoint's data centre, since traffic between data centres is
+        charged; then runners that are not overloaded. The remaining order is a hash of endpoint and
+        runner, so that the runs of an endpoint go to the same runner.
 
-        :param data_centre: of the endpoint; bytes between data centres cost.
-        :param connected: whether a runner, by its address, has an idle connection to the endpoint.
-        :return: a runner that takes work now; None where none does.
+        :param data_centre: data centre of the endpoint.
+        :param connected: whether a runner, given by its address, has an idle connection to the
+            endpoint.
+        :return: an available runner with a free slot; None if there is none.
         """
         runners = self.runner_by_address.values()
-        taking = [one for one in runners if one.takes(now) and one.free > 0]
-        usual = sum(len(one.sequence_by_number) for one in runners) / max(1, len(runners))
-        crowded = max(CROWDED_RUNS, CROWDED_TIMES * usual)
+        available = [
+            candidate
+            for candidate in runners
+            if candidate.is_available(now) and candidate.free_slots > 0
+        ]
+        mean_runs = sum(len(candidate.sequence_by_number) for candidate in runners) / max(
+            1, len(runners)
+        )
+        overload_limit = max(OVERLOAD_MIN_RUNS, OVERLOAD_FACTOR * mean_runs)
 
         def rank(runner: Runner) -> tuple[bool, bool, bool, int]:
             return (
                 not connected(runner.address),
                 runner.data_centre != data_centre,
-                len(runner.sequence_by_number) >= crowded,
+                len(runner.sequence_by_number) >= overload_limit,
                 xxhash.xxh64_intdigest(f"{endpoint} {runner.address}".encode()),
             )
 
-        return min(taking, key=rank, default=None)
+        return min(available, key=rank, default=None)
 
 
-__all__ = ["SILENT_S", "Runner", "Runners"]
+__all__ = ["RUNNER_TIMEOUT_S", "Runner", "Runners"]
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
@@ -1,4 +1,9 @@
-"""The service `jobs`: accepts, lists and ends jobs, and dispatches their items, on the leader."""
+"""
+The service `jobs`, which runs on every store.
+
+On the leader of the jobs' log it accepts and ends jobs, returns their results, and assigns their
+items to runners. On the other stores it only answers `ReadListed`.
+"""
 
 from __future__ import annotations
 
@@ -46,20 +51,21 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.messages.jobs import ItemResult, Job, TextPart
     from ibisspring_core.settings.vm import VmSettings
-    from ibisspring_jobs.state import KeptJob
+    from ibisspring_jobs.state import JobRecord
 
+# Interval at which the leader checks time limits, assigns waiting items and moves slow runs.
 TICK_S = 0.1
 
 
 class Jobs:
-    """The calls of entries and runners."""
+    """Answers the messages of entries and runners about jobs."""
 
     name = "jobs"
 
     def __init__(self, settings: VmSettings) -> None:
         self._settings = settings
         self._dispatcher: Dispatcher | None = None
-        self._listed = asyncio.Event()
+        self._job_changed = asyncio.Event()
         self._peaks = Peaks()
 
     @classmethod
@@ -73,113 +79,121 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Register what is answered here."""
+        """Register the message handlers, subscribe to changes and start the ticks."""
         self._consensus = kernel.find("consensus")
         self._state = kernel.find("jobs_state")
         self._view = kernel.find("directory_view")
         self._counters = kernel.find("counters")
-        self._state.subscribe(self._changed)
+        self._state.subscribe(self._on_job_changed)
         self._view.subscribe(self._match)
         server = kernel.find("peer_server")
         handler_by_type = {
             SubmitJob: self.submit,
             ReadResults: self.read_results,
             ReadBody: self.read_body,
-            EndJob: self.end,
+            EndJob: self.end_job,
             TakeWork: self.take_work,
             ReportWork: self.report_work,
         }
         for message_type, handler in handler_by_type.items():
-            server.answer(message_type, self._only_leading(handler))
+            server.answer(message_type, self._leader_only(handler))
         server.answer(ReadListed, self.read_listed)
         self._ticks = kernel.find("timer").subscribe("jobs", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """End the ticks."""
+        """Stop the ticks."""
         self._ticks.cancel()
 
-    def leads(self) -> bool:
-        """Whether this store surely is the only leader of the jobs' log."""
+    def has_leader_lease(self) -> bool:
+        """
+        Whether this store leads the jobs' log and its leader lease has not expired.
+
+        No other store can lead during the lease.
+        """
         return self._consensus.is_leader and self._consensus.lease_left_s() > 0
 
-    def demand(self) -> tuple[tuple[str, int], ...]:
-        """By service, the most items that were to be run at a time in the last while."""
+    def peak_demand(self) -> tuple[tuple[str, int], ...]:
+        """Return pairs of a service's name and its recent peak number of open items."""
         return tuple(sorted(self._peaks.peak_by_service.items()))
 
-    def oldest_allowed(self) -> tuple[tuple[str, int], ...]:
-        """By model, the oldest weight version that its newest job takes."""
+    def oldest_allowed_versions(self) -> tuple[tuple[str, int], ...]:
+        """Return pairs of a model and the oldest weight version that its newest job accepts."""
         newest_by_model: dict[str, Job] = {}
-        for kept in self._state.job_by_id.values():
-            known = newest_by_model.get(kept.job.model)
-            if known is None or kept.job.submitted_s > known.submitted_s:
-                newest_by_model[kept.job.model] = kept.job
+        for job_record in self._state.job_by_id.values():
+            known = newest_by_model.get(job_record.job.model)
+            if known is None or job_record.job.submitted_s > known.submitted_s:
+                newest_by_model[job_record.job.model] = job_record.job
         return tuple(sorted((model, job.min_version) for model, job in newest_by_model.items()))
 
-    def _only_leading(self, handler: Any) -> Any:
+    def _leader_only(self, handler: Any) -> Any:
         async def answer(message: Any) -> Any:
-            if not self.leads():
+            if not self.has_leader_lease():
                 return NotLeader(self._consensus.leader_hint)
             return await handler(message)
 
         return answer
 
     def dispatcher(self) -> Dispatcher:
-        """The runs under this leader's term."""
+        """Return the dispatcher of the current term; a new term starts with a new dispatcher."""
         term = self._consensus.term
         if self._dispatcher is None or self._dispatcher.epoch != term:
             view = self._view
-            around = Surroundings(view.serving, self._terms, view.wall_s, self._loads)
-            self._dispatcher = Dispatcher(self._state, around, term)
+            context = Surroundings(view.serving, self._service_terms, view.wall_s, self._is_loading)
+            self._dispatcher = Dispatcher(self._state, context, term)
             eliot.log_message("jobs:leads", term=term, daemon=self._settings.daemon)
         return self._dispatcher
 
-    def _loads(self, endpoint: str, model: str) -> bool:
+    def _is_loading(self, endpoint: str, model: str) -> bool:
         return (endpoint, model) in self._view.view.loading
 
-    def _terms(self, service: str) -> Any:
+    def _service_terms(self, service: str) -> Any:
         index = self._view.index
         return index.service_by_name.get(service) if index is not None else None
 
-    def _changed(self, job: str) -> None:
-        self._listed.set()
-        self._listed = asyncio.Event()
+    def _on_job_changed(self, job: str) -> None:
+        self._job_changed.set()
+        self._job_changed = asyncio.Event()
         if self._dispatcher is not None:
-            self._dispatcher.forget_job(job)
+            self._dispatcher.cancel_finished_runs(job)
         self._match()
 
     def _match(self) -> None:
-        if self.leads():
+        if self.has_leader_lease():
             self.dispatcher().match(boot_now())
 
     async def _tick(self, now: float) -> None:
-        if not self.leads():
+        if not self.has_leader_lease():
             return
         dispatcher = self.dispatcher()
-        self._peaks.note(self._state, now)
-        by_job: dict[str, list[ItemResult]] = {}
+        self._peaks.update(self._state, now)
+        results_by_job: dict[str, list[ItemResult]] = {}
         for job, result in dispatcher.sweep(now):
-            by_job.setdefault(job, []).append(result)
-        await self._record(by_job)
-        await self._forget_old()
+            results_by_job.setdefault(job, []).append(result)
+        await self._commit_results(results_by_job)
+        await self._remove_expired_jobs()
         dispatcher.match(now)
         dispatcher.move_stragglers(now)
 
-    async def _forget_old(self) -> None:
+    async def _remove_expired_jobs(self) -> None:
         wall_s = self._view.wall_s()
-        old = []
-        for job_id, kept in self._state.job_by_id.items():
-            open_until_s = kept.job.submitted_s + kept.job.give_up_s
-            keep_until_s = kept.job.submitted_s + self._settings.result_keep_s
+        expired = []
+        for job_id, job_record in self._state.job_by_id.items():
+            open_until_s = job_record.job.submitted_s + job_record.job.give_up_s
+            keep_until_s = job_record.job.submitted_s + self._settings.result_keep_s
             if wall_s > max(open_until_s, keep_until_s) + TICK_S:
-                old.append(job_id)
-        if old:
-            await self._propose(ForgetJobs(tuple(old)))
+                expired.append(job_id)
+        if expired:
+            await self._propose(ForgetJobs(tuple(expired)))
 
     async def _propose(self, command: Any) -> Any:
         return await self._consensus.propose(COMMANDS.encode(command))
 
     async def submit(self, message: SubmitJob) -> Any:
-        """Accept a job once a majority holds it; a second time it is accepted as it was."""
+        """
+        Accept a job, and answer once a majority of the stores has committed it.
+
+        A job that was accepted before is not changed.
+        """
         job = message.job
         if job.job not in self._state.job_by_id:
             accepted = AcceptJob(replace(job, submitted_s=self._view.wall_s()))
@@ -187,79 +201,103 @@
             if isinstance(committed, Refusal):
                 return committed
             eliot.log_message("jobs:accepted", job=job.job, items=len(job.items), model=job.model)
-        kept = self._state.job_by_id.get(job.job)
-        if kept is None or kept.job.client_account != job.client_account:
+        job_record = self._state.job_by_id.get(job.job)
+        if job_record is None or job_record.job.client_account != job.client_account:
             return UnknownJob()
         return JobAccepted()
 
-    async def _find(self, message: Any) -> KeptJob | Any:
-        """Find a job of a client account; that there is none is only said by a confirmed leader."""
-        kept = self._state.job_by_id.get(message.job)
-        if kept is None:
+    async def _find_job(self, message: Any) -> JobRecord | Any:
+        """
+        Find the job that a message names.
+
+        Before a job is reported as unknown, a majority of the stores must confirm that this store
+        leads, because a former leader may lack jobs that were accepted since.
+
+        :return: the job; UnknownJob if it does not exist or belongs to another client account;
+            NotLeader if the confirmation failed.
+        """
+        job_record = self._state.job_by_id.get(message.job)
+        if job_record is None:
             confirmed = await self._consensus.confirm_read()
             if isinstance(confirmed, Refusal):
                 return NotLeader(self._consensus.leader_hint)
-            kept = self._state.job_by_id.get(message.job)
-        if kept is None or kept.job.client_account != message.client_account:
+            job_record = self._state.job_by_id.get(message.job)
+        if job_record is None or job_record.job.client_account != message.client_account:
             return UnknownJob()
-        return kept
+        return job_record
 
     async def read_results(self, message: ReadResults) -> Any:
-        """Read results from a position on, waiting for one where there is none."""
-        kept = await self._find(message)
-        if isinstance(kept, (NotLeader, UnknownJob)):
-            return kept
+        """
+        Return the results from a position on, as far as `max_bytes` allows.
+
+        If there are none yet, wait up to `hold_s` seconds for the first. If the results exceed
+        `inline_bytes`, return only the range of their positions, which any store can answer.
+        """
+        job_record = await self._find_job(message)
+        if isinstance(job_record, (NotLeader, UnknownJob)):
+            return job_record
         end_s = boot_now() + message.hold_s
-        while len(kept.results) <= message.after < kept.total and not kept.ended:
+        while len(job_record.results) <= message.after < job_record.total and not job_record.ended:
             left_s = end_s - boot_now()
-            listed = self._listed
+            changed = self._job_changed
             if left_s <= 0:
                 break
             try:
                 async with asyncio.timeout(left_s):
-                    await listed.wait()
+                    await changed.wait()
             except TimeoutError:
                 break
-        if not self.leads():
+        if not self.has_leader_lease():
             return NotLeader(self._consensus.leader_hint)
-        results = _slice(kept.results, message.after, message.max_bytes)
-        size = sum(len(one.output) for one in results)
+        results = _results_within(job_record.results, message.after, message.max_bytes)
+        size = sum(len(result.output) for result in results)
         if message.inline_bytes is not None and size > message.inline_bytes:
-            return ResultsListed(kept.total, message.after + len(results))
-        return ResultsRead(kept.total, results)
+            return ResultsListed(job_record.total, message.after + len(results))
+        return ResultsRead(job_record.total, results)
 
     async def read_listed(self, message: ReadListed) -> ResultsRead:
-        """Read results that the leader said are listed, as far as they are applied here."""
-        kept = self._state.job_by_id.get(message.job)
-        if kept is None or kept.job.client_account != message.client_account:
+        """
+        Return the results in a range of positions that the leader has named.
+
+        This store need not be the leader. Results that it has not applied yet are missing.
+        """
+        job_record = self._state.job_by_id.get(message.job)
+        if job_record is None or job_record.job.client_account != message.client_account:
             return ResultsRead(0, ())
-        return ResultsRead(kept.total, tuple(kept.results[message.after : message.listed]))
+        return ResultsRead(
+            job_record.total, tuple(job_record.results[message.after : message.listed])
+        )
 
     async def read_body(self, message: ReadBody) -> Any:
-        """Read the body of an item that is not listed yet."""
-        kept = await self._find(message)
-        if isinstance(kept, (NotLeader, UnknownJob)):
-            return kept
-        item = kept.item_by_id.get(message.item)
+        """Return the request body of an item that is not listed yet; None for any other item."""
+        job_record = await self._find_job(message)
+        if isinstance(job_record, (NotLeader, UnknownJob)):
+            return job_record
+        item = job_record.item_by_id.get(message.item)
         return BodyRead(item.body if item is not None else None)
 
-    async def end(self, message: EndJob) -> Any:
-        """End a job; its runs are stopped before the caller is answered."""
-        kept = await self._find(message)
-        if isinstance(kept, (NotLeader, UnknownJob)):
-            return kept
-        if not kept.ended:
+    async def end_job(self, message: EndJob) -> Any:
+        """End a job and answer once this is committed; its runs are cancelled before the answer."""
+        job_record = await self._find_job(message)
+        if isinstance(job_record, (NotLeader, UnknownJob)):
+            return job_record
+        if not job_record.ended:
             committed = await self._propose(CloseJob(message.job))
             if isinstance(committed, Refusal):
                 return committed
-            eliot.log_message("jobs:ended", job=message.job, listed=len(kept.results))
+            eliot.log_message("jobs:ended", job=message.job, listed=len(job_record.results))
         return JobEnded()
 
     async def take_work(self, call: TakeWork) -> Any:
-        """Hand work to a runner, waiting for it where there is none."""
+        """
+        Answer a runner's call with new assignments and with the numbers of runs to stop.
+
+        If there are none, wait for up to `hold_s` seconds.
+        """
         dispatcher = self.dispatcher()
         if call.epoch != dispatcher.epoch:
-            # What it runs belongs to a dispatcher before: it stops all that and asks again.
+            # The runner's runs belong to an earlier epoch. The answer contains the current epoch,
+            # at which the runner stops these runs and calls again.
             dispatcher.take(replace(call, running=(), free=0), boot_now())
             return Work(dispatcher.epoch)
         runner = dispatcher.take(call, boot_now())
@@ -285,37 +323,39 @@
         runner.outbox.clear()
         runner.cancelled.clear()
         runner.moved.clear()
-        if not self.leads():
+        if not self.has_leader_lease():
             return NotLeader(self._consensus.leader_hint)
         return work
 
     async def report_work(self, message: ReportWork) -> Any:
-        """Take in how runs ended, and answer once what they made is kept."""
+        """Process the outcomes of runs, and answer once their texts and results are committed."""
         dispatcher = self.dispatcher()
         if message.epoch != dispatcher.epoch:
             return WorkReported()
-        by_job: dict[str, list[ItemResult]] = {}
+        results_by_job: dict[str, list[ItemResult]] = {}
         parts_by_job: dict[str, list[TextPart]] = {}
         now = boot_now()
         for reported in message.outcomes:
-            dispatcher.release(reported, now)
-            for outcome in dispatcher.apart(reported):
+            dispatcher.release_connection(reported, now)
+            for outcome in dispatcher.split_outcome(reported):
                 if outcome.kind != "done" and (outcome.events or outcome.whole):
-                    made = dispatcher.take_part(outcome)
-                    if made is not None:
-                        parts_by_job.setdefault(made[0], []).append(made[1])
+                    accepted = dispatcher.accept_part(outcome)
+                    if accepted is not None:
+                        parts_by_job.setdefault(accepted[0], []).append(accepted[1])
                 if outcome.kind == PART:
                     continue
                 ended = dispatcher.report(outcome, now)
                 if ended is not None:
-                    by_job.setdefault(ended[0], []).append(ended[1])
+                    results_by_job.setdefault(ended[0], []).append(ended[1])
         dispatcher.match(now)
-        # A result may stand for the text that is kept with it, so the text goes first.
-        if not await self._keep(parts_by_job) or not await self._record(by_job):
+        # A result without output refers to the parts in the log, so the parts are committed first.
+        if not await self._commit_texts(parts_by_job) or not await self._commit_results(
+            results_by_job
+        ):
             return NotLeader(self._consensus.leader_hint)
         return WorkReported()
 
-    async def _keep(self, parts_by_job: dict[str, list[TextPart]]) -> bool:
+    async def _commit_texts(self, parts_by_job: dict[str, list[TextPart]]) -> bool:
         commands = [KeepTexts(job, tuple(parts)) for job, parts in parts_by_job.items()]
         if not await self._commit_all(commands):
             return False
@@ -323,22 +363,26 @@
             eliot.log_message("jobs:texts_kept", job=job, items=len(parts))
         return True
 
-    async def _record(self, by_job: dict[str, list[ItemResult]]) -> bool:
+    async def _commit_results(self, results_by_job: dict[str, list[ItemResult]]) -> bool:
         commands: list[Any] = []
-        for job, results in by_job.items():
-            kept = self._state.job_by_id.get(job)
-            texts = {one.item: kept.whole_text(one.item) for one in results} if kept else {}
-            short = [
-                replace(one, output="")
-                for one in results
-                if one.state == COMPLETED and texts.get(one.item) == one.output
+        for job, results in results_by_job.items():
+            job_record = self._state.job_by_id.get(job)
+            texts = (
+                {result.item: job_record.complete_text(result.item) for result in results}
+                if job_record
+                else {}
+            )
+            without_output = [
+                replace(result, output="")
+                for result in results
+                if result.state == COMPLETED and texts.get(result.item) == result.output
             ]
-            named = {one.item for one in short}
-            rest = [one for one in results if one.item not in named]
-            if short:
-                commands.append(RecordKept(job, tuple(short)))
-            if rest:
-                commands.append(RecordResults(job, tuple(rest)))
+            items_without_output = {result.item for result in without_output}
+            with_output = [result for result in results if result.item not in items_without_output]
+            if without_output:
+                commands.append(RecordKept(job, tuple(without_output)))
+            if with_output:
+                commands.append(RecordResults(job, tuple(with_output)))
         return await self._commit_all(commands)
 
     async def _commit_all(self, commands: list[Any]) -> bool:
@@ -346,15 +390,17 @@
         return not any(isinstance(answer, Refusal) for answer in answers)
 
 
-def _slice(results: list[ItemResult], after: int, max_bytes: int) -> tuple[ItemResult, ...]:
-    taken: list[ItemResult] = []
+def _results_within(
+    results: list[ItemResult], after: int, max_bytes: int
+) -> tuple[ItemResult, ...]:
+    selected: list[ItemResult] = []
     size = 0
     for result in results[after:]:
         size += len(result.output)
-        if taken and size > max_bytes:
+        if selected and size > max_bytes:
             break
-        taken.append(result)
-    return tuple(taken)
+        selected.append(result)
+    return tuple(selected)
 
 
 __all__ = ["Jobs"]
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/state.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/state.py
@@ -1,4 +1,9 @@
-"""The jobs' state machine; deterministic, it reads no clock."""
+"""
+The replicated state of the jobs.
+
+Each store applies the same committed commands in the same order, so applying a command must depend
+on nothing else, in particular on no clock.
+"""
 
 from __future__ import annotations
 
@@ -25,13 +30,17 @@
 @dataclass(frozen=True)
 class StoredJob:
     """
-    One job in a snapshot.
-
-    :param job: with those items only that are not listed.
-    :param total: items that it was submitted with.
-    :param groups: all groups that it was submitted with.
-    :param carried: those of them that an earlier job had as well; the trainer waits for these.
-    :param texts: what was made of its items so far, in order.
+    A job in a snapshot.
+
+    :param job: the job as submitted, but only with the items that are not listed.
+    :param total: number of items that it was submitted with.
+    :param results: the listed results, in the order of their positions.
+    :param ended: none of its items may run any more.
+    :param groups: all groups of the items that it was submitted with.
+    :param carried: the groups that an earlier job of the same account and model had as well; the
+        trainer waits for these.
+    :param texts: parts of the texts of items that are not listed; the parts of an item are in
+        order.
     """
 
     job: Job
@@ -43,18 +52,18 @@
     texts: tuple[TextPart, ...] = ()
 
 
-class KeptJob:
+class JobRecord:
     """
-    One job.
-
-    :param job: as submitted, without its items.
-    :param total: items that it was submitted with.
-    :param item_by_id: items that are not listed yet.
-    :param results: by position.
-    :param ended: nothing of it is to run any more.
-    :param groups: all groups that it was submitted with.
-    :param carried: groups that an earlier job had as well.
-    :param parts_by_item: what was made of items that are not listed.
+    A job in memory.
+
+    :param job: the job as submitted, but without its items.
+    :param total: number of items that it was submitted with.
+    :param item_by_id: the items that are not listed yet.
+    :param results: the listed results; the index of a result is its position.
+    :param ended: none of its items may run any more.
+    :param groups: all groups of the items that it was submitted with.
+    :param carried: the groups that an earlier job of the same account and model had as well.
+    :param parts_by_item: parts of the texts of items that are not listed, by item id.
     """
 
     def __init__(self, stored: StoredJob) -> None:
@@ -67,10 +76,15 @@
         self.carried = frozenset(stored.carried)
         self.parts_by_item: dict[str, list[TextPart]] = {}
         for part in stored.texts:
-            self.keep(part)
+            self.add_part(part)
+
+    def add_part(self, part: TextPart) -> None:
+        """
+        Append a part to the text of its item.
 
-    def keep(self, part: TextPart) -> None:
-        """Add to an item's text, where the part follows on what is kept."""
+        A part from the first event on replaces the text. A part that does not continue the stored
+        text is ignored: it was sent twice, or parts before it are missing.
+        """
         parts = self.parts_by_item.setdefault(part.item, [])
         if part.after == 0:
             parts.clear()
@@ -78,15 +92,15 @@
             return
         parts.append(part)
 
-    def whole_text(self, item: str) -> str | None:
-        """The text of an item that is kept whole; None where it is not."""
+    def complete_text(self, item: str) -> str | None:
+        """Return the text of an item if all its parts are stored; None otherwise."""
         parts = self.parts_by_item.get(item)
         if not parts or not parts[-1].whole:
             return None
         return "\n".join(part.output for part in parts if part.events)
 
-    def stored(self) -> StoredJob:
-        """Describe the job for a snapshot."""
+    def to_stored(self) -> StoredJob:
+        """Return the job as it is written to a snapshot."""
         job = replace(self.job, items=tuple(self.item_by_id.values()))
         groups = tuple(sorted(self.groups))
         carried = tuple(sorted(self.carried))
@@ -95,119 +109,135 @@
 
 
 class JobsState:
-    """The service `jobs_state`; only consensus applies to it, others read."""
+    """
+    The service `jobs_state`: all jobs by id.
+
+    Only the consensus service changes it, by applying committed commands; other services read it.
+    """
 
     name = "jobs_state"
 
     def __init__(self) -> None:
-        self.job_by_id: dict[str, KeptJob] = {}
-        self._on_change: list[Callable[[str], None]] = []
+        self.job_by_id: dict[str, JobRecord] = {}
+        self._subscribers: list[Callable[[str], None]] = []
         self._apply_by_type: dict[type[Any], Callable[[Any], None]] = {
-            AcceptJob: self._accept,
-            RecordResults: self._record,
-            RecordKept: self._record_kept,
-            KeepTexts: self._keep,
-            CloseJob: self._close,
-            ForgetJobs: self._forget,
+            AcceptJob: self._accept_job,
+            RecordResults: self._record_results,
+            RecordKept: self._record_results_of_parts,
+            KeepTexts: self._add_parts,
+            CloseJob: self._close_job,
+            ForgetJobs: self._remove_jobs,
         }
 
     async def start(self, kernel: Kernel) -> None:
-        """Nothing to start."""
+        """No-op: the state depends on no other service."""
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: there is no task or connection to close."""
 
     def subscribe(self, callback: Callable[[str], None]) -> None:
-        """Call back with the job's id after each change; with an empty one after a restore."""
-        self._on_change.append(callback)
+        """
+        Register a callback for changes.
+
+        :param callback: called with the id of a job when it is accepted, ended or removed and when
+            results are listed; called with an empty string after a restore.
+        """
+        self._subscribers.append(callback)
 
     def apply(self, index: int, data: bytes) -> bytes:
         """
         Apply one committed command.
 
-        :param index: its log index.
-        :param data: a command, encoded by COMMANDS.
-        :return: nothing; what a command did is read from the state.
+        :param index: log index of the command.
+        :param data: the command, encoded by COMMANDS.
+        :return: always empty; the effect of a command is visible in the state.
         """
         command = COMMANDS.decode(data)
         self._apply_by_type[type(command)](command)
         return b""
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
-        return encode(tuple(job.stored() for job in self.job_by_id.values()))
+        """Encode the complete state."""
+        return encode(tuple(job.to_stored() for job in self.job_by_id.values()))
 
     def restore(self, data: bytes) -> None:
-        """Take the state over from a snapshot."""
+        """Replace the state by that of a snapshot."""
         jobs = decode(data, tuple[StoredJob, ...])
-        self.job_by_id = {stored.job.job: KeptJob(stored) for stored in jobs}
-        self._changed("")
+        self.job_by_id = {stored.job.job: JobRecord(stored) for stored in jobs}
+        self._notify("")
 
-    def _changed(self, job: str) -> None:
-        for callback in self._on_change:
+    def _notify(self, job: str) -> None:
+        for callback in self._subscribers:
             callback(job)
 
-    def _accept(self, command: AcceptJob) -> None:
+    def _accept_job(self, command: AcceptJob) -> None:
         job = command.job
         if job.job in self.job_by_id:
             return
         items = {item.item: item for item in job.items}
         groups = {item.group for item in job.items}
-        known = {
+        earlier_groups = {
             group
-            for kept in self.job_by_id.values()
-            if (kept.job.client_account, kept.job.model) == (job.client_account, job.model)
-            for group in kept.groups
+            for job_record in self.job_by_id.values()
+            if (job_record.job.client_account, job_record.job.model)
+            == (job.client_account, job.model)
+            for group in job_record.groups
         }
         stored = StoredJob(
-            job, len(items), (), False, tuple(sorted(groups)), tuple(sorted(groups & known))
+            job,
+            len(items),
+            (),
+            False,
+            tuple(sorted(groups)),
+            tuple(sorted(groups & earlier_groups)),
         )
-        self.job_by_id[job.job] = KeptJob(stored)
-        self._changed(job.job)
+        self.job_by_id[job.job] = JobRecord(stored)
+        self._notify(job.job)
 
-    def _record(self, command: RecordResults) -> None:
-        kept = self.job_by_id.get(command.job)
-        if kept is None:
+    def _record_results(self, command: RecordResults) -> None:
+        job_record = self.job_by_id.get(command.job)
+        if job_record is None:
             return
         for result in command.results:
-            # An item may have run twice; its first result keeps the position that was read.
-            if kept.item_by_id.pop(result.item, None) is not None:
-                kept.results.append(result)
-                kept.parts_by_item.pop(result.item, None)
-        self._changed(command.job)
-
-    def _record_kept(self, command: RecordKept) -> None:
-        kept = self.job_by_id.get(command.job)
-        if kept is None:
+            # An item may have run twice. Only its first result is listed: a caller may have read
+            # that position already.
+            if job_record.item_by_id.pop(result.item, None) is not None:
+                job_record.results.append(result)
+                job_record.parts_by_item.pop(result.item, None)
+        self._notify(command.job)
+
+    def _record_results_of_parts(self, command: RecordKept) -> None:
+        job_record = self.job_by_id.get(command.job)
+        if job_record is None:
             return
         results = []
         for result in command.results:
-            text = kept.whole_text(result.item)
-            # The item may be listed by now; then nothing is kept of it any more.
+            text = job_record.complete_text(result.item)
+            # If the item was listed meanwhile, its parts have been removed.
             if text is not None:
                 results.append(replace(result, output=text))
-        self._record(RecordResults(command.job, tuple(results)))
+        self._record_results(RecordResults(command.job, tuple(results)))
 
-    def _keep(self, command: KeepTexts) -> None:
-        kept = self.job_by_id.get(command.job)
-        if kept is None:
+    def _add_parts(self, command: KeepTexts) -> None:
+        job_record = self.job_by_id.get(command.job)
+        if job_record is None:
             return
         for part in command.parts:
-            if part.item in kept.item_by_id:
-                kept.keep(part)
-
-    def _close(self, command: CloseJob) -> None:
-        kept = self.job_by_id.get(command.job)
-        if kept is not None:
-            kept.ended = True
-            kept.item_by_id.clear()
-            kept.parts_by_item.clear()
-            self._changed(command.job)
-
-    def _forget(self, command: ForgetJobs) -> None:
+            if part.item in job_record.item_by_id:
+                job_record.add_part(part)
+
+    def _close_job(self, command: CloseJob) -> None:
+        job_record = self.job_by_id.get(command.job)
+        if job_record is not None:
+            job_record.ended = True
+            job_record.item_by_id.clear()
+            job_record.parts_by_item.clear()
+            self._notify(command.job)
+
+    def _remove_jobs(self, command: ForgetJobs) -> None:
         for job in command.jobs:
             if self.job_by_id.pop(job, None) is not None:
-                self._changed(job)
+                self._notify(job)
 
 
-__all__ = ["JobsState", "KeptJob"]
+__all__ = ["JobsState", "JobRecord"]
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/status.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/status.py
@@ -1,4 +1,4 @@
-"""The service `jobs_status`: tells operators what the jobs' leader knows."""
+"""The service `jobs_status`: reports jobs and runners to operators."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class StatusService:
-    """Answers on the leader."""
+    """Answers `ReadJobsStatus` on the leader of the jobs' log."""
 
     name = "jobs_status"
 
@@ -32,7 +32,7 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Register what is answered here."""
+        """Register the message handler."""
         self._jobs = kernel.find("jobs")
         self._state = kernel.find("jobs_state")
         self._view = kernel.find("directory_view")
@@ -40,40 +40,40 @@
         kernel.find("peer_server").answer(ReadJobsStatus, self.read)
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: there is no task or connection to close."""
 
     async def read(self, message: ReadJobsStatus) -> Any:
-        """Tell how things are, on the leader."""
-        if not self._jobs.leads():
+        """Return the state of all jobs and runners; NotLeader if this store is not the leader."""
+        if not self._jobs.has_leader_lease():
             return NotLeader(self._consensus.leader_hint)
         dispatcher = self._jobs.dispatcher()
         running_by_job = Counter(run.job for run in dispatcher.run_by_number.values())
         wall_s = self._view.wall_s()
         jobs = []
-        for job_id, kept in self._state.job_by_id.items():
+        for job_id, job_record in self._state.job_by_id.items():
             jobs.append(
                 JobStatus(
                     job=job_id,
-                    client_account=kept.job.client_account,
-                    model=kept.job.model,
-                    total=kept.total,
-                    listed=len(kept.results),
+                    client_account=job_record.job.client_account,
+                    model=job_record.job.model,
+                    total=job_record.total,
+                    listed=len(job_record.results),
                     running=running_by_job[job_id],
-                    halves=len(kept.parts_by_item),
-                    ended=kept.ended,
-                    age_s=round(wall_s - kept.job.submitted_s, 3),
+                    halves=len(job_record.parts_by_item),
+                    ended=job_record.ended,
+                    age_s=round(wall_s - job_record.job.submitted_s, 3),
                 )
             )
         runners = [
-            RunnerStatus(one.address, one.data_centre, len(one.sequence_by_number))
-            for one in dispatcher.runners.runner_by_address.values()
+            RunnerStatus(runner.address, runner.data_centre, len(runner.sequence_by_number))
+            for runner in dispatcher.runners.runner_by_address.values()
         ]
         return JobsStatus(
             leader=self._settings.daemon,
             term=self._consensus.term,
             voters=tuple(voter.daemon for voter in self._consensus.core.members.voters),
-            jobs=tuple(sorted(jobs, key=lambda one: one.age_s)),
-            runners=tuple(sorted(runners, key=lambda one: one.address)),
+            jobs=tuple(sorted(jobs, key=lambda status: status.age_s)),
+            runners=tuple(sorted(runners, key=lambda status: status.address)),
         )
 
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/surroundings.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/surroundings.py
@@ -1,4 +1,4 @@
-"""What the dispatcher asks of the daemon around it."""
+"""The callbacks through which the dispatcher reads the state of its daemon."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 @dataclass(frozen=True)
 class Surroundings:
     """
-    What the dispatcher asks of the daemon around it.
+    Callbacks through which the dispatcher reads the state of its daemon.
 
-    :param serving: endpoints of a service that may get new work.
-    :param terms: terms of a service; None for an unknown one.
-    :param loads: whether an endpoint begins nothing for a model because it loads.
-    :param wall_s: agreed time of day in seconds since 1970.
+    :param serving: returns the endpoints of a service that accept new requests.
+    :param terms: returns the terms of a service; None if the service is unknown.
+    :param is_loading: whether an endpoint (its id is the first argument) is loading weights of a
+        model (the second argument) and starts no requests for that model meanwhile.
+    :param wall_s: returns the wall-clock time that most daemons agree on, in seconds since 1970.
     """
 
     serving: Callable[[str], tuple[EndpointRecord, ...]]
     terms: Callable[[str], ServiceTerms | None]
     wall_s: Callable[[], float]
-    loads: Callable[[str, str], bool] = lambda endpoint, model: False
+    is_loading: Callable[[str, str], bool] = lambda endpoint, model: False
 
 
 __all__ = ["Surroundings"]
--- a/tests/unit/jobs/test_reward_calls.py
+++ b/tests/unit/jobs/test_reward_calls.py
@@ -3,189 +3,197 @@
 import dataclasses
 
 import pytest
-from unit.jobs.test_dispatcher import ENGINE, _World
+from unit.jobs.test_dispatcher import ENGINE, DispatcherHarness
 from unit.jobs.test_state import job_of
 
 from ibisspring_core.messages.jobs import ABANDONED, COMPLETED, PART, Outcome, RewardCall
 from ibisspring_jobs.commands import KeepTexts
 from ibisspring_jobs.state import JobsState
 
-CALL = RewardCall("r0", "ledger.example", "/score/0", b"body")
+REWARD_CALL = RewardCall("r0", "ledger.example", "/score/0", b"body")
 
 
-def scored_items(items: int = 1):
+def items_with_reward_calls(items: int = 1):
     return tuple(
-        dataclasses.replace(one, reward=dataclasses.replace(CALL, request=f"r-{one.item}"))
-        for one in job_of(items=items).items
+        dataclasses.replace(item, reward=dataclasses.replace(REWARD_CALL, request=f"r-{item.item}"))
+        for item in job_of(items=items).items
     )
 
 
-class _ScoredWorld(_World):
-    """A job whose items have reward calls."""
+class ScoredHarness(DispatcherHarness):
+    """A dispatcher with a job whose items have reward calls."""
 
     def __init__(self, items: int = 1) -> None:
-        super().__init__(ENGINE, items=scored_items(items))
+        super().__init__(ENGINE, items=items_with_reward_calls(items))
 
-    def whole(self, number: int, after: int = 0, output: str = "a\nb") -> None:
-        """Hand a whole text over, as a runner does before it makes the reward call."""
+    def report_complete_text(self, number: int, after: int = 0, output: str = "a\nb") -> None:
+        """
+        Report the end of a text, as a runner does before it makes the reward call.
+
+        :param after: events of this run that were reported before.
+        :param output: the remaining events; empty if all of them were reported before.
+        """
         events = output.count("\n") + 1 if output else 0
         versions = (4,) if events else ()
         outcome = Outcome(number, PART, output, events, versions, 0.0, after, whole=True)
-        made = self.dispatcher.take_part(outcome)
-        if made is not None:
-            self.apply(KeepTexts(made[0], (made[1],)))
+        accepted = self.dispatcher.accept_part(outcome)
+        if accepted is not None:
+            self.apply(KeepTexts(accepted[0], (accepted[1],)))
 
 
 @pytest.fixture
-def world():
-    return _ScoredWorld()
+def harness():
+    return ScoredHarness()
 
 
-def test_a_whole_text_is_listed_with_its_score(world) -> None:
-    number = world.poll()[0].number
-    world.whole(number)
-    assert world.state.job_by_id["j"].results == []
+def test_complete_text_is_listed_with_its_score(harness) -> None:
+    number = harness.poll()[0].number
+    harness.report_complete_text(number)
+    assert harness.state.job_by_id["j"].results == []
 
-    listed = world.end(number, "done", after=2, score="stamp")
+    listed = harness.end_run(number, "done", after=2, score="stamp")
 
     assert (listed.state, listed.output, listed.score) == (COMPLETED, "a\nb", "stamp")
-    assert world.state.job_by_id["j"].results == [listed]
+    assert harness.state.job_by_id["j"].results == [listed]
 
 
-def test_a_whole_text_is_not_listed_without_its_score(world) -> None:
-    # A runner of the version before knows no reward calls: it reports the text as done, and a
-    # trainer would read a result that nobody scored.
-    number = world.poll()[0].number
+def test_a_whole_text_is_not_listed_without_its_score(harness) -> None:
+    # A runner of the previous software version does not know reward calls and reports the text as
+    # done. If this were listed, a trainer would read a result without a score.
+    number = harness.poll()[0].number
 
-    assert world.end(number, "done", output="a\nb", events=2, versions=(4,)) is None
+    assert harness.end_run(number, "done", output="a\nb", events=2, versions=(4,)) is None
 
-    (again,) = world.poll(now=1.0)
-    assert (again.endpoint, again.resume_after) == ("", 2)
+    (reassigned,) = harness.poll(now=1.0)
+    assert (reassigned.endpoint, reassigned.resume_after) == ("", 2)
 
 
 @pytest.mark.parametrize("loss", ["runner", "lost answer", "broken"])
-def test_a_whole_text_goes_on_with_its_reward_call_alone(world, loss) -> None:
-    # A text is whole and its reward call under way when the runner dies, stops, or its answer is
-    # lost. Made again, the text would take an engine's time once more and come too late.
-    number = world.poll(now=0.0)[0].number
-    world.whole(number)
+def test_a_whole_text_goes_on_with_its_reward_call_alone(harness, loss) -> None:
+    # The runner fails or stops, or the answer to its call is lost, while the reward call of a
+    # complete text is in progress. If the text were generated again, this would use an engine's
+    # time a second time and the result would be too late.
+    number = harness.poll(now=0.0)[0].number
+    harness.report_complete_text(number)
     if loss == "runner":
-        world.dispatcher.sweep(5.0)
+        harness.dispatcher.sweep(5.0)
     if loss == "lost answer":
-        world.dispatcher._lose(number, "answer lost")
+        harness.dispatcher._drop_lost_run(number, "not held by the runner")
     if loss == "broken":
-        world.end(number, "broken", now=5.0, after=2, whole=True)
+        harness.end_run(number, "broken", now=5.0, after=2, whole=True)
 
-    (again,) = world.poll(now=5.0, runner="e2")
+    (reassigned,) = harness.poll(now=5.0, runner="e2")
 
-    assert (again.item.item, again.endpoint, again.resume_after) == ("i0", "", 2)
-    listed = world.end(again.number, "done", score="stamp")
+    assert (reassigned.item.item, reassigned.endpoint, reassigned.resume_after) == ("i0", "", 2)
+    listed = harness.end_run(reassigned.number, "done", score="stamp")
     assert (listed.output, listed.versions, listed.score) == ("a\nb", (4,), "stamp")
 
 
-def test_a_whole_text_outlives_the_jobs_leader(world) -> None:
-    # All stores lose power between text and score. The log holds the whole text, so only the
-    # reward call begins anew.
-    world.whole(world.poll()[0].number)
+def test_a_whole_text_outlives_the_jobs_leader(harness) -> None:
+    # All stores lose power after the text is complete and before it is scored. The log contains the
+    # complete text, so only the reward call is repeated.
+    harness.report_complete_text(harness.poll()[0].number)
     restored = JobsState()
-    restored.restore(world.state.snapshot())
-    world.state = restored
-    world.dispatcher._state = restored
+    restored.restore(harness.state.snapshot())
+    harness.state = restored
+    harness.dispatcher._state = restored
 
-    world.change_leader()
+    harness.change_leader()
 
-    (again,) = world.poll()
-    assert (again.endpoint, again.resume_after) == ("", 2)
-    assert world.end(again.number, "done", score="stamp").output == "a\nb"
+    (reassigned,) = harness.poll()
+    assert (reassigned.endpoint, reassigned.resume_after) == ("", 2)
+    assert harness.end_run(reassigned.number, "done", score="stamp").output == "a\nb"
 
 
-def test_a_text_that_became_whole_without_a_new_event_is_known_to_be_whole(world) -> None:
-    # The last event was handed over with a part before; the stream's end alone is the news.
-    number = world.poll()[0].number
-    world.part(number, 0, "a\nb")
-    world.whole(number, after=2, output="")
+def test_text_is_complete_after_an_end_report_without_new_events(harness) -> None:
+    # The last event was already reported in a part; the last report contains only the end of the
+    # stream.
+    number = harness.poll()[0].number
+    harness.report_part(number, 0, "a\nb")
+    harness.report_complete_text(number, after=2, output="")
 
-    world.change_leader()
+    harness.change_leader()
 
-    assert world.poll()[0].endpoint == ""
+    assert harness.poll()[0].endpoint == ""
 
 
-def test_what_a_broken_run_made_is_kept_in_the_log(world) -> None:
-    # An engine breaks off, another goes on, and the jobs' leader is lost. Kept only in the old
-    # leader's memory, the first part was a gap, and all parts after it were made again.
-    number = world.poll()[0].number
+def test_text_of_a_broken_run_is_kept_in_the_log(harness) -> None:
+    # The stream of one engine breaks, another engine continues the text, and then the jobs' leader
+    # fails. If the first part were only in the old leader's memory, the log would have a gap there
+    # and all parts after it would be generated again.
+    number = harness.poll()[0].number
     broken = Outcome(number, "broken", "a", 1, (4,))
-    made = world.dispatcher.take_part(broken)
-    world.apply(KeepTexts(made[0], (made[1],)))
-    world.dispatcher.report(broken, 0.0)
-    again = world.poll(now=1.0)[0]
-    assert again.resume_after == 1
-    world.part(again.number, 0, "b")
+    accepted = harness.dispatcher.accept_part(broken)
+    harness.apply(KeepTexts(accepted[0], (accepted[1],)))
+    harness.dispatcher.report(broken, 0.0)
+    reassigned = harness.poll(now=1.0)[0]
+    assert reassigned.resume_after == 1
+    harness.report_part(reassigned.number, 0, "b")
 
-    world.change_leader()
+    harness.change_leader()
 
-    assert world.poll(now=2.0)[0].resume_after == 2
+    assert harness.poll(now=2.0)[0].resume_after == 2
 
 
-def test_a_reward_call_leaves_its_place_at_the_engine(world) -> None:
-    # Texts of a step end together and wait for their scores; engines that are free meanwhile must
-    # begin the next ones.
-    world = _ScoredWorld(items=3)
-    first = world.poll()
+def test_reward_call_uses_no_slot_of_the_engine(harness) -> None:
+    # Many texts of a step end at the same time and wait for their scores. The engines must start
+    # the next items meanwhile.
+    harness = ScoredHarness(items=3)
+    first = harness.poll()
     assert len(first) == 2
-    world.whole(first[0].number)
+    harness.report_complete_text(first[0].number)
 
-    more = world.poll(running=(1, 2), now=0.1)
+    additional = harness.poll(running=(1, 2), now=0.1)
 
-    assert [one.endpoint for one in more] == ["engine-1"]
+    assert [assignment.endpoint for assignment in additional] == ["engine-1"]
 
 
-def test_a_reward_call_is_neither_slow_nor_moved(world) -> None:
-    # While its reward call is under way a run makes no event. Taken for a stream that stands
-    # still, it would make its engine look slow and be stopped.
-    number = world.poll()[0].number
-    world.poll(running=(number,), now=0.5, events=(2,))
-    world.whole(number)
+def test_run_in_its_reward_call_is_not_measured_and_not_moved(harness) -> None:
+    # A run produces no events during its reward call. If it counted as a stream, its engine would
+    # seem slow and the run would be moved.
+    number = harness.poll()[0].number
+    harness.poll(running=(number,), now=0.5, events=(2,))
+    harness.report_complete_text(number)
     for step in range(1, 5):
-        world.poll(running=(number,), now=0.5 + step, events=(2,))
+        harness.poll(running=(number,), now=0.5 + step, events=(2,))
 
-    assert world.dispatcher.engines.paces._pace_by_engine == {}
-    world.dispatcher.move_stragglers(6.0)
-    assert not world.dispatcher.run_by_number[number].moved
+    assert harness.dispatcher.engines.paces._pace_by_engine == {}
+    harness.dispatcher.move_stragglers(6.0)
+    assert not harness.dispatcher.run_by_number[number].moved
 
 
-def test_a_call_that_failed_as_often_as_it_may_is_given_up(world) -> None:
-    number = world.poll()[0].number
-    world.whole(number)
+def test_item_is_abandoned_when_its_reward_call_has_no_attempts_left(harness) -> None:
+    number = harness.poll()[0].number
+    harness.report_complete_text(number)
 
-    listed = world.end(number, "unscored", after=2, whole=True)
+    listed = harness.end_run(number, "unscored", after=2, whole=True)
 
     assert (listed.state, listed.output, listed.score) == (ABANDONED, "", "")
-    assert world.poll(now=1.0) == ()
+    assert harness.poll(now=1.0) == ()
 
 
-def test_a_text_of_versions_that_the_job_does_not_take_is_not_scored(world) -> None:
-    number = world.poll()[0].number
+def test_text_of_a_too_old_version_is_not_scored(harness) -> None:
+    number = harness.poll()[0].number
     outcome = Outcome(number, PART, "a", 1, (0,), 0.0, 0, whole=True)
-    world.state.job_by_id["j"].job = dataclasses.replace(
-        world.state.job_by_id["j"].job, min_version=4
+    harness.state.job_by_id["j"].job = dataclasses.replace(
+        harness.state.job_by_id["j"].job, min_version=4
     )
-    assert world.dispatcher.take_part(outcome) is None
+    assert harness.dispatcher.accept_part(outcome) is None
 
-    assert world.end(number, "done", after=1, score="stamp") is None
+    assert harness.end_run(number, "done", after=1, score="stamp") is None
 
-    (again,) = world.poll(now=1.0)
-    assert (again.endpoint, again.resume_after) == ("engine-1", 0)
+    (reassigned,) = harness.poll(now=1.0)
+    assert (reassigned.endpoint, reassigned.resume_after) == ("engine-1", 0)
 
 
-def test_an_end_stops_reward_calls(world) -> None:
+def test_an_end_stops_reward_calls(harness) -> None:
     from ibisspring_jobs.commands import CloseJob
 
-    number = world.poll()[0].number
-    world.whole(number)
+    number = harness.poll()[0].number
+    harness.report_complete_text(number)
 
-    world.apply(CloseJob("j"))
+    harness.apply(CloseJob("j"))
 
-    runner = world.dispatcher.runners.runner_by_address["e1"]
+    runner = harness.dispatcher.runners.runner_by_address["e1"]
     assert runner.cancelled == [number]
-    assert world.poll(now=3.0) == ()
+    assert harness.poll(now=3.0) == ()
--- a/tests/unit/jobs/test_service.py
+++ b/tests/unit/jobs/test_service.py
@@ -1,4 +1,4 @@
-"""The jobs' leader, with a log that applies at once."""
+"""The service `jobs` on a leader, with a log that applies each command at once."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     leader_hint = ""
 
     def __init__(self) -> None:
-        self.written: list[bytes] = []
+        self.commands: list[bytes] = []
 
     async def start(self, kernel: Kernel) -> None:
         self._state = kernel.find("jobs_state")
@@ -49,7 +49,7 @@
         return 0.5
 
     async def propose(self, data: bytes) -> Committed:
-        self.written.append(data)
+        self.commands.append(data)
         return Committed(1, self._state.apply(1, data))
 
 
@@ -82,17 +82,17 @@
     await kernel.stop()
 
 
-async def _begin(jobs: Jobs) -> int:
-    """Take one item; its number."""
+async def _take_one_item(jobs: Jobs) -> int:
+    """Make a runner's call for one item, and return the number of the assignment."""
     call = TakeWork("e1", "derby", "x", 7, 1, (), 1, 0.0)
     return (await jobs.take_work(call)).assignments[0].number
 
 
-async def test_a_long_text_is_written_to_the_log_once(jobs) -> None:
-    # Each replica stands in another data centre: listed whole after its parts were kept, every text
-    # of more than a second went there twice.
+async def test_text_with_parts_is_written_to_the_log_once(jobs) -> None:
+    # The replicas are in different data centres. A result with the complete text after its parts
+    # were committed would send every text that takes more than one second to them twice.
     jobs, log = jobs
-    number = await _begin(jobs)
+    number = await _take_one_item(jobs)
     first, last = "first" * 100, "last" * 100
 
     part = Outcome(number, PART, first, 1, (4,))
@@ -103,31 +103,33 @@
     read = await jobs.read_results(ReadResults(job_of().job, job_of().client_account, 0, 0.0, 9999))
     assert read.results[0].output == f"{first}\n{last}"
     assert read.results[0].versions == (4, 5)
-    written = b"".join(log.written)
-    assert written.count(first.encode()) == 1
-    assert written.count(last.encode()) == 1
+    commands = b"".join(log.commands)
+    assert commands.count(first.encode()) == 1
+    assert commands.count(last.encode()) == 1
 
 
-async def test_a_short_text_takes_one_command(jobs) -> None:
+async def test_text_without_parts_takes_one_command(jobs) -> None:
     jobs, log = jobs
-    number = await _begin(jobs)
-    before = len(log.written)
+    number = await _take_one_item(jobs)
+    before = len(log.commands)
 
     await jobs.report_work(ReportWork("e1", 7, (Outcome(number, "done", "a\nb", 2, (4,)),)))
 
-    assert len(log.written) == before + 1
+    assert len(log.commands) == before + 1
 
 
-async def test_a_leader_tells_of_long_results_and_any_store_gives_them(jobs) -> None:
+async def test_leader_returns_positions_of_long_results_and_any_store_returns_the_results(
+    jobs,
+) -> None:
     jobs, _ = jobs
-    number = await _begin(jobs)
+    number = await _take_one_item(jobs)
     text = "x" * 5000
     await jobs.report_work(ReportWork("e1", 7, (Outcome(number, "done", text, 1, (4,)),)))
     name, account = job_of().job, job_of().client_account
 
-    told = await jobs.read_results(ReadResults(name, account, 0, 0.0, 9999, inline_bytes=4000))
-    assert told == ResultsListed(len(job_of().items), 1)
-    read = await jobs.read_listed(ReadListed(name, account, 0, told.listed))
-    assert [one.output for one in read.results] == [text]
+    listed = await jobs.read_results(ReadResults(name, account, 0, 0.0, 9999, inline_bytes=4000))
+    assert listed == ResultsListed(len(job_of().items), 1)
+    read = await jobs.read_listed(ReadListed(name, account, 0, listed.listed))
+    assert [result.output for result in read.results] == [text]
     assert await jobs.read_listed(ReadListed(name, "other", 0, 1)) == ResultsRead(0, ())
     assert await jobs.read_listed(ReadListed("unknown", account, 0, 1)) == ResultsRead(0, ())
--- a/tests/unit/jobs/test_state.py
+++ b/tests/unit/jobs/test_state.py
@@ -33,7 +33,7 @@
     return ItemResult(item, COMPLETED, output, (1,))
 
 
-def applied(*commands: object) -> JobsState:
+def state_after(*commands: object) -> JobsState:
     state = JobsState()
     for index, command in enumerate(commands, 1):
         state.apply(index, COMMANDS.encode(command))
@@ -41,42 +41,47 @@
 
 
 def test_a_job_is_kept_once() -> None:
-    # An answer is lost and the trainer submits its job again, through another entry. Kept twice,
-    # its items would run twice and its results would stand at two positions.
-    state = applied(AcceptJob(job_of()), RecordResults("j", (result("i0"),)), AcceptJob(job_of()))
+    # The answer to a submission is lost and the trainer submits its job again through another
+    # entry. If the job were added twice, its items would run twice and have results at two
+    # positions.
+    state = state_after(
+        AcceptJob(job_of()), RecordResults("j", (result("i0"),)), AcceptJob(job_of())
+    )
 
-    kept = state.job_by_id["j"]
-    assert [one.item for one in kept.results] == ["i0"]
-    assert set(kept.item_by_id) == {"i1", "i2"}
-    assert kept.total == 3
+    job_record = state.job_by_id["j"]
+    assert [listed_result.item for listed_result in job_record.results] == ["i0"]
+    assert set(job_record.item_by_id) == {"i1", "i2"}
+    assert job_record.total == 3
 
 
 def test_a_position_never_changes() -> None:
-    # An item ran on two engines, both ended it. The second text under the first one's position
-    # would train a model on something that was never read.
-    state = applied(
+    # An item was completed on two engines. If the second text replaced the first at its position,
+    # the model would be trained on a text other than the one that was read.
+    state = state_after(
         AcceptJob(job_of()),
         RecordResults("j", (result("i1", "first"),)),
         RecordResults("j", (result("i1", "second"), result("i0"))),
     )
 
-    assert [(one.item, one.output) for one in state.job_by_id["j"].results] == [
+    assert [
+        (listed_result.item, listed_result.output) for listed_result in state.job_by_id["j"].results
+    ] == [
         ("i1", "first"),
         ("i0", "text"),
     ]
 
 
 def test_an_ended_job_has_nothing_left_to_run() -> None:
-    state = applied(AcceptJob(job_of()), RecordResults("j", (result("i1"),)), CloseJob("j"))
+    state = state_after(AcceptJob(job_of()), RecordResults("j", (result("i1"),)), CloseJob("j"))
 
-    kept = state.job_by_id["j"]
-    assert kept.ended
-    assert not kept.item_by_id
-    assert len(kept.results) == 1
+    job_record = state.job_by_id["j"]
+    assert job_record.ended
+    assert not job_record.item_by_id
+    assert len(job_record.results) == 1
 
 
-def test_a_snapshot_holds_all_and_is_the_same_after_a_restore() -> None:
-    state = applied(
+def test_snapshot_is_complete_and_unchanged_after_a_restore() -> None:
+    state = state_after(
         AcceptJob(job_of("a")),
         RecordResults("a", (result("i2"),)),
         AcceptJob(job_of("b")),
@@ -84,29 +89,29 @@
         AcceptJob(job_of("c")),
         ForgetJobs(("c",)),
     )
-    again = JobsState()
-    again.restore(state.snapshot())
+    restored = JobsState()
+    restored.restore(state.snapshot())
 
-    assert again.snapshot() == state.snapshot()
-    assert set(again.job_by_id) == {"a", "b"}
-    assert again.job_by_id["a"].item_by_id["i0"].body == b"body"
-    assert again.job_by_id["b"].ended
+    assert restored.snapshot() == state.snapshot()
+    assert set(restored.job_by_id) == {"a", "b"}
+    assert restored.job_by_id["a"].item_by_id["i0"].body == b"body"
+    assert restored.job_by_id["b"].ended
 
 
-def test_groups_of_an_earlier_job_are_known_as_carried_over() -> None:
-    # The trainer waits for the groups that its last step left unfinished, whichever others are
-    # whole; begun last, they hold up the step.
-    again = dataclasses.replace(
+def test_groups_of_an_earlier_job_are_marked_as_carried() -> None:
+    # The trainer waits for the groups that its last step left unfinished, no matter which other
+    # groups are complete. If these groups started last, they would delay the step.
+    second = dataclasses.replace(
         job_of("b"), items=tuple(JobItem(f"x{n}", "/", (), b"", 900, f"g{n}") for n in range(2))
     )
     first = dataclasses.replace(
         job_of("a"), items=tuple(JobItem(f"y{n}", "/", (), b"", 900, f"g{n}") for n in range(1, 3))
     )
-    state = applied(AcceptJob(first), AcceptJob(again))
+    state = state_after(AcceptJob(first), AcceptJob(second))
 
     assert state.job_by_id["b"].carried == {"g1"}
     assert state.job_by_id["a"].carried == frozenset()
-    other = dataclasses.replace(again, job="c", client_account="another")
+    other = dataclasses.replace(second, job="c", client_account="another")
     state.apply(3, COMMANDS.encode(AcceptJob(other)))
     assert state.job_by_id["c"].carried == frozenset()
 
@@ -116,12 +121,13 @@
 
 
 def texts_of(state: JobsState, item: str) -> list[str]:
-    return [one.output for one in state.job_by_id["j"].parts_by_item.get(item, ())]
+    return [stored.output for stored in state.job_by_id["j"].parts_by_item.get(item, ())]
 
 
-def test_parts_are_kept_where_they_follow_on_what_is_kept() -> None:
-    # A report is sent again because its answer was lost; a part taken twice would double events.
-    state = applied(
+def test_part_is_stored_only_if_it_continues_the_stored_text() -> None:
+    # A runner sends a report again if the answer to it was lost. If a part were stored twice, the
+    # text would contain its events twice.
+    state = state_after(
         AcceptJob(job_of()),
         KeepTexts("j", (part("i0", 0, "a"), part("i0", 1, "b\nc", 2))),
         KeepTexts("j", (part("i0", 1, "b\nc", 2), part("i0", 4, "e"))),
@@ -131,8 +137,8 @@
     assert texts_of(state, "i0") == ["a", "b\nc", "d"]
 
 
-def test_a_text_that_begins_anew_takes_the_place_of_the_old_one() -> None:
-    state = applied(
+def test_part_from_the_first_event_replaces_the_text() -> None:
+    state = state_after(
         AcceptJob(job_of()),
         KeepTexts("j", (part("i0", 0, "old"), part("i0", 1, "old too"))),
         KeepTexts("j", (part("i0", 0, "new"),)),
@@ -141,8 +147,8 @@
     assert texts_of(state, "i0") == ["new"]
 
 
-def test_texts_of_what_has_ended_are_dropped() -> None:
-    state = applied(
+def test_texts_of_listed_items_and_ended_jobs_are_removed() -> None:
+    state = state_after(
         AcceptJob(job_of()),
         KeepTexts("j", (part("i0", 0, "a"), part("i1", 0, "a"))),
         RecordResults("j", (result("i0"),)),
@@ -156,8 +162,8 @@
     assert state.job_by_id["j"].parts_by_item == {}
 
 
-def test_texts_stand_in_a_snapshot() -> None:
-    state = applied(
+def test_snapshot_contains_the_texts() -> None:
+    state = state_after(
         AcceptJob(job_of()),
         KeepTexts("j", (part("i0", 0, "a"), part("i0", 1, "b"))),
     )
@@ -168,29 +174,30 @@
     assert texts_of(restored, "i0") == ["a", "b"]
 
 
-def test_a_result_may_stand_for_the_text_that_is_kept() -> None:
-    # A text of a kilobyte was sent to the other stores as its parts and once more as its result.
-    whole = TextPart("i0", 2, "c", 1, (5,), whole=True)
-    bare = ItemResult("i0", COMPLETED, "", (4, 5), "stamp")
-    state = applied(
+def test_result_without_output_gets_the_stored_text() -> None:
+    # Without this, a text of one kilobyte is sent to the other stores twice: as its parts and in
+    # its result.
+    last_part = TextPart("i0", 2, "c", 1, (5,), whole=True)
+    result_without_output = ItemResult("i0", COMPLETED, "", (4, 5), "stamp")
+    state = state_after(
         AcceptJob(job_of()),
-        KeepTexts("j", (TextPart("i0", 0, "a\nb", 2, (4,)), whole)),
-        RecordKept("j", (bare,)),
-        RecordKept("j", (dataclasses.replace(bare, score="other"),)),
+        KeepTexts("j", (TextPart("i0", 0, "a\nb", 2, (4,)), last_part)),
+        RecordKept("j", (result_without_output,)),
+        RecordKept("j", (dataclasses.replace(result_without_output, score="other"),)),
     )
 
-    kept = state.job_by_id["j"]
-    assert kept.results == [dataclasses.replace(bare, output="a\nb\nc")]
-    assert "i0" not in kept.item_by_id
+    job_record = state.job_by_id["j"]
+    assert job_record.results == [dataclasses.replace(result_without_output, output="a\nb\nc")]
+    assert "i0" not in job_record.item_by_id
 
 
-def test_a_result_without_its_text_lists_nothing() -> None:
-    # Listed, an item whose text is not whole would be read as an empty one.
-    bare = ItemResult("i0", COMPLETED, "", (4,))
-    state = applied(
+def test_result_without_output_is_not_listed_if_the_text_is_incomplete() -> None:
+    # If the result were listed although its text is incomplete, it would be read as an empty text.
+    result_without_output = ItemResult("i0", COMPLETED, "", (4,))
+    state = state_after(
         AcceptJob(job_of()),
         KeepTexts("j", (TextPart("i0", 0, "a", 1, (4,)),)),
-        RecordKept("j", (bare,)),
+        RecordKept("j", (result_without_output,)),
     )
 
     assert state.job_by_id["j"].results == []
