--- a/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
@@ -330,10 +330,10 @@
         :return: job id and result if the item is completed or abandoned; None if it runs again or
             the outcome does not count.
         """
-        ended = self._apply_outcome(outcome, now)
-        if ended is not None:
-            self.items.committing.add((ended[0], ended[1].item))
-        return ended
+        job_and_result = self._apply_outcome(outcome, now)
+        if job_and_result is not None:
+            self.items.committing.add((job_and_result[0], job_and_result[1].item))
+        return job_and_result
 
     def _apply_outcome(self, outcome: Outcome, now: float) -> tuple[str, ItemResult] | None:
         run = self.run_by_number.get(outcome.number)
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
@@ -26,7 +26,7 @@
     Manages which stores hold a replica of the jobs' log.
 
     Every store reports its disk to the directory. The stores that the directory selected bootstrap
-    the log. The leader replaces members that are permanently lost or being retired.
+    the log. The leader replaces members that no longer answer it or that are being retired.
     """
 
     name = "job_membership"
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
@@ -120,8 +120,8 @@
         """Return pairs of a model and the oldest weight version that its newest job accepts."""
         newest_by_model: dict[str, Job] = {}
         for job_record in self._state.job_by_id.values():
-            known = newest_by_model.get(job_record.job.model)
-            if known is None or job_record.job.submitted_s > known.submitted_s:
+            newest = newest_by_model.get(job_record.job.model)
+            if newest is None or job_record.job.submitted_s > newest.submitted_s:
                 newest_by_model[job_record.job.model] = job_record.job
         return tuple(sorted((model, job.min_version) for model, job in newest_by_model.items()))
 
@@ -231,7 +231,8 @@
         Return the results from a position on, as far as `max_bytes` allows.
 
         If there are none yet, wait up to `hold_s` seconds for the first. If the results exceed
-        `inline_bytes`, return only the range of their positions, which any store can answer.
+        `inline_bytes`, return only the range of their positions; any store can then be asked for
+        the results.
         """
         job_record = await self._find_job(message)
         if isinstance(job_record, (NotLeader, UnknownJob)):
@@ -339,14 +340,14 @@
             dispatcher.release_connection(reported, now)
             for outcome in dispatcher.split_outcome(reported):
                 if outcome.kind != "done" and (outcome.events or outcome.whole):
-                    accepted = dispatcher.accept_part(outcome)
-                    if accepted is not None:
-                        parts_by_job.setdefault(accepted[0], []).append(accepted[1])
+                    job_and_part = dispatcher.accept_part(outcome)
+                    if job_and_part is not None:
+                        parts_by_job.setdefault(job_and_part[0], []).append(job_and_part[1])
                 if outcome.kind == PART:
                     continue
-                ended = dispatcher.report(outcome, now)
-                if ended is not None:
-                    results_by_job.setdefault(ended[0], []).append(ended[1])
+                job_and_result = dispatcher.report(outcome, now)
+                if job_and_result is not None:
+                    results_by_job.setdefault(job_and_result[0], []).append(job_and_result[1])
         dispatcher.match(now)
         # A result without output refers to the parts in the log, so the parts are committed first.
         if not await self._commit_texts(parts_by_job) or not await self._commit_results(
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/state.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/state.py
@@ -62,7 +62,8 @@
     :param results: the listed results; the index of a result is its position.
     :param ended: none of its items may run any more.
     :param groups: all groups of the items that it was submitted with.
-    :param carried: the groups that an earlier job of the same account and model had as well.
+    :param carried: the groups that an earlier job of the same account and model had as well; their
+        items start before those of the job's other groups.
     :param parts_by_item: parts of the texts of items that are not listed, by item id.
     """
 
@@ -240,4 +241,4 @@
                 self._notify(job)
 
 
-__all__ = ["JobsState", "JobRecord"]
+__all__ = ["JobRecord", "JobsState"]
--- a/tests/unit/jobs/test_dispatcher.py
+++ b/tests/unit/jobs/test_dispatcher.py
@@ -70,10 +70,10 @@
 
     def end_run(self, number: int, kind: str, now: float = 0.0, **fields):
         """Report the outcome of a run, list the item's result if there is one, and return it."""
-        ended = self.dispatcher.report(Outcome(number, kind, **fields), now)
-        if ended is not None:
-            self.apply(RecordResults(ended[0], (ended[1],)))
-        return ended[1] if ended is not None else None
+        job_and_result = self.dispatcher.report(Outcome(number, kind, **fields), now)
+        if job_and_result is not None:
+            self.apply(RecordResults(job_and_result[0], (job_and_result[1],)))
+        return job_and_result[1] if job_and_result is not None else None
 
     def report_part(self, number: int, after: int, output: str, versions=(4,)) -> bool:
         """
@@ -83,12 +83,12 @@
         :return: whether the dispatcher accepted it.
         """
         events = output.count("\n") + 1
-        accepted = self.dispatcher.accept_part(
+        job_and_part = self.dispatcher.accept_part(
             Outcome(number, PART, output, events, versions, 0.0, after)
         )
-        if accepted is not None:
-            self.apply(KeepTexts(accepted[0], (accepted[1],)))
-        return accepted is not None
+        if job_and_part is not None:
+            self.apply(KeepTexts(job_and_part[0], (job_and_part[1],)))
+        return job_and_part is not None
 
     def change_leader(self) -> None:
         """Replace the dispatcher by that of a new leader, which has only the replicated state."""
--- a/tests/unit/jobs/test_reward_calls.py
+++ b/tests/unit/jobs/test_reward_calls.py
@@ -36,9 +36,9 @@
         events = output.count("\n") + 1 if output else 0
         versions = (4,) if events else ()
         outcome = Outcome(number, PART, output, events, versions, 0.0, after, whole=True)
-        accepted = self.dispatcher.accept_part(outcome)
-        if accepted is not None:
-            self.apply(KeepTexts(accepted[0], (accepted[1],)))
+        job_and_part = self.dispatcher.accept_part(outcome)
+        if job_and_part is not None:
+            self.apply(KeepTexts(job_and_part[0], (job_and_part[1],)))
 
 
 @pytest.fixture
@@ -123,8 +123,8 @@
     # and all parts after it would be generated again.
     number = harness.poll()[0].number
     broken = Outcome(number, "broken", "a", 1, (4,))
-    accepted = harness.dispatcher.accept_part(broken)
-    harness.apply(KeepTexts(accepted[0], (accepted[1],)))
+    job_and_part = harness.dispatcher.accept_part(broken)
+    harness.apply(KeepTexts(job_and_part[0], (job_and_part[1],)))
     harness.dispatcher.report(broken, 0.0)
     reassigned = harness.poll(now=1.0)[0]
     assert reassigned.resume_after == 1
--- a/tests/unit/jobs/test_texts_random.py
+++ b/tests/unit/jobs/test_texts_random.py
@@ -90,13 +90,13 @@
         dispatcher, harness = self.harness.dispatcher, self.harness
         for part_or_end in dispatcher.split_outcome(outcome):
             if part_or_end.kind == PART:
-                accepted = dispatcher.accept_part(part_or_end)
-                if accepted is not None:
-                    harness.apply(KeepTexts(accepted[0], (accepted[1],)))
+                job_and_part = dispatcher.accept_part(part_or_end)
+                if job_and_part is not None:
+                    harness.apply(KeepTexts(job_and_part[0], (job_and_part[1],)))
                 continue
-            ended = dispatcher.report(part_or_end, self.now)
-            if ended is not None:
-                harness.apply(RecordResults(ended[0], (ended[1],)))
+            job_and_result = dispatcher.report(part_or_end, self.now)
+            if job_and_result is not None:
+                harness.apply(RecordResults(job_and_result[0], (job_and_result[1],)))
 
     def step(self, action: str, count: int) -> None:
         if self.run is None:
@@ -171,15 +171,15 @@
 
     def report(self, outcome: Outcome) -> None:
         if outcome.kind != "done" and (outcome.events or outcome.whole):
-            accepted = self.harness.dispatcher.accept_part(outcome)
-            if accepted is not None:
-                self.harness.apply(KeepTexts(accepted[0], (accepted[1],)))
-                self.text_committed = self.text_committed or accepted[1].whole
+            job_and_part = self.harness.dispatcher.accept_part(outcome)
+            if job_and_part is not None:
+                self.harness.apply(KeepTexts(job_and_part[0], (job_and_part[1],)))
+                self.text_committed = self.text_committed or job_and_part[1].whole
         if outcome.kind == PART:
             return
-        ended = self.harness.dispatcher.report(outcome, self.now)
-        if ended is not None:
-            self.harness.apply(RecordResults(ended[0], (ended[1],)))
+        job_and_result = self.harness.dispatcher.report(outcome, self.now)
+        if job_and_result is not None:
+            self.harness.apply(RecordResults(job_and_result[0], (job_and_result[1],)))
 
     def end_text(self) -> None:
         """Produce and report the remaining events of the text, before its reward call."""
