--- a/packages/ibisspring-decisions/src/ibisspring_decisions/queue_lines.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/queue_lines.py
@@ -1,16 +1,15 @@
 """
-Lines of the fair queue: what waits of one client account, in its order.
+Queue of one client account's requests, the building block of the fair queue.
 
-Load pattern: thousands of requests wait at one entry, of a few accounts; each arrival and each free
-slot asks for the first of a line, and now and then for the last, or for the work ahead of a place.
+Thousands of requests of a few accounts wait at one entry. Each arrival and each free slot needs the
+first request of an account's queue; some decisions need the last request or the work ahead of a
+position. A single list of all requests would have to be sorted at each arrival, which costs more
+than forwarding a request when 2,000 are queued, and an account's share could not be derived from
+the length of its queue.
 
-Without it: one list for all is sorted anew at each arrival, which at 2,000 that wait costs more
-than forwarding a request; and an account's share cannot be told from its length in line.
-
-Grounds: a heap a line makes an arrival and a start cost the logarithm of the line; the seconds that
-wait are kept as a sum, since every refusal asks for them. `MOST_OF_PATIENCE` 0.9: callers ask for a
-bound of tokens and usually get fewer; by the estimate for the bound alone they would be refused for
-ever, on an idle system too, so an item never counts for more than this part of its patience.
+Each account therefore has a heap of its own, so that an arrival and a start take time logarithmic
+in the length of that queue. The queued seconds of work are kept as a sum, because each rejection
+from a full queue needs them.
 """
 
 from __future__ import annotations
@@ -18,7 +17,10 @@
 import heapq
 from dataclasses import dataclass, field
 
-MOST_OF_PATIENCE = 0.9
+# Callers ask for an upper bound of tokens and usually get fewer. With the estimate for the bound
+# itself, such a request would always be rejected, on an idle system too. Its expected work is
+# therefore limited to 0.9 of its wait limit, which leaves a tenth of the limit for queueing.
+MAX_COST_SHARE = 0.9
 
 
 @dataclass(frozen=True)
@@ -26,9 +28,10 @@
     """
     A request that waits for a slot.
 
-    :param item_id: unique among those that wait.
+    :param item_id: unique among the queued requests.
     :param cost_s: expected seconds of work.
-    :param deadline_s: when its caller stops waiting, on the clock of `now`.
+    :param deadline_s: when the caller stops waiting for the response, in seconds on the clock of
+        the queue's `now`.
     """
 
     item_id: str
@@ -38,65 +41,85 @@
 
     @classmethod
     def from_estimate(
-        cls, item_id: str, client_account: str, estimate_s: float, patience_s: float, now: float
+        cls, item_id: str, client_account: str, estimate_s: float, wait_limit_s: float, now: float
     ) -> Item:
         """
-        Build an item whose own estimate never makes it hopeless; only waiting may.
+        Build an item that finishes before its deadline if it starts at once, whatever its estimate.
+
+        Only time spent in the queue can make such an item miss its deadline.
 
         :param estimate_s: expected seconds of work.
-        :param patience_s: seconds that its caller waits for the whole answer.
-        :return: the item, expected to take at most `MOST_OF_PATIENCE` of the patience.
+        :param wait_limit_s: seconds that the caller waits for the complete response.
+        :return: the item; its `cost_s` is at most `MAX_COST_SHARE` of the wait limit.
         """
-        cost_s = min(estimate_s, MOST_OF_PATIENCE * patience_s)
-        return cls(item_id, client_account, cost_s, now + patience_s)
+        cost_s = min(estimate_s, MAX_COST_SHARE * wait_limit_s)
+        return cls(item_id, client_account, cost_s, now + wait_limit_s)
 
 
 @dataclass
-class Line:
-    """What waits of one account: a heap by order, and its charge in virtual seconds."""
+class AccountQueue:
+    """
+    Queued requests of one client account, with the state that the fair queue keeps for it.
+
+    :param weight: relative share of the slots.
+    :param charge_s: virtual seconds charged to the account: seconds of its started work, divided by
+        its weight.
+    :param last_retry_s: latest retry time that was sent with a rejection, on the clock of `now`.
+    :param heap: (sort key, arrival number, item), lowest first.
+    :param backlog_s: expected seconds of work of all queued items.
+    """
 
     weight: float
-    charged: float = 0.0
-    promised_s: float = 0.0
+    charge_s: float = 0.0
+    last_retry_s: float = 0.0
     heap: list[tuple[float, int, Item]] = field(default_factory=list)
-    waiting_s: float = 0.0
+    backlog_s: float = 0.0
+
+    def push(self, sort_key: float, arrival_number: int, item: Item) -> None:
+        """
+        Add an item.
 
-    def push(self, order: float, number: int, item: Item) -> None:
-        """Put an item in line."""
-        heapq.heappush(self.heap, (order, number, item))
-        self.waiting_s += item.cost_s
+        :param sort_key: position in the queue, lowest first.
+        :param arrival_number: unique number that orders items with equal sort keys.
+        """
+        heapq.heappush(self.heap, (sort_key, arrival_number, item))
+        self.backlog_s += item.cost_s
 
     def pop(self) -> Item:
-        """Take the first item."""
+        """Remove and return the first item."""
         item = heapq.heappop(self.heap)[2]
-        self.waiting_s = max(0.0, self.waiting_s - item.cost_s)
+        self.backlog_s = max(0.0, self.backlog_s - item.cost_s)
         return item
 
     def pop_last(self) -> Item:
-        """Take the last item."""
-        entry = max(self.heap)
-        self.keep([other for other in self.heap if other is not entry])
-        return entry[2]
+        """Remove and return the last item."""
+        last = max(self.heap)
+        self.keep([other for other in self.heap if other is not last])
+        return last[2]
 
-    def keep(self, entries: list[tuple[float, int, Item]]) -> None:
-        """Keep only these entries."""
-        heapq.heapify(entries)
-        self.heap = entries
-        self.waiting_s = sum(entry[2].cost_s for entry in entries)
+    def keep(self, retained: list[tuple[float, int, Item]]) -> None:
+        """
+        Replace the queue's content.
+
+        :param retained: heap entries to keep, in any order; the list is reordered in place.
+        """
+        heapq.heapify(retained)
+        self.heap = retained
+        self.backlog_s = sum(queued[2].cost_s for queued in retained)
 
-    def ahead_s(self, order: float) -> float:
-        """Seconds of work in line up to an order."""
-        return sum(entry[2].cost_s for entry in self.heap if entry[0] <= order)
+    def ahead_s(self, sort_key: float) -> float:
+        """Return the expected seconds of work of all items with at most this sort key."""
+        return sum(queued[2].cost_s for queued in self.heap if queued[0] <= sort_key)
 
 
-def charged(line: Line) -> float:
-    """Virtual seconds that a line was charged; the least goes next."""
-    return line.charged
+def charge_of(queue: AccountQueue) -> float:
+    """Return an account's charge in virtual seconds; the lowest is served next."""
+    return queue.charge_s
 
 
-def length(line: Line) -> float:
-    """Waiting seconds of a line for its weight; the longest gives way."""
-    return line.waiting_s / line.weight
+def weighted_backlog_s(queue: AccountQueue) -> float:
+    """Return the queued seconds of work per weight; a full queue drops from the highest."""
+    return queue.backlog_s / queue.weight
 
 
-__all__ = ["Item", "Line", "charged", "length"]
+__all__ = ["AccountQueue", "Item", "charge_of", "weighted_backlog_s"]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/queueing.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/queueing.py
@@ -1,38 +1,26 @@
 """
-Who waits: a weighted fair queue over client accounts in front of limited slots.
-
-Load pattern: the endpoints are full; one account sends ten times what the others do; a job of long
-generations arrives among short lookups; the overload lasts longer than callers wait.
-
-Without it: first come, first served gives an account its share of the arrivals, so one hot account
-starves all others; short lookups wait behind minutes of long work; and requests whose callers have
-given up are still worked on, so that nobody gets an answer in time though the endpoints are busy.
-
-How it decides:
-
-- Between accounts: start-time fair queueing. An account is charged the expected seconds of its work
-  divided by its weight, and the account charged least goes next. An idle account saves up nothing.
-- Within an account: by arrival plus `PATIENCE` times the expected seconds. A short request passes
-  a long one, but only for a time in proportion to the long one's own length, so that it never
-  starves.
-- A request that cannot finish before its deadline, by what its account has in line and its share of
-  the slots, is refused when it comes; one that has become hopeless in line is refused as soon as
-  that is known and is never started.
-- Who is refused is told when such a request would fit, each one later than the one before by the
-  time that its work takes, so that those who come back as told do not come together.
-
-Grounds for the figures:
-
-- `PATIENCE` 4.0: a long request is passed by short ones for at most four times its own length; at
-  1.0 lookups that came a few seconds after a batch of long work still waited behind all of it.
-- `MOST_OF_PATIENCE` 0.9: callers ask for a bound of tokens and usually get fewer; by the estimate
-  for the bound alone they would be refused for ever, on an idle system too. Such a request may
-  wait a tenth of its patience.
-- `MAX_WAITING` 2,000: with 3,600 requests a second over 380 entries that is minutes of arrivals at
-  one entry; at some kilobytes each it fits the memory of an entry.
-- When it is full, the account with the longest line for its weight gives up its last request: a hot
-  account cannot fill the queue against the others.
-- `MAX_RETRY_AFTER_S` 60 s: a longer estimate is not worth promising.
+Weighted fair queue over client accounts, in front of a limited number of slots.
+
+During a long overload, a first-come, first-served queue gives each account a share in proportion to
+its arrivals. One account that sends ten times as much as the others then starves them, short
+lookups wait behind minutes of long generations, and slots are spent on requests whose callers have
+already timed out, so that no caller is answered in time although the endpoints are busy.
+
+This queue decides as follows:
+
+- Between accounts: start-time fair queueing. Each started request charges its account the expected
+  seconds of work divided by the account's weight, and the account with the lowest charge is served
+  next. An idle account accumulates no credit.
+- Within an account: in order of arrival time plus `PATIENCE` times the expected seconds of work. A
+  short request overtakes a long one only for a time in proportion to the long one's expected work,
+  so that long requests do not starve.
+- Deadlines: a request that is expected to miss its deadline, given the work queued for its account
+  and the account's share of the slots, is rejected on arrival. A queued request that can no longer
+  finish before its deadline is rejected as soon as this is detected and is never started. Expected
+  work is limited to 0.9 of the request's time limit (see `Item.from_estimate`).
+- Rejections: each one states after how many seconds a similar request is expected to fit. The retry
+  times of one account are spaced by the time that the rejected work takes, so that callers who
+  retry at these times do not arrive all at once.
 """
 
 from __future__ import annotations
@@ -40,14 +28,19 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ibisspring_decisions.queue_lines import Item, Line, charged, length
+from ibisspring_decisions.queue_lines import AccountQueue, Item, charge_of, weighted_backlog_s
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
+# Short requests overtake a long one for at most four times the long one's expected seconds. With
+# 1.0, lookups that arrived a few seconds after a batch of long work still waited behind all of it.
 PATIENCE = 4.0
+# At 3,600 requests per second over 380 entries, 2,000 requests are minutes of arrivals at one
+# entry. At some kilobytes each they fit into an entry's memory.
 MAX_WAITING = 2_000
 MIN_RETRY_AFTER_S = 0.1
+# An estimate beyond 60 s is too uncertain to be sent as a retry time.
 MAX_RETRY_AFTER_S = 60.0
 DEFAULT_WEIGHT = 1.0
 
@@ -55,10 +48,11 @@
 @dataclass(frozen=True)
 class Shed:
     """
-    A request that is refused without having run.
+    A request that is rejected without having run.
 
-    :param full: the queue was full; otherwise it cannot finish before its deadline.
-    :param retry_after_s: when a request like it would fit.
+    :param full: whether it was removed because the queue was full; otherwise it cannot finish
+        before its deadline.
+    :param retry_after_s: seconds until a similar request is expected to fit.
     """
 
     item: Item
@@ -67,12 +61,12 @@
 
 
 @dataclass(frozen=True)
-class Turn:
+class TakeResult:
     """
-    What `take` gives.
+    Result of `FairQueue.take`.
 
-    :param item: starts now; None where nothing waits.
-    :param shed: have become hopeless and are to be answered at once.
+    :param item: the request to start now; None if the queue is empty.
+    :param shed: requests that can no longer finish before their deadlines, to be rejected now.
     """
 
     item: Item | None
@@ -80,24 +74,30 @@
 
 
 class FairQueue:
-    """Requests that wait, by client account."""
+    """
+    Requests that wait for a slot, queued by client account.
+
+    `slots` is the number of requests that may run at a time and may be set at any time; `waiting`
+    is the number of queued requests. Every `now` is in seconds on one steady clock.
+    """
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
         self.waiting = 0
         self._weight_by_client_account: dict[str, float] = {}
-        self._line_by_client_account: dict[str, Line] = {}
-        self._virtual = 0.0
-        self._number = 0
-        self._end_by_item: dict[str, float] = {}
+        self._queue_by_client_account: dict[str, AccountQueue] = {}
+        self._virtual_time_s = 0.0
+        self._arrival_number = 0
+        self._expected_end_by_item: dict[str, float] = {}
 
     @classmethod
     def from_weights(cls, weight_by_client_account: Mapping[str, float], slots: int) -> FairQueue:
         """
         Build an empty queue.
 
-        :param weight_by_client_account: share of the slots when all are wanted.
-        :param slots: requests that the endpoints behind work on at a time.
+        :param weight_by_client_account: relative shares of the slots while all accounts have queued
+            requests; an account that is not listed has `DEFAULT_WEIGHT`.
+        :param slots: requests that the endpoints work on at a time.
         :return: the queue.
         """
         queue = cls(slots)
@@ -106,143 +106,166 @@
 
     def follow_weights(self, weight_by_client_account: Mapping[str, float]) -> None:
         """
-        Go on under changed weights.
+        Replace the weights; queued requests and charges are kept.
 
         :param weight_by_client_account: as in `from_weights`.
         """
         self._weight_by_client_account = dict(weight_by_client_account)
-        for name, line in self._line_by_client_account.items():
-            line.weight = self._weight(name)
+        for name, queue in self._queue_by_client_account.items():
+            queue.weight = self._weight(name)
 
     def offer(self, item: Item, now: float) -> tuple[Shed, ...]:
         """
-        Put a request in line, or refuse it now when waiting is hopeless.
+        Queue a request, or reject it if it is expected to miss its deadline.
 
-        :return: what is refused for it: nothing, the item itself, or another account's last one.
+        If the queue becomes longer than `MAX_WAITING`, the account with the longest queue for its
+        weight loses its last request, so that a hot account cannot fill the queue against the
+        others.
+
+        :return: the rejected requests: none, the item itself, or the last one of the longest queue.
         """
-        line = self._line(item.client_account)
-        order = now + PATIENCE * item.cost_s
-        late_s = self._finish_s(line, order, item, now) - item.deadline_s
+        queue = self._account_queue(item.client_account)
+        sort_key = now + PATIENCE * item.cost_s
+        late_s = self._expected_finish_s(queue, sort_key, item, now) - item.deadline_s
         if late_s > 0.0:
-            return (Shed(item, False, self._promise_s(line, item, late_s, now)),)
-        self._number += 1
-        line.push(order, self._number, item)
+            return (Shed(item, False, self._retry_after_s(queue, item, late_s, now)),)
+        self._arrival_number += 1
+        queue.push(sort_key, self._arrival_number, item)
         self.waiting += 1
         if self.waiting <= MAX_WAITING:
             return ()
-        longest = max(self._line_by_client_account.values(), key=length)
+        longest = max(self._queue_by_client_account.values(), key=weighted_backlog_s)
         dropped = longest.pop_last()
         self.waiting -= 1
-        drain_s = longest.waiting_s / self._slots_of(longest)
-        return (Shed(dropped, True, self._promise_s(longest, dropped, drain_s, now)),)
+        backlog_s = longest.backlog_s / self._fair_slots(longest)
+        return (Shed(dropped, True, self._retry_after_s(longest, dropped, backlog_s, now)),)
 
-    def take(self, now: float) -> Turn:
+    def take(self, now: float) -> TakeResult:
         """
-        Start the next request; call it whenever a slot is free.
+        Remove the next request to start; to be called whenever a slot is free.
 
-        :return: the request, and those found hopeless on the way.
+        :return: the request, and the requests before it that can no longer finish in time.
         """
         shed: list[Shed] = []
         while True:
-            line = self._next_line()
-            if line is None:
-                return Turn(None, tuple(shed))
-            item = line.pop()
+            queue = self._next_queue()
+            if queue is None:
+                return TakeResult(None, tuple(shed))
+            item = queue.pop()
             self.waiting -= 1
             late_s = now + item.cost_s - item.deadline_s
             if late_s > 0.0:
-                shed.append(Shed(item, False, self._promise_s(line, item, late_s, now)))
+                shed.append(Shed(item, False, self._retry_after_s(queue, item, late_s, now)))
                 continue
-            # An account that was idle is charged from where the others are now: turns saved up
-            # while it was idle would give it all slots for as long.
-            self._virtual = max(self._virtual, line.charged)
-            line.charged = self._virtual + item.cost_s / line.weight
-            self._end_by_item[item.item_id] = now + item.cost_s
-            return Turn(item, tuple(shed))
+            # An account that was idle starts at the charge of the account served last. With its own
+            # old, lower charge it would get all slots until it had caught up with the others.
+            self._virtual_time_s = max(self._virtual_time_s, queue.charge_s)
+            queue.charge_s = self._virtual_time_s + item.cost_s / queue.weight
+            self._expected_end_by_item[item.item_id] = now + item.cost_s
+            return TakeResult(item, tuple(shed))
 
     def expire(self, now: float) -> tuple[Shed, ...]:
         """
-        Give up what can no longer finish, also while no slot gets free; call it a few times a
-        second, so that a given-up request gets its final answer at once.
+        Remove and reject all queued requests that can no longer finish before their deadlines.
+
+        `take` finds these only when a slot is free. This method is to be called a few times a
+        second, so that they are rejected promptly while all slots are busy.
 
-        :return: the hopeless requests.
+        :return: the rejected requests.
         """
         shed: list[Shed] = []
         for item in self.remove(lambda item: now + item.cost_s > item.deadline_s):
-            line = self._line(item.client_account)
+            queue = self._account_queue(item.client_account)
             late_s = now + item.cost_s - item.deadline_s
-            shed.append(Shed(item, False, self._promise_s(line, item, late_s, now)))
+            shed.append(Shed(item, False, self._retry_after_s(queue, item, late_s, now)))
         return tuple(shed)
 
     def remove(self, matches: Callable[[Item], bool]) -> tuple[Item, ...]:
         """
-        Take requests out of line: their caller left, or their key was withdrawn.
+        Remove queued requests, for example those whose caller disconnected or whose API key was
+        withdrawn.
 
-        :param matches: tells which.
-        :return: what was taken out.
+        :param matches: returns True for each request to remove.
+        :return: the removed requests.
         """
-        gone: list[Item] = []
-        for line in self._line_by_client_account.values():
-            matched = [entry[2] for entry in line.heap if matches(entry[2])]
+        removed: list[Item] = []
+        for queue in self._queue_by_client_account.values():
+            matched = [queued[2] for queued in queue.heap if matches(queued[2])]
             if not matched:
                 continue
-            gone.extend(matched)
-            line.keep([entry for entry in line.heap if not matches(entry[2])])
-        self.waiting -= len(gone)
-        return tuple(gone)
+            removed.extend(matched)
+            queue.keep([queued for queued in queue.heap if not matches(queued[2])])
+        self.waiting -= len(removed)
+        return tuple(removed)
 
-    def correct(self, item: Item, real_s: float) -> None:
+    def correct(self, item: Item, actual_s: float) -> None:
         """
-        Charge what a request really took, so that an account whose work is longer than expected
-        gets no more than its share; call it for each request that ended.
+        Replace the expected seconds in the account's charge by the actual ones; to be called for
+        each request that ended.
+
+        Without this, an account whose work takes longer than expected would get more than its
+        share.
 
-        :param item: from `take`.
-        :param real_s: seconds that it held its slot.
+        :param item: a request that `take` returned.
+        :param actual_s: seconds that the request occupied its slot.
         """
-        self._end_by_item.pop(item.item_id, None)
-        line = self._line(item.client_account)
-        line.charged += (real_s - item.cost_s) / line.weight
+        self._expected_end_by_item.pop(item.item_id, None)
+        queue = self._account_queue(item.client_account)
+        queue.charge_s += (actual_s - item.cost_s) / queue.weight
 
     def _weight(self, client_account: str) -> float:
         return self._weight_by_client_account.get(client_account, DEFAULT_WEIGHT)
 
-    def _line(self, client_account: str) -> Line:
-        line = self._line_by_client_account.get(client_account)
-        if line is None:
-            line = Line(self._weight(client_account))
-            self._line_by_client_account[client_account] = line
-        return line
-
-    def _next_line(self) -> Line | None:
-        waiting = [line for line in self._line_by_client_account.values() if line.heap]
-        return min(waiting, key=charged) if waiting else None
-
-    def _finish_s(self, line: Line, order: float, item: Item, now: float) -> float:
-        waited_s = self._until_free_s(now) + line.ahead_s(order) / self._slots_of(line)
-        return now + waited_s + item.cost_s
-
-    def _until_free_s(self, now: float) -> float:
-        """Seconds until what runs now leaves a slot free, by its expected ends."""
-        for item_id in [item_id for item_id, end in self._end_by_item.items() if end <= now]:
-            del self._end_by_item[item_id]
-        busy = len(self._end_by_item) - max(1, self.slots)
-        if busy < 0:
+    def _account_queue(self, client_account: str) -> AccountQueue:
+        queue = self._queue_by_client_account.get(client_account)
+        if queue is None:
+            queue = AccountQueue(self._weight(client_account))
+            self._queue_by_client_account[client_account] = queue
+        return queue
+
+    def _next_queue(self) -> AccountQueue | None:
+        """Return the non-empty queue with the lowest charge."""
+        non_empty = [queue for queue in self._queue_by_client_account.values() if queue.heap]
+        return min(non_empty, key=charge_of) if non_empty else None
+
+    def _expected_finish_s(
+        self, queue: AccountQueue, sort_key: float, item: Item, now: float
+    ) -> float:
+        """Return when an item queued at `sort_key` is expected to finish, on the clock of `now`."""
+        wait_s = self._until_slot_free_s(now) + queue.ahead_s(sort_key) / self._fair_slots(queue)
+        return now + wait_s + item.cost_s
+
+    def _until_slot_free_s(self, now: float) -> float:
+        """Return the seconds until a slot is free, by the expected ends of running requests."""
+        for item_id in [
+            item_id for item_id, end in self._expected_end_by_item.items() if end <= now
+        ]:
+            del self._expected_end_by_item[item_id]
+        excess = len(self._expected_end_by_item) - max(1, self.slots)
+        if excess < 0:
             return 0.0
-        return sorted(self._end_by_item.values())[busy] - now
+        return sorted(self._expected_end_by_item.values())[excess] - now
 
-    def _promise_s(self, line: Line, item: Item, late_s: float, now: float) -> float:
-        """Seconds until a request like the refused one fits, after all that were told before."""
-        # Slots get free in steps of whole requests, so one length is added to the estimate.
+    def _retry_after_s(self, queue: AccountQueue, item: Item, late_s: float, now: float) -> float:
+        """
+        Return the seconds until a request like the rejected one fits, later than all retry times
+        that were sent to the account before.
+
+        :param late_s: seconds by which the rejected request would miss its deadline; for a full
+            queue, seconds until the account's queued work is done.
+        """
+        # Slots become free one complete request at a time, so one request's expected seconds are
+        # added to the estimate.
         fits_s = now + late_s + item.cost_s
-        line.promised_s = max(fits_s, line.promised_s + item.cost_s / self._slots_of(line))
-        line.promised_s = min(line.promised_s, now + MAX_RETRY_AFTER_S)
-        return max(MIN_RETRY_AFTER_S, line.promised_s - now)
+        queue.last_retry_s = max(fits_s, queue.last_retry_s + item.cost_s / self._fair_slots(queue))
+        queue.last_retry_s = min(queue.last_retry_s, now + MAX_RETRY_AFTER_S)
+        return max(MIN_RETRY_AFTER_S, queue.last_retry_s - now)
 
-    def _slots_of(self, line: Line) -> float:
-        """The slots that an account gets while those that wait now go on waiting."""
-        others = self._line_by_client_account.values()
-        weights = sum(other.weight for other in others if other.heap and other is not line)
-        return max(1, self.slots) * line.weight / (line.weight + weights)
+    def _fair_slots(self, queue: AccountQueue) -> float:
+        """Return an account's share of the slots among all accounts with queued requests."""
+        others = self._queue_by_client_account.values()
+        weights = sum(other.weight for other in others if other.heap and other is not queue)
+        return max(1, self.slots) * queue.weight / (queue.weight + weights)
 
 
-__all__ = ["FairQueue", "Item", "Shed", "Turn"]
+__all__ = ["FairQueue", "Item", "Shed", "TakeResult"]
--- a/tests/unit/decisions/test_queueing.py
+++ b/tests/unit/decisions/test_queueing.py
@@ -1,4 +1,4 @@
-"""Queueing, judged by what callers receive, beside first come, first served in the same run."""
+"""The fair queue and a first-come, first-served queue under the same load, compared by results."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 import pytest
 
 from ibisspring_decisions import queueing
-from ibisspring_decisions.queueing import FairQueue, Item, Shed, Turn
+from ibisspring_decisions.queueing import FairQueue, Item, Shed, TakeResult
 
 
-class _FirstCome:
-    """The plain baseline: one line, nothing refused."""
+class _FirstComeQueue:
+    """Baseline: a single first-come, first-served queue that rejects nothing."""
 
     def __init__(self, slots: int) -> None:
         self.items: list[Item] = []
@@ -23,27 +23,36 @@
         self.items.append(item)
         return ()
 
-    def take(self, now: float) -> Turn:
-        return Turn(self.items.pop(0) if self.items else None)
+    def take(self, now: float) -> TakeResult:
+        return TakeResult(self.items.pop(0) if self.items else None)
 
 
 @dataclass
 class _Outcome:
-    """What the callers received."""
+    """
+    Results of one run.
+
+    :param waits_s: seconds that each started request waited, by client account.
+    :param in_time_s: seconds of work that ended before its deadline, by client account.
+    :param late: number of requests that ended after their deadline.
+    :param shed: time and request of each rejection.
+    """
 
-    waits: dict[str, list[float]] = field(default_factory=dict)
+    waits_s: dict[str, list[float]] = field(default_factory=dict)
     in_time_s: dict[str, float] = field(default_factory=dict)
     late: int = 0
     shed: list[tuple[float, Shed]] = field(default_factory=list)
 
-    def worst_wait(self, prefix: str) -> float:
-        return max(max(waits) for name, waits in self.waits.items() if name.startswith(prefix))
+    def max_wait_s(self, prefix: str) -> float:
+        """Return the longest wait in the accounts whose names start with a prefix."""
+        return max(max(waits) for name, waits in self.waits_s.items() if name.startswith(prefix))
 
 
 def _serve(queue, arrivals: list[tuple[float, Item]], slots: int) -> _Outcome:
-    """Serve arrivals with a number of slots; a request takes its expected seconds."""
+    """Run arrivals (time, item) through a queue; each request takes its expected seconds."""
     outcome = _Outcome()
-    came_s = {item.item_id: at for at, item in arrivals}
+    arrived_s = {item.item_id: at for at, item in arrivals}
+    # Events are (time, 0 for an arrival and 1 for the end of a request, number, item).
     events = [(at, 0, number, item) for number, (at, item) in enumerate(arrivals)]
     heapq.heapify(events)
     numbers = itertools.count(len(events))
@@ -55,16 +64,16 @@
         else:
             free += 1
         while free:
-            turn = queue.take(now)
-            outcome.shed += [(now, shed) for shed in turn.shed]
-            if turn.item is None:
+            taken = queue.take(now)
+            outcome.shed += [(now, shed) for shed in taken.shed]
+            if taken.item is None:
                 break
             free -= 1
-            started = turn.item
+            started = taken.item
             end = now + started.cost_s
             heapq.heappush(events, (end, 1, next(numbers), started))
-            waits = outcome.waits.setdefault(started.client_account, [])
-            waits.append(now - came_s[started.item_id])
+            waits = outcome.waits_s.setdefault(started.client_account, [])
+            waits.append(now - arrived_s[started.item_id])
             if end > started.deadline_s:
                 outcome.late += 1
                 continue
@@ -73,34 +82,35 @@
     return outcome
 
 
-def _stream(account: str, rate: float, seconds: float, cost_s: float, patience_s: float = 30.0):
+def _stream(account: str, rate: float, seconds: float, cost_s: float, wait_limit_s: float = 30.0):
+    """Build arrivals of one account at random times, `rate` per second for `seconds`."""
     draw = random.Random(account)
     arrivals = []
     for number in range(int(rate * seconds)):
         at = draw.uniform(0.0, seconds)
-        arrivals.append((at, Item(f"{account}-{number}", account, cost_s, at + patience_s)))
+        arrivals.append((at, Item(f"{account}-{number}", account, cost_s, at + wait_limit_s)))
     return arrivals
 
 
 def test_a_hot_account_does_not_starve_the_others() -> None:
     """
-    One account sends ten times what the system can do; three others send little.
+    One account sends ten times the load that the slots can serve; three others send little.
 
-    First come, first served, their lookups hang behind the hot account's line.
+    With first come, first served, the lookups of the three wait behind the hot account's requests.
     """
-    arrivals = _stream("hot", 100.0, 30.0, 0.5, patience_s=20.0)
+    arrivals = _stream("hot", 100.0, 30.0, 0.5, wait_limit_s=20.0)
     for number in range(3):
-        arrivals += _stream(f"small-{number}", 1.0, 30.0, 0.5, patience_s=20.0)
+        arrivals += _stream(f"small-{number}", 1.0, 30.0, 0.5, wait_limit_s=20.0)
 
     fair = _serve(FairQueue.from_weights({}, 5), arrivals, 5)
-    plain = _serve(_FirstCome(5), arrivals, 5)
+    plain = _serve(_FirstComeQueue(5), arrivals, 5)
 
-    assert fair.worst_wait("small") < 2.0
-    assert plain.worst_wait("small") > 20.0
+    assert fair.max_wait_s("small") < 2.0
+    assert plain.max_wait_s("small") > 20.0
     assert all(shed.item.client_account == "hot" for _, shed in fair.shed)
 
 
-def test_weights_divide_a_full_system() -> None:
+def test_accounts_share_busy_slots_by_weight() -> None:
     arrivals = _stream("heavy", 20.0, 60.0, 0.5) + _stream("light", 20.0, 60.0, 0.5)
 
     outcome = _serve(FairQueue.from_weights({"heavy": 3.0, "light": 1.0}, 4), arrivals, 4)
@@ -109,12 +119,12 @@
     assert share == pytest.approx(0.75, abs=0.05)
 
 
-def test_short_requests_pass_long_ones_and_long_ones_are_still_served() -> None:
+def test_short_requests_overtake_long_ones_without_starving_them() -> None:
     """
-    An account sends long generations, then short lookups while auditors wait.
+    An account sends long generations and, a second later, the first of many short lookups.
 
-    In order of arrival each lookup waits for all long ones before it; with short ones always first
-    the long ones would never run.
+    In order of arrival each lookup waits for all generations before it; if short requests always
+    went first, the generations would not run while lookups keep arriving.
     """
     long = [(0.0, Item(f"long-{number}", "forge", 10.0, 500.0)) for number in range(10)]
     short = [
@@ -122,27 +132,28 @@
     ]
 
     fair = _serve(FairQueue.from_weights({}, 2), long + short, 2)
-    plain = _serve(_FirstCome(2), long + short, 2)
+    plain = _serve(_FirstComeQueue(2), long + short, 2)
 
-    median = sorted(fair.waits["forge"])[205]
-    assert median < 0.5 * sorted(plain.waits["forge"])[205]
-    assert len(fair.waits["forge"]) == 410
+    median = sorted(fair.waits_s["forge"])[205]
+    assert median < 0.5 * sorted(plain.waits_s["forge"])[205]
+    assert len(fair.waits_s["forge"]) == 410
     assert not fair.shed
 
 
-def test_under_twice_the_load_whoever_is_served_is_served_in_time() -> None:
+def test_requests_served_under_double_load_meet_their_deadlines() -> None:
     """
-    Twice what the slots can do arrives for two minutes; callers wait ten seconds.
+    For two minutes requests arrive at twice the rate that the slots can serve; callers time out
+    after ten seconds.
 
-    Without shedding every request is started after its caller has gone, and the endpoints work at
-    full for nobody.
+    Without shedding, requests start after their callers have timed out, and the endpoints are fully
+    busy with work whose results nobody receives.
     """
     arrivals = []
     for number in range(4):
-        arrivals += _stream(f"account-{number}", 5.0, 120.0, 1.0, patience_s=10.0)
+        arrivals += _stream(f"account-{number}", 5.0, 120.0, 1.0, wait_limit_s=10.0)
 
     fair = _serve(FairQueue.from_weights({}, 10), arrivals, 10)
-    plain = _serve(_FirstCome(10), arrivals, 10)
+    plain = _serve(_FirstComeQueue(10), arrivals, 10)
 
     assert fair.late == 0
     assert sum(fair.in_time_s.values()) > 0.9 * 120 * 10
@@ -150,27 +161,28 @@
     assert min(fair.in_time_s.values()) > 0.85 * max(fair.in_time_s.values())
 
 
-def test_who_is_refused_and_comes_back_as_told_fits() -> None:
+def test_rejected_requests_fit_at_their_retry_times() -> None:
     """
-    A burst of sixty requests of one second meets two slots and callers who wait ten seconds.
+    Sixty requests of one second each arrive at once at two slots; callers time out after ten
+    seconds.
 
-    A Retry-After that does not hold only moves the refusal.
+    With a Retry-After that is too early, the retry would be rejected again.
     """
-    first = [(0.0, Item(f"r-{number}", "forge", 1.0, 10.0)) for number in range(60)]
-    refused = _serve(FairQueue.from_weights({}, 2), first, 2).shed
-    assert len(refused) > 30
+    burst = [(0.0, Item(f"r-{number}", "forge", 1.0, 10.0)) for number in range(60)]
+    rejected = _serve(FairQueue.from_weights({}, 2), burst, 2).shed
+    assert len(rejected) > 30
 
-    again = []
-    for at, shed in refused:
-        back_s = at + shed.retry_after_s
-        again.append((back_s, Item(f"again-{shed.item.item_id}", "forge", 1.0, back_s + 10.0)))
-    retried = _serve(FairQueue.from_weights({}, 2), first + again, 2)
+    retries = []
+    for at, shed in rejected:
+        retry_s = at + shed.retry_after_s
+        retries.append((retry_s, Item(f"again-{shed.item.item_id}", "forge", 1.0, retry_s + 10.0)))
+    outcome = _serve(FairQueue.from_weights({}, 2), burst + retries, 2)
 
-    assert not [shed for _, shed in retried.shed if shed.item.item_id.startswith("again")]
-    assert retried.in_time_s["forge"] == 60.0
+    assert not [shed for _, shed in outcome.shed if shed.item.item_id.startswith("again")]
+    assert outcome.in_time_s["forge"] == 60.0
 
 
-def test_who_cannot_be_served_in_time_is_told_when_it_comes() -> None:
+def test_a_request_that_cannot_finish_in_time_is_rejected_on_arrival() -> None:
     queue = FairQueue.from_weights({}, 1)
     for number in range(9):
         queue.offer(Item(f"r{number}", "forge", 1.0, 100.0), 0.0)
@@ -181,12 +193,12 @@
     assert queue.offer(Item("mill", "mill", 1.0, 5.0), 0.0) == ()
 
 
-def test_a_request_with_a_large_bound_is_served_when_nothing_waits() -> None:
+def test_a_request_with_a_large_token_bound_is_served_by_an_idle_queue() -> None:
     """
-    A caller asks for up to 100,000 tokens, usually gets a hundred, and waits a minute.
+    A caller asks for up to 100,000 tokens, usually gets a hundred, and times out after a minute.
 
-    Judged by the time that all the tokens would take, it would be refused on an idle system, and
-    each time that it comes back as told.
+    By the estimate for all the tokens the request would be rejected on an idle system, and again at
+    each retry.
     """
     queue = FairQueue.from_weights({}, 1)
     large = Item.from_estimate("large", "forge", 1250.0, 60.0, now=0.0)
@@ -198,7 +210,7 @@
     assert [shed.item.item_id for shed in queue.offer(behind, 1.0)] == ["behind"]
 
 
-def test_what_runs_now_counts_as_waiting() -> None:
+def test_running_requests_count_towards_the_expected_wait() -> None:
     queue = FairQueue.from_weights({}, 1)
     queue.offer(Item("running", "forge", 8.0, 100.0), 0.0)
     running = queue.take(0.0).item
@@ -210,11 +222,11 @@
     assert queue.offer(Item("again", "forge", 1.0, 6.0), 1.0) == ()
 
 
-def test_an_account_that_was_idle_saves_up_no_turns() -> None:
+def test_an_idle_account_accumulates_no_credit() -> None:
     """
-    One account was idle for an hour while another was served; then both are busy.
+    One account is idle while a hundred requests of another are served; then both are busy.
 
-    With saved-up turns the first would have all slots for an hour.
+    With credit for its idle time, the first account would get all slots until it had caught up.
     """
     queue = FairQueue.from_weights({}, 1)
     for number in range(200):
@@ -229,7 +241,7 @@
     assert 9 <= taken.count("busy") <= 11
 
 
-def test_a_full_queue_gives_up_the_longest_line_not_the_newcomer(monkeypatch) -> None:
+def test_a_full_queue_drops_from_the_longest_queue_not_the_new_request(monkeypatch) -> None:
     monkeypatch.setattr(queueing, "MAX_WAITING", 10)
     queue = FairQueue.from_weights({}, 1)
     for number in range(10):
@@ -241,7 +253,7 @@
     assert queue.waiting == 10
 
 
-def test_a_hopeless_request_is_answered_while_no_slot_gets_free() -> None:
+def test_a_queued_request_that_cannot_finish_is_rejected_while_no_slot_is_free() -> None:
     queue = FairQueue.from_weights({}, 1)
     queue.offer(Item("r", "forge", 1.0, 10.0), 0.0)
 
@@ -249,40 +261,40 @@
     (shed,) = queue.expire(9.1)
 
     assert shed.item.item_id == "r" and not shed.full
-    assert queue.take(9.2) == Turn(None)
+    assert queue.take(9.2) == TakeResult(None)
 
 
-def test_a_withdrawn_account_leaves_the_line() -> None:
+def test_requests_of_a_withdrawn_account_are_removed() -> None:
     queue = FairQueue.from_weights({}, 1)
     queue.offer(Item("a", "forge", 1.0, 10.0), 0.0)
     queue.offer(Item("b", "mill", 1.0, 10.0), 0.0)
 
-    gone = queue.remove(lambda item: item.client_account == "forge")
+    removed = queue.remove(lambda item: item.client_account == "forge")
 
-    assert [item.item_id for item in gone] == ["a"]
+    assert [item.item_id for item in removed] == ["a"]
     assert queue.take(0.0).item.item_id == "b"
 
 
-def test_an_account_that_underestimates_its_work_gets_its_share_only() -> None:
+def test_an_account_with_underestimated_work_gets_no_more_than_its_share() -> None:
     queue = FairQueue.from_weights({}, 1)
-    taken = {"sly": 0.0, "fair": 0.0}
+    taken = {"underestimated": 0.0, "accurate": 0.0}
     for number in range(200):
-        queue.offer(Item(f"s{number}", "sly", 0.1, 1e9), 0.0)
-        queue.offer(Item(f"f{number}", "fair", 1.0, 1e9), 0.0)
+        queue.offer(Item(f"u{number}", "underestimated", 0.1, 1e9), 0.0)
+        queue.offer(Item(f"a{number}", "accurate", 1.0, 1e9), 0.0)
     for _ in range(100):
         item = queue.take(0.0).item
         taken[item.client_account] += 1.0
         queue.correct(item, 1.0)
 
-    assert taken["sly"] == pytest.approx(taken["fair"], abs=2)
+    assert taken["underestimated"] == pytest.approx(taken["accurate"], abs=2)
 
 
-def test_after_an_overload_no_line_lasts() -> None:
-    arrivals = _stream("hot", 40.0, 30.0, 1.0, patience_s=10.0)
+def test_no_backlog_remains_after_an_overload() -> None:
+    arrivals = _stream("hot", 40.0, 30.0, 1.0, wait_limit_s=10.0)
     later = [
-        (60.0 + number, Item(f"l-{number}", "mill", 1.0, 70.0 + number)) for number in range(9)
+        (60.0 + number, Item(f"later-{number}", "mill", 1.0, 70.0 + number)) for number in range(9)
     ]
 
     outcome = _serve(FairQueue.from_weights({}, 10), arrivals + later, 10)
 
-    assert max(outcome.waits["mill"]) == 0.0
+    assert max(outcome.waits_s["mill"]) == 0.0
