--- a/packages/ibisspring-decisions/src/ibisspring_decisions/admission.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/admission.py
@@ -1,23 +1,15 @@
 """
-Who is let in: a rate per client account, shared over all entries.
+Admission control: a token bucket per client account, with the rate divided over all entries.
 
-Load pattern: a client account sends most of its requests through one or two entries, because the
-balancer keeps connections; a job's start sends a burst; a broken client retries without a pause;
-and entries lose sight of each other.
+A client account sends most of its requests through one or two entries, because the balancer keeps
+connections open. With its rate divided evenly over 9 entries, an account whose connections all end
+at one entry would get a ninth of its rate; with the rate undivided, it would get nine times its
+rate. Entries therefore exchange their recent demand, and each takes a fraction of the rate in
+proportion to its own demand. Entries that lose contact with each other keep fractions that together
+never exceed the rate.
 
-Without it: divided evenly over 9 entries, an account whose connections sit on one entry gets a
-ninth of its rate; not divided, it gets nine times its rate; refused without a time to come back,
-its clients return at once and all together.
-
-Grounds for the figures:
-
-- `DEMAND_TIME_S` 2 s: entries tell each other their demand about once a second, so a shorter memory
-  would share by noise, a longer one would follow a moved connection late.
-- `RESERVED` 20%: what entries keep evenly whatever the demand, so that the first requests at an
-  entry without demand so far are let in before the next exchange. The other 80% follow demand.
-- `STALE_S` 3 s: three exchanges were missed. From then on the entry keeps only the even shares of
-  those it hears, so that both sides of a cut together never exceed the rate.
-- `MAX_RETRY_AFTER_S` 30 s: beyond it a place in line says nothing about the load at that time.
+A starting job sends a burst, and a broken client retries without a pause. Each rejection therefore
+carries a retry time of its own; without one, all rejected clients would retry at once.
 """
 
 from __future__ import annotations
@@ -29,16 +21,29 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-DEMAND_TIME_S = 2.0
-RESERVED = 0.2
-STALE_S = 3.0
+# Time constant of the exponential average of demand. Entries exchange their demand about once a
+# second: with less than 2 s, random variation would decide the fractions; with more, the fractions
+# would follow late when a connection moves to another entry.
+DEMAND_DECAY_S = 2.0
+# 20% of the rate is divided evenly whatever the demand, so that an entry without recent demand
+# admits its first requests before the next exchange. The other 80% are divided by demand.
+EVEN_SHARE = 0.2
+# Demand of a peer is ignored after 3 s, when three exchanges were missed. From then on the entry
+# divides only the even shares of the entries that it still receives demand from, so that the two
+# sides of a network partition together never exceed the rate.
+DEMAND_MAX_AGE_S = 3.0
+# Beyond 30 s, a position among the waiting callers says nothing about the load at that time.
 MAX_RETRY_AFTER_S = 30.0
-# Less demand than one request in ten seconds is none.
-NO_DEMAND = 0.1
+# Less than one request in ten seconds counts as no demand.
+MIN_DEMAND_PER_S = 0.1
 
 
 class RateRule(Protocol):
-    """A client account's rule, as far as admission reads it."""
+    """
+    The part of a client account's rule that admission reads.
+
+    `rate_per_s` and `burst`, in requests, apply to all entries together.
+    """
 
     rate_per_s: float
     burst: float
@@ -47,84 +52,94 @@
 @dataclass(frozen=True)
 class PeerDemand:
     """
-    What another live entry is asked for.
+    Demand at another live entry.
 
-    :param heard_s: when it told; None where it never did.
-    :param demand_by_client_account: requests a second, refused ones included.
+    :param received_s: when its latest demand was received; None if none was received.
+    :param demand_by_client_account: requests per second, rejected ones included.
     """
 
-    heard_s: float | None
+    received_s: float | None
     demand_by_client_account: Mapping[str, float]
 
 
 @dataclass(frozen=True)
 class Admitted:
-    """The request may go on."""
+    """The request is admitted."""
 
 
 @dataclass(frozen=True)
 class NotAdmitted:
     """
-    The request is refused before anything was done for it.
+    The request is rejected before any work was done for it.
 
-    :param retry_after_s: each refused caller is given its own time, spaced at the account's rate,
-        so that callers who come back then find room.
+    :param retry_after_s: seconds until a token is free for this caller. Rejected callers of an
+        account get different times, spaced at the account's rate, so that their retries are
+        admitted.
     """
 
     retry_after_s: float
 
 
 class _Bucket:
-    """Tokens, promised times and demand of one client account at this entry."""
+    """Token bucket, latest retry time and average demand of one client account at this entry."""
 
     def __init__(self, rule: RateRule, now: float) -> None:
         self.rule = rule
         self.fraction = 1.0
         self.tokens = rule.burst
-        self.filled_s = now
-        self.promised_s = now
-        self.demand = 0.0
-        self.demand_s = now
-
-    def limit(self, fraction: float, now: float) -> None:
-        """Take another fraction of the account's rate from now on."""
-        self.fill(now)
+        self.refilled_s = now
+        self.last_retry_s = now
+        self.average_demand = 0.0
+        self.averaged_s = now
+
+    def set_fraction(self, fraction: float, now: float) -> None:
+        """
+        Set this entry's fraction of the account's rate and burst from now on.
+
+        :param fraction: from 0 to 1.
+        """
+        self.refill(now)
         self.fraction = fraction
         self.tokens = min(self.tokens, self.size())
 
     def rate(self) -> float:
+        """Return the tokens added per second at this entry."""
         return self.rule.rate_per_s * self.fraction
 
     def size(self) -> float:
+        """Return the largest number of tokens that the bucket holds at this entry."""
         return max(1.0, self.rule.burst * self.fraction)
 
-    def fill(self, now: float) -> None:
-        passed_s = max(0.0, now - self.filled_s)
+    def refill(self, now: float) -> None:
+        """Add the tokens that became due since the last call."""
+        passed_s = max(0.0, now - self.refilled_s)
         self.tokens = min(self.size(), self.tokens + passed_s * self.rate())
-        self.filled_s = now
+        self.refilled_s = now
 
     def ask(self, now: float) -> Admitted | NotAdmitted:
-        self.fill(now)
-        self.demand = self.demand_now(now) + 1.0 / DEMAND_TIME_S
-        # Time is a sum of floats: a caller who comes back at the promised moment must not fail by
-        # the last digit.
+        """Take a token for one request, or reject the request; both count as demand."""
+        self.refill(now)
+        self.average_demand = self.demand(now) + 1.0 / DEMAND_DECAY_S
+        # Tokens are a sum of floats: a caller that retries exactly at its retry time must not be
+        # rejected because of a rounding error.
         if self.tokens >= 1.0 - 1e-9:
             self.tokens = max(0.0, self.tokens - 1.0)
             return Admitted()
         next_token_s = now + (1.0 - self.tokens) / self.rate()
-        self.promised_s = max(next_token_s, self.promised_s + 1.0 / self.rate())
-        self.promised_s = min(self.promised_s, now + MAX_RETRY_AFTER_S)
-        return NotAdmitted(self.promised_s - now)
+        self.last_retry_s = max(next_token_s, self.last_retry_s + 1.0 / self.rate())
+        self.last_retry_s = min(self.last_retry_s, now + MAX_RETRY_AFTER_S)
+        return NotAdmitted(self.last_retry_s - now)
 
-    def demand_now(self, now: float) -> float:
-        passed_s = max(0.0, now - self.demand_s)
-        self.demand *= math.exp(-passed_s / DEMAND_TIME_S)
-        self.demand_s = now
-        return self.demand
+    def demand(self, now: float) -> float:
+        """Return the exponential average of requests per second, decayed until now."""
+        passed_s = max(0.0, now - self.averaged_s)
+        self.average_demand *= math.exp(-passed_s / DEMAND_DECAY_S)
+        self.averaged_s = now
+        return self.average_demand
 
 
 class Admission:
-    """The buckets of one entry by client account."""
+    """Admission control of one entry for all client accounts."""
 
     def __init__(self) -> None:
         self._bucket_by_client_account: dict[str, _Bucket] = {}
@@ -132,11 +147,11 @@
     @classmethod
     def from_rules(cls, rule_by_client_account: Mapping[str, RateRule], now: float) -> Admission:
         """
-        Build admission for an entry that knows of no other.
+        Build admission for an entry that uses the complete rates until `share` is called.
 
-        :param rule_by_client_account: rate and burst over all entries together.
-        :param now: seconds on any steady clock, the same in every call.
-        :return: the policy.
+        :param rule_by_client_account: rate and burst of each account over all entries together.
+        :param now: seconds on any steady clock, the same one in every call.
+        :return: the policy, with full buckets.
         """
         admission = cls()
         admission.follow_rules(rule_by_client_account, now)
@@ -144,8 +159,10 @@
 
     def follow_rules(self, rule_by_client_account: Mapping[str, RateRule], now: float) -> None:
         """
-        Go on under changed rules; an account's tokens and promises stay, so that a change of one
-        rule gives no other account a fresh burst.
+        Replace the rules.
+
+        Accounts that remain keep their tokens and retry times, so that a change of one account's
+        rule gives no other account a new burst.
 
         :param rule_by_client_account: as in `from_rules`.
         """
@@ -155,16 +172,16 @@
             bucket = old.get(name)
             if bucket is None:
                 bucket = _Bucket(rule, now)
-            bucket.fill(now)
+            bucket.refill(now)
             bucket.rule = rule
             self._bucket_by_client_account[name] = bucket
 
     def ask(self, client_account: str, now: float) -> Admitted | NotAdmitted:
         """
-        Let one request in, or say when to come back.
+        Admit or reject one request.
 
-        :param client_account: one that the rules name.
-        :return: the decision.
+        :param client_account: the caller's account; one without a rule is always rejected.
+        :return: the decision; a rejection states when to retry.
         """
         bucket = self._bucket_by_client_account.get(client_account)
         if bucket is None:
@@ -173,37 +190,40 @@
 
     def demand(self, now: float) -> dict[str, float]:
         """
-        Tell what the other entries need to know.
+        Return this entry's demand, to be sent to the other entries.
 
-        :return: recent requests a second by client account, refused ones included.
+        :return: recent requests per second by client account, rejected ones included; accounts
+            below `MIN_DEMAND_PER_S` are left out.
         """
         demand: dict[str, float] = {}
         for name, bucket in self._bucket_by_client_account.items():
-            recent = bucket.demand_now(now)
-            if recent >= NO_DEMAND:
+            recent = bucket.demand(now)
+            if recent >= MIN_DEMAND_PER_S:
                 demand[name] = recent
         return demand
 
     def share(self, peers: tuple[PeerDemand, ...], now: float) -> None:
         """
-        Divide each account's rate by demand; call it about once a second.
+        Set this entry's fraction of each account's rate by demand.
+
+        To be called about once a second, with the latest demand of the other entries.
 
-        :param peers: the other live entries, also those that were never heard.
+        :param peers: all other live entries, also those whose demand was never received.
         """
-        heard = [
+        current = [
             peer.demand_by_client_account
             for peer in peers
-            if peer.heard_s is not None and now - peer.heard_s <= STALE_S
+            if peer.received_s is not None and now - peer.received_s <= DEMAND_MAX_AGE_S
         ]
         entries = len(peers) + 1
-        # Who is not heard may be serving: its even share is left alone.
-        pool = (len(heard) + 1) / entries
+        # An entry without current demand may still admit requests: its even share is left to it.
+        pool = (len(current) + 1) / entries
         for name, bucket in self._bucket_by_client_account.items():
-            own = bucket.demand_now(now)
-            others = sum(demand.get(name, 0.0) for demand in heard)
-            even = 1.0 / (len(heard) + 1)
-            by_demand = own / (own + others) if own + others >= NO_DEMAND else even
-            bucket.limit(pool * (RESERVED * even + (1.0 - RESERVED) * by_demand), now)
+            own = bucket.demand(now)
+            others = sum(demand.get(name, 0.0) for demand in current)
+            even = 1.0 / (len(current) + 1)
+            by_demand = own / (own + others) if own + others >= MIN_DEMAND_PER_S else even
+            bucket.set_fraction(pool * (EVEN_SHARE * even + (1.0 - EVEN_SHARE) * by_demand), now)
 
 
 __all__ = ["Admission", "Admitted", "NotAdmitted", "PeerDemand", "RateRule"]
--- a/tests/unit/decisions/test_admission.py
+++ b/tests/unit/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission, judged by what callers receive."""
+"""Admission, tested by the number of requests that it admits."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     PeerDemand,
 )
 
-SHARE_EVERY_S = 1.0
+EXCHANGE_EVERY_S = 1.0
 
 
 @dataclass(frozen=True)
@@ -25,68 +25,76 @@
 
 
 class _Entries:
-    """Entries that tell each other their demand once a second, but for those that are cut off."""
+    """
+    Entries that exchange their demand once a second.
+
+    :param isolated: indexes of entries that neither send nor receive demand.
+    """
 
     def __init__(self, count: int, rules: dict[str, _Rule]) -> None:
         self.admissions = [Admission.from_rules(rules, 0.0) for _ in range(count)]
-        self.cut: set[int] = set()
-        self.shared_s = -SHARE_EVERY_S
-        self.heard: dict[tuple[int, int], PeerDemand] = {}
+        self.isolated: set[int] = set()
+        self.exchanged_s = -EXCHANGE_EVERY_S
+        self.received: dict[tuple[int, int], PeerDemand] = {}
 
-    def tick(self, now: float) -> None:
-        if now - self.shared_s < SHARE_EVERY_S:
+    def exchange(self, now: float) -> None:
+        """Exchange demand between the entries if the last exchange was a second ago."""
+        if now - self.exchanged_s < EXCHANGE_EVERY_S:
             return
-        self.shared_s = now
+        self.exchanged_s = now
         demands = [admission.demand(now) for admission in self.admissions]
         for at, admission in enumerate(self.admissions):
             for peer, demand in enumerate(demands):
-                if peer != at and not self.cut & {at, peer}:
-                    self.heard[(at, peer)] = PeerDemand(now, demand)
+                if peer != at and not self.isolated & {at, peer}:
+                    self.received[(at, peer)] = PeerDemand(now, demand)
             others = [peer for peer in range(len(demands)) if peer != at]
-            silent = PeerDemand(None, {})
-            admission.share(tuple(self.heard.get((at, peer), silent) for peer in others), now)
+            unknown = PeerDemand(None, {})
+            admission.share(tuple(self.received.get((at, peer), unknown) for peer in others), now)
 
     def run(self, arrivals: list[tuple[float, int, str]]) -> dict[str, int]:
-        """Let requests (time, entry, account) arrive; count the admitted ones by account."""
+        """Process requests (time, entry, account) and return the number admitted by account."""
         admitted: dict[str, int] = {}
         for now, entry, account in sorted(arrivals):
-            self.tick(now)
+            self.exchange(now)
             if isinstance(self.admissions[entry].ask(account, now), Admitted):
                 admitted[account] = admitted.get(account, 0) + 1
         return admitted
 
 
 def _steady(rate: float, start: float, end: float, entry: int, account: str = "forge"):
+    """Build evenly spaced requests (time, entry, account), `rate` per second."""
     count = int((end - start) * rate)
     return [(start + number / rate, entry, account) for number in range(count)]
 
 
-def test_a_burst_is_refused_early_and_those_who_come_back_as_told_are_let_in() -> None:
+def test_rejected_requests_of_a_burst_are_admitted_at_their_retry_times() -> None:
     """
-    A job starts and sends a hundred requests at once under a rate of ten a second.
+    A job starts and sends a hundred requests at once under a rate of ten per second.
 
-    Without a time of its own for each, all refused callers return together and are refused again.
+    Without a retry time of its own for each request, all rejected requests would be retried at once
+    and most of them rejected again.
     """
     admission = Admission.from_rules({"forge": _Rule(10.0, 10.0)}, 0.0)
-    waiting: list[tuple[float, int]] = [(0.0, 0)] * 100
-    visits: list[int] = []
-    while waiting:
-        now, refused = heapq.heappop(waiting)
+    # Pending requests are (time of the next try, rejections so far).
+    pending: list[tuple[float, int]] = [(0.0, 0)] * 100
+    rejections_when_admitted: list[int] = []
+    while pending:
+        now, rejections = heapq.heappop(pending)
         answer = admission.ask("forge", now)
         if isinstance(answer, Admitted):
-            visits.append(refused)
+            rejections_when_admitted.append(rejections)
             continue
-        heapq.heappush(waiting, (now + answer.retry_after_s, refused + 1))
+        heapq.heappush(pending, (now + answer.retry_after_s, rejections + 1))
 
-    assert visits.count(0) == 10
-    assert max(visits) == 1
+    assert rejections_when_admitted.count(0) == 10
+    assert max(rejections_when_admitted) == 1
 
 
-def test_connections_on_one_entry_get_nearly_the_whole_rate() -> None:
+def test_an_account_connected_to_one_entry_gets_most_of_its_rate() -> None:
     """
-    All connections of an account sit on one of nine entries.
+    All connections of an account end at one of nine entries.
 
-    Divided evenly it would be given a ninth of what it is granted.
+    With its rate divided evenly, the account would get a ninth of it.
     """
     entries = _Entries(9, {"forge": _Rule(90.0, 9.0)})
 
@@ -98,7 +106,7 @@
 
 
 @pytest.mark.parametrize("entries_asked", [1, 3, 9])
-def test_all_entries_together_never_give_more_than_the_rate(entries_asked: int) -> None:
+def test_all_entries_together_never_admit_more_than_the_rate(entries_asked: int) -> None:
     entries = _Entries(9, {"forge": _Rule(90.0, 9.0)})
     warm_up = [arrival for at in range(entries_asked) for arrival in _steady(60.0, 0.0, 5.0, at)]
     entries.run(warm_up)
@@ -110,7 +118,7 @@
     assert admitted >= 0.75 * min(90.0, 60.0 * entries_asked) * 20
 
 
-def test_a_hot_account_takes_nothing_from_the_others() -> None:
+def test_a_hot_account_does_not_reduce_the_rate_of_others() -> None:
     rules = {"forge": _Rule(10.0, 5.0), "mill": _Rule(10.0, 5.0)}
     hot = _steady(500.0, 0.0, 20.0, 0, "forge")
 
@@ -120,28 +128,28 @@
     assert admitted["forge"] <= 10 * 20 + 5
 
 
-def test_entries_that_lose_sight_of_each_other_keep_a_safe_share() -> None:
+def test_partitioned_entries_together_stay_within_the_rate() -> None:
     """
-    One of three entries is cut off from the others while all are asked for more than the rate.
+    One of three entries is cut off from the others while each receives more than the rate.
 
-    Each side taking the whole rate would admit twice what the rule grants; taking nothing would
-    turn away callers who are within it.
+    If both sides used the complete rate, they would admit twice what the rule allows; if a side
+    used none of it, callers within their rate would be rejected.
     """
     entries = _Entries(3, {"forge": _Rule(30.0, 3.0)})
     entries.run([arrival for at in range(3) for arrival in _steady(40.0, 0.0, 10.0, at)])
-    entries.cut = {2}
+    entries.isolated = {2}
     entries.run([arrival for at in range(3) for arrival in _steady(40.0, 10.0, 14.0, at)])
 
-    cut_off = entries.run(_steady(40.0, 14.0, 34.0, 2))["forge"]
-    entries.shared_s = 13.0
+    isolated = entries.run(_steady(40.0, 14.0, 34.0, 2))["forge"]
+    entries.exchanged_s = 13.0
     others = [arrival for at in range(2) for arrival in _steady(40.0, 14.0, 34.0, at)]
-    seen = entries.run(others)["forge"]
+    connected = entries.run(others)["forge"]
 
-    assert 0.9 * 10 * 20 <= cut_off <= 10 * 20 + 3
-    assert 0.9 * 20 * 20 <= seen <= 20 * 20 + 4
+    assert 0.9 * 10 * 20 <= isolated <= 10 * 20 + 3
+    assert 0.9 * 20 * 20 <= connected <= 20 * 20 + 4
 
 
-def test_after_an_overload_the_next_requests_are_let_in_at_once() -> None:
+def test_requests_after_an_overload_are_admitted_at_once() -> None:
     admission = Admission.from_rules({"forge": _Rule(10.0, 10.0)}, 0.0)
     for number in range(2000):
         admission.ask("forge", number / 100)
@@ -151,7 +159,7 @@
     assert all(isinstance(answer, Admitted) for answer in answers)
 
 
-def test_a_changed_rule_gives_no_account_a_fresh_burst() -> None:
+def test_a_changed_rule_gives_other_accounts_no_new_burst() -> None:
     rules = {"forge": _Rule(1.0, 5.0), "mill": _Rule(1.0, 5.0)}
     admission = Admission.from_rules(rules, 0.0)
     for _ in range(5):
@@ -162,7 +170,7 @@
     assert isinstance(admission.ask("forge", 0.0), NotAdmitted)
 
 
-def test_an_account_without_a_rule_is_never_let_in() -> None:
+def test_an_account_without_a_rule_is_never_admitted() -> None:
     admission = Admission.from_rules({}, 0.0)
 
     assert admission.ask("nobody", 0.0) == NotAdmitted(MAX_RETRY_AFTER_S)
--- a/tests/unit/decisions/test_call_window.py
+++ b/tests/unit/decisions/test_call_window.py
@@ -2,10 +2,15 @@
 
 import heapq
 
-from ibisspring_decisions.call_window import FIRST, SETTLE_S, WAIT_S, CallWindow
-
-PLACES = 42
-LINE = 14
+from ibisspring_decisions.call_window import (
+    GROW_AFTER_WAIT_S,
+    INITIAL_LIMIT,
+    SHRINK_EVERY_S,
+    CallWindow,
+)
+
+CAPACITY = 42
+QUEUE_LENGTH = 14
 CALL_S = 0.2
 STEP_EVERY_S = 4.0
 LOOKUP_S = 0.025
@@ -13,31 +18,32 @@
 
 
 class _Service:
-    """Endpoints that work on `PLACES` requests, keep `LINE` waiting and refuse what is beyond."""
+    """Endpoints that run `CAPACITY` requests, queue `QUEUE_LENGTH` more and reject all others."""
 
     def __init__(self) -> None:
         self.ends: list[float] = []
 
     def take(self, now: float, work_s: float) -> float | None:
-        """When the request ends; None where it is refused."""
+        """Accept a request and return its end time; return None if it is rejected."""
         self.ends = [end for end in self.ends if end > now]
-        if len(self.ends) >= PLACES + LINE:
+        if len(self.ends) >= CAPACITY + QUEUE_LENGTH:
             return None
-        begins = now if len(self.ends) < PLACES else sorted(self.ends)[-PLACES]
+        begins = now if len(self.ends) < CAPACITY else sorted(self.ends)[-CAPACITY]
         self.ends.append(begins + work_s)
         return begins + work_s
 
 
 def replay(windows: list[CallWindow] | None) -> tuple[int, float, float]:
     """
-    Play steps whose texts end together, beside lookups.
+    Simulate four steps whose texts end together, beside a steady stream of lookups.
 
-    :param windows: one for each sender; None sends each call at once.
-    :return: lookups refused, share of lookups that waited in a line, seconds until the last score.
+    :param windows: one for each sender; with None each call is sent at once.
+    :return: number of rejected lookups, share of lookups that waited in a queue, longest time in
+        seconds from the end of a text to its score.
     """
     service = _Service()
-    # Each step ends 60 texts at each of five senders, which is seven times the places.
-    waiting = [[step * 4.0 for step in range(4) for _ in range(60)] for _ in range(SENDERS)]
+    # At the end of each step 60 texts wait at each of five senders, seven times the capacity.
+    queues = [[step * 4.0 for step in range(4) for _ in range(60)] for _ in range(SENDERS)]
     timed: list[tuple[float, str, int]] = [(n * 0.02, "lookup", 0) for n in range(800)]
     timed += [(at, "wake", sender) for sender in range(SENDERS) for at in (0.0, 4.0, 8.0, 12.0)]
     heapq.heapify(timed)
@@ -55,17 +61,17 @@
         for was_refused in ended_by_key.pop((now, sender), []):
             if windows is not None:
                 windows[sender].ended(now, was_refused)
-        line = waiting[sender]
-        while line and line[0] <= now and (windows is None or windows[sender].has_room()):
-            due = line.pop(0)
+        queue = queues[sender]
+        while queue and queue[0] <= now and (windows is None or windows[sender].has_room()):
+            due = queue.pop(0)
             if windows is not None:
-                windows[sender].began(now, now - due, PLACES)
+                windows[sender].began(now, now - due, CAPACITY)
             end = service.take(now, CALL_S)
             if end is None:
-                line.insert(0, due)
-                back = now + 0.05
-                ended_by_key.setdefault((back, sender), []).append(True)
-                heapq.heappush(timed, (back, "wake", sender))
+                queue.insert(0, due)
+                retry_s = now + 0.05
+                ended_by_key.setdefault((retry_s, sender), []).append(True)
+                heapq.heappush(timed, (retry_s, "wake", sender))
                 break
             last_s = max(last_s, end - due)
             ended_by_key.setdefault((end, sender), []).append(False)
@@ -74,58 +80,58 @@
 
 
 def test_lookups_are_served_beside_the_calls_of_a_step_that_ends() -> None:
-    # Texts end at five senders at once. Sent at once, their calls take each place and the line as
-    # well: lookups of 25 ms are refused, or wait as long as a call works.
-    refused_bare, waited_bare, last_bare = replay(None)
-    refused, waited, last = replay([CallWindow() for _ in range(SENDERS)])
-
-    assert refused_bare > 0
-    assert refused <= refused_bare / 10
-    assert waited < waited_bare / 2
-    # The calls come to their ends before those of the next step begin.
-    assert last_bare < last < STEP_EVERY_S
-
-
-def test_a_window_grows_where_texts_wait_and_nowhere_else() -> None:
-    # Each call at a time is a connection of its own. A sender whose calls never wait keeps to few;
-    # one that reads the texts of a whole engine gets what these need.
-    calm, busy = CallWindow(), CallWindow()
+    # Texts end at five senders at the same time. Without windows their calls fill the slots and the
+    # queue of the endpoints: lookups of 25 ms are rejected or wait for the duration of a call.
+    refused_unlimited, waited_unlimited, last_unlimited_s = replay(None)
+    refused, waited, last_s = replay([CallWindow() for _ in range(SENDERS)])
+
+    assert refused_unlimited > 0
+    assert refused <= refused_unlimited / 10
+    assert waited < waited_unlimited / 2
+    # All calls of a step end before the next step's calls start.
+    assert last_unlimited_s < last_s < STEP_EVERY_S
+
+
+def test_a_window_grows_only_while_calls_wait() -> None:
+    # Each concurrent call needs a connection. A sender whose calls never wait keeps the initial
+    # limit; one that reads all texts of an engine gets the larger limit that these need.
+    idle, busy = CallWindow(), CallWindow()
     for n in range(100):
-        calm.began(n * 0.1, 0.0, PLACES)
-        calm.ended(n * 0.1, refused=False)
-        busy.began(n * 0.1, 2 * WAIT_S if n < 50 else 0.0, PLACES)
+        idle.began(n * 0.1, 0.0, CAPACITY)
+        idle.ended(n * 0.1, refused=False)
+        busy.began(n * 0.1, 2 * GROW_AFTER_WAIT_S if n < 50 else 0.0, CAPACITY)
         busy.ended(n * 0.1, refused=False)
 
-    assert calm.limit == FIRST
-    assert busy.limit >= 2 * FIRST
-    assert busy.limit < 4 * FIRST
+    assert idle.limit == INITIAL_LIMIT
+    assert busy.limit >= 2 * INITIAL_LIMIT
+    assert busy.limit < 4 * INITIAL_LIMIT
 
 
 def test_a_window_takes_no_more_than_its_share_of_the_places() -> None:
-    # Another fleet: the same sender before twice and before an eighth of the endpoints.
+    # The same sender with twice the capacity and with about an eighth of it.
     limits = {}
-    for places in (5, PLACES, 2 * PLACES):
+    for capacity in (5, CAPACITY, 2 * CAPACITY):
         window = CallWindow()
         for n in range(100):
-            window.began(n * 1.1, 2 * WAIT_S, places)
+            window.began(n * 1.1, 2 * GROW_AFTER_WAIT_S, capacity)
             window.ended(n * 1.1, refused=False)
-        limits[places] = window.limit
+        limits[capacity] = window.limit
 
-    assert limits[5] == FIRST
-    assert FIRST < limits[PLACES] < PLACES / 5
-    assert 1.8 * limits[PLACES] < limits[2 * PLACES] < 2.2 * limits[PLACES]
+    assert limits[5] == INITIAL_LIMIT
+    assert INITIAL_LIMIT < limits[CAPACITY] < CAPACITY / 5
+    assert 1.8 * limits[CAPACITY] < limits[2 * CAPACITY] < 2.2 * limits[CAPACITY]
 
 
-def test_refusals_of_one_burst_are_one_sign() -> None:
+def test_rejections_of_one_burst_shrink_the_window_once() -> None:
     window = CallWindow()
     window.limit = 8.0
     for _ in range(8):
-        window.began(0.0, 0.0, PLACES)
+        window.began(0.0, 0.0, CAPACITY)
     for _ in range(8):
         window.ended(1.0, refused=True)
-    once = window.limit
-    assert once > 4.0
+    limit_after_burst = window.limit
+    assert limit_after_burst > 4.0
 
-    window.began(2.0, 0.0, PLACES)
-    window.ended(1.0 + 2 * SETTLE_S, refused=True)
-    assert window.limit < once
+    window.began(2.0, 0.0, CAPACITY)
+    window.ended(1.0 + 2 * SHRINK_EVERY_S, refused=True)
+    assert window.limit < limit_after_burst
