--- a/packages/ibisspring-decisions/src/ibisspring_decisions/__init__.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/__init__.py
@@ -1,3 +1,3 @@
-"""Pure policies of ibisspring: no network, no clock, no event loop."""
+"""Pure policies of ibisspring: functions and classes without network, clock or event loop."""
 
 from __future__ import annotations
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/retries.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/retries.py
@@ -1,78 +1,84 @@
 """
-Retries: how many second tries may be sent.
+Retry budget: a limit on the number of retries in proportion to the requests.
 
-Load pattern: an endpoint, a data centre or all of a service turns slow or fails, and every request
-wants a second try at the same moment.
-
-Without it: three tries for each request treble the load on what is left, which then fails too, and
-the retries keep the load up after the cause is gone (a retry storm that does not end by itself).
-
-Grounds of the figures: `RATIO` 0.2 lets one fifth of the requests fail at a time (one of five
-endpoints, the size of today) without any caller seeing it, and bounds the added load to a fifth.
-`FLOOR_PER_S` 1 lets an entry with hardly any traffic still retry. `BURST_S` 10: a crash of one
-endpoint fails at once what it had under way, about ten seconds' worth of long generations.
+When an endpoint, a data centre or all of a service becomes slow or fails, all requests need a retry
+at the same moment. Three tries for each request would treble the load on the remaining endpoints,
+which would then fail as well, and the retries would keep up the overload after its cause has ended:
+a retry storm that does not end by itself. A token bucket that first tries fill and retries empty
+bounds the added load.
 """
 
 from __future__ import annotations
 
-RATIO = 0.2
-FLOOR_PER_S = 1.0
+# Retries allowed per request. One fifth of the requests may fail at a time (one of five endpoints,
+# the present size) without any caller noticing, and the added load is bounded to a fifth.
+RETRIES_PER_REQUEST = 0.2
+# Lets an entry with hardly any traffic retry too: 1 retry per second.
+MIN_RETRIES_PER_S = 1.0
+# The bucket holds the retries of 10 s: a crash of one endpoint fails all its requests in flight at
+# once, about ten seconds' worth of long generations.
 BURST_S = 10.0
 
 
 class RetryBudget:
-    """A bucket that requests fill and retries empty."""
+    """Token bucket that requests fill and retries empty."""
 
-    def __init__(self, ratio: float, floor_per_s: float, burst_s: float) -> None:
-        self._ratio = ratio
-        self._floor_per_s = floor_per_s
+    def __init__(
+        self, retries_per_request: float, min_retries_per_s: float, burst_s: float
+    ) -> None:
+        self._retries_per_request = retries_per_request
+        self._min_retries_per_s = min_retries_per_s
         self._burst_s = burst_s
-        self._left = floor_per_s * burst_s
-        self._rate = 0.0
-        self._filled_at: float | None = None
+        self._tokens = min_retries_per_s * burst_s
+        self._requests_per_s = 0.0
+        self._refilled_at: float | None = None
 
     @classmethod
     def from_defaults(cls) -> RetryBudget:
         """
-        Build a budget with the module's figures.
+        Build a budget with the constants of this module.
 
-        :return: the budget, full.
+        :return: the budget, with a full bucket.
         """
-        return cls(RATIO, FLOOR_PER_S, BURST_S)
+        return cls(RETRIES_PER_REQUEST, MIN_RETRIES_PER_S, BURST_S)
 
     def request(self, now: float) -> None:
         """
-        Count a first try.
+        Count the first try of a request.
 
         :param now: seconds on any steady clock.
         """
-        self._fill(now)
-        self._rate += 1.0 / self._burst_s
-        self._left = min(self._bound(), self._left + self._ratio)
+        self._refill(now)
+        self._requests_per_s += 1.0 / self._burst_s
+        self._tokens = min(self._size(), self._tokens + self._retries_per_request)
 
     def take(self, now: float) -> bool:
         """
-        Take one retry.
+        Take the token for one retry.
 
         :param now: seconds on the same clock.
-        :return: whether it may be sent.
+        :return: whether the retry may be sent; False if the budget is used up.
         """
-        self._fill(now)
-        if self._left < 1.0:
+        self._refill(now)
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
 
-    def _bound(self) -> float:
-        return self._burst_s * max(self._floor_per_s, self._ratio * self._rate)
+    def _size(self) -> float:
+        """Return the largest number of tokens at the present rate of requests."""
+        return self._burst_s * max(
+            self._min_retries_per_s, self._retries_per_request * self._requests_per_s
+        )
 
-    def _fill(self, now: float) -> None:
-        if self._filled_at is None:
-            self._filled_at = now
-        elapsed = max(0.0, now - self._filled_at)
-        self._filled_at = now
-        self._rate *= max(0.0, 1.0 - elapsed / self._burst_s)
-        self._left = min(self._bound(), self._left + self._floor_per_s * elapsed)
+    def _refill(self, now: float) -> None:
+        """Add the tokens of the minimum rate, and decay the request rate, until now."""
+        if self._refilled_at is None:
+            self._refilled_at = now
+        elapsed = max(0.0, now - self._refilled_at)
+        self._refilled_at = now
+        self._requests_per_s *= max(0.0, 1.0 - elapsed / self._burst_s)
+        self._tokens = min(self._size(), self._tokens + self._min_retries_per_s * elapsed)
 
 
-__all__ = ["BURST_S", "FLOOR_PER_S", "RATIO", "RetryBudget"]
+__all__ = ["BURST_S", "MIN_RETRIES_PER_S", "RETRIES_PER_REQUEST", "RetryBudget"]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/sampling.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/sampling.py
@@ -1,27 +1,17 @@
 """
-Which samples of a training step to start, and which stragglers to race.
-
-Load pattern: a step asks for some dozens to thousands of samples in groups; a group is worth
-nothing until its last member is there, a step nothing until its last group. Lengths differ by a
-factor of ten, an engine may slow down or hang, and new weights come every few minutes, after which
-old samples count for less.
-
-Without it (members started in the order of the request, no race): the first free place goes to a
-new group while started groups lack one member, so that many groups are half done when weights
-change and age together; and the slowest engine sets the time of the whole step, which is the
-trainer's idle time.
-
-Grounds of the figures:
-- RACE_AFTER 2.0: a sample that takes over twice the step's median is raced. Lengths vary by
-  themselves, so a lower factor races samples that are only long; at twice the median an ordinary
-  long sample mostly has ended.
-- RACE_AFTER_DONE 4: a median of fewer finished samples says nothing.
-- RACE_SHARE 0.1: races cost engine work that other trainers could use; a tenth of the step bounds
-  it, also when all engines become slow together and every sample looks like a straggler.
-- EXPECTED_FROM 3: work is held back only where each of the last three steps saw that many new
-  versions before its batch was asked for; one step alone may be an accident.
-- MAX_ATTEMPTS 2: one race decides between a slow engine and a long sample; a third copy adds next
-  to nothing.
+Selects the samples of a training step to start, and the stragglers to race.
+
+A step asks for some dozens to thousands of samples in groups. A group is unusable until its last
+sample is complete, and a step until its last group. Sample lengths differ by a factor of ten, an
+engine may slow down or hang, and new weights are published every few minutes, after which older
+samples are worth less. If samples started in the order of the request, the first free slot would go
+to a new group while started groups lack one sample: many groups would be half complete when the
+weights change, and would become stale together. Without races, the slowest engine would determine
+the duration of the step, during which the trainer is idle.
+
+Samples of the groups that lack the fewest samples therefore start first. The remaining free slots
+go to races: a straggler gets a second attempt on another engine, and the attempt that ends first is
+used.
 """
 
 from __future__ import annotations
@@ -29,23 +19,33 @@
 import statistics
 from dataclasses import dataclass
 
-RACE_AFTER = 2.0
-RACE_AFTER_DONE = 4
-RACE_SHARE = 0.1
+# An attempt that runs for more than 2.0 times the step's median duration is raced. Lengths of
+# samples vary, so a lower factor would race samples that are merely long; at twice the median, most
+# ordinary long samples have ended.
+RACE_MEDIAN_FACTOR = 2.0
+# No races before 4 samples have finished: a median of fewer is not meaningful.
+RACE_MIN_FINISHED = 4
+# Races use engine time that other trainers could use. They are bounded to a tenth of the step's
+# samples, also when all engines become slow together and every sample looks like a straggler.
+MAX_RACE_SHARE = 0.1
+# With 2 attempts, one race decides between a slow engine and a long sample; a third attempt would
+# add almost nothing.
 MAX_ATTEMPTS = 2
+# Samples are held back only for as many publications as each of the last 3 steps saw before its
+# batch was requested; a single step may be an exception.
 EXPECTED_FROM = 3
 
 
 @dataclass(frozen=True)
 class MemberView:
     """
-    One sample of the step as it stands.
+    State of one sample of the step.
 
-    :param group: index of its group in the request.
-    :param member: number in the group, from 0.
-    :param done: whether a sample that may be delivered is there.
-    :param started_s: start of each attempt that runs now, seconds.
-    :param not_before_s: earliest start of the next attempt, seconds; set after a failure.
+    :param group: index of the sample's group in the request.
+    :param member: index of the sample in its group.
+    :param done: whether an attempt produced a sample that may be delivered.
+    :param started_s: start time of each running attempt, in seconds.
+    :param not_before_s: earliest start time of the next attempt, in seconds; set after a failure.
     """
 
     group: int
@@ -60,7 +60,10 @@
     """
     An attempt to start now.
 
-    :param race: whether another attempt at the same sample runs already; it goes to another engine.
+    :param group: index of the sample's group in the request.
+    :param member: index of the sample in its group.
+    :param race: whether another attempt at the same sample is running; the new one must start on
+        another engine.
     """
 
     group: int
@@ -70,118 +73,127 @@
 
 def is_stale(oldest_version: int, trainer_version: int, bound: int) -> bool:
     """
-    Whether a sample is older than the bound.
+    Return whether a sample is too old to be delivered.
 
-    :param oldest_version: oldest weight version that made one of its tokens.
-    :param trainer_version: the trainer's newest version.
-    :param bound: how many versions a sample may be behind.
+    :param oldest_version: oldest weight version that generated one of the sample's tokens.
+    :param trainer_version: newest version that the trainer published.
+    :param bound: largest allowed number of versions that a sample is behind the trainer.
     """
     return oldest_version < trainer_version - bound
 
 
 def expected_publications(earlier: tuple[int, ...]) -> int:
     """
-    Guess how many versions the trainer publishes between opening a step and asking for its batch.
+    Estimate how many versions a trainer publishes between opening a step and requesting its batch.
 
-    :param earlier: how many it were in the trainer's earlier steps, the newest last.
-    :return: the least of the last steps; 0 while too few are known.
+    :param earlier: these numbers of the trainer's earlier steps, the latest step last.
+    :return: the lowest number of the last `EXPECTED_FROM` steps; 0 if fewer are known.
     """
     if len(earlier) < EXPECTED_FROM:
         return 0
     return min(earlier[-EXPECTED_FROM:])
 
 
-def may_start(expected: int, published: int, bound: int, trainer_waits: bool) -> bool:
+def may_start(expected: int, published: int, bound: int, batch_requested: bool) -> bool:
     """
-    Tell whether samples that start now have a chance to be fresh when the batch is asked for.
-
-    A trainer that opens its next step while it still trains will publish before it asks. Where the
-    bound is tighter than that, whatever starts before is thrown away. A trainer that asks already
-    gets its samples at once, whatever was expected of it: a wrong guess must not make it idle.
-
-    :param expected: publications expected between the opening and the first question.
-    :param published: publications since the opening.
-    :param bound: how many versions a sample may be behind.
-    :param trainer_waits: whether the trainer has asked for the batch.
+    Return whether samples that start now can still be fresh when the batch is requested.
+
+    A trainer that opens its next step while it is still training publishes new versions before it
+    requests the batch. If it is expected to publish more versions than the staleness bound allows,
+    samples that start earlier would be discarded. Once the batch is requested, samples start at
+    once, so that a wrong estimate does not keep the trainer idle.
+
+    :param expected: versions expected to be published between the opening of the step and the first
+        request for its batch.
+    :param published: versions published since the step was opened.
+    :param bound: largest allowed number of versions that a sample is behind the trainer.
+    :param batch_requested: whether the trainer has requested the batch.
     """
-    return trainer_waits or expected - published <= bound
+    return batch_requested or expected - published <= bound
 
 
-def share_of_places(places: int, trainers: int, running: int, free: int) -> int:
+def share_of_places(slots: int, trainers: int, running: int, free: int) -> int:
     """
-    Count the attempts that one trainer's step may run at a time.
+    Return how many attempts one trainer's step may run at a time.
 
-    Its equal part is its own at any time. What the engines report as free it may take beside that,
-    and gives it back sample by sample once another trainer takes its part: the engines then report
-    nothing free, and what ends is not started again.
+    A trainer may always use an equal part of the slots, and beyond it the slots that the engines
+    report as free. When another trainer starts to use its part, the engines report no free slots,
+    and the extra slots are returned as their attempts end, since no new attempts start on them.
 
-    :param places: places of all engines that the trainers share.
-    :param trainers: how many trainers share them.
-    :param running: attempts of this trainer that run now.
-    :param free: places that the engines report as free; the report lags.
+    :param slots: slots of all engines that the trainers share.
+    :param trainers: number of trainers that share the engines.
+    :param running: attempts of this trainer's step that are running.
+    :param free: slots that the engines report as free; the report lags behind their state.
     """
-    part = max(1, places // max(1, trainers))
-    return min(places, max(part, running + free))
+    equal_part = max(1, slots // max(1, trainers))
+    return min(slots, max(equal_part, running + free))
 
 
 def plan_starts(
     members: tuple[MemberView, ...], free: int, durations_s: tuple[float, ...], now: float
 ) -> tuple[Start, ...]:
     """
-    Choose what to start: first what completes groups soonest, then races of stragglers.
+    Return the attempts to start: samples of nearly complete groups first, races of stragglers last.
 
-    :param members: every sample of the step.
-    :param free: attempts that the engines have room for beside those that run.
-    :param durations_s: seconds that the step's finished samples took.
+    :param members: all samples of the step.
+    :param free: free slots for further attempts.
+    :param durations_s: durations of the step's finished samples, in seconds.
     :param now: seconds on the clock of `started_s`.
-    :return: at most `free` starts, the most useful first.
+    :return: at most `free` attempts, in the order in which they are to start.
     """
     if free <= 0:
         return ()
-    fresh = _fresh_starts(members, now)[:free]
-    if len(fresh) == free:
-        return fresh
-    return fresh + _races(members, free - len(fresh), durations_s, now)
+    starts = _non_race_starts(members, now)[:free]
+    if len(starts) == free:
+        return starts
+    return starts + _races(members, free - len(starts), durations_s, now)
 
 
-def _fresh_starts(members: tuple[MemberView, ...], now: float) -> tuple[Start, ...]:
+def _non_race_starts(members: tuple[MemberView, ...], now: float) -> tuple[Start, ...]:
+    """
+    Return a start for each sample that is neither done, running nor delayed after a failure, in
+    ascending order of the number of samples that its group lacks.
+    """
     missing_by_group: dict[int, int] = {}
     for view in members:
         if view.done:
             continue
         missing_by_group[view.group] = missing_by_group.get(view.group, 0) + 1
-    waiting = [
+    startable = [
         view
         for view in members
         if not view.done and not view.started_s and view.not_before_s <= now
     ]
-    waiting.sort(key=lambda view: (missing_by_group[view.group], view.group, view.member))
-    return tuple(Start(view.group, view.member, race=False) for view in waiting)
+    startable.sort(key=lambda view: (missing_by_group[view.group], view.group, view.member))
+    return tuple(Start(view.group, view.member, race=False) for view in startable)
 
 
 def _races(
     members: tuple[MemberView, ...], free: int, durations_s: tuple[float, ...], now: float
 ) -> tuple[Start, ...]:
-    if len(durations_s) < RACE_AFTER_DONE:
+    """Return a start for each straggler, the longest-running first, within the limits for races."""
+    if len(durations_s) < RACE_MIN_FINISHED:
         return ()
-    late_s = RACE_AFTER * statistics.median(durations_s)
+    straggler_s = RACE_MEDIAN_FACTOR * statistics.median(durations_s)
     raced = sum(1 for view in members if len(view.started_s) >= MAX_ATTEMPTS)
-    room = min(free, max(1, int(RACE_SHARE * len(members))) - raced)
-    late = [
+    allowed = min(free, max(1, int(MAX_RACE_SHARE * len(members))) - raced)
+    stragglers = [
         view
         for view in members
-        if not view.done and len(view.started_s) == 1 and now - view.started_s[0] > late_s
+        if not view.done and len(view.started_s) == 1 and now - view.started_s[0] > straggler_s
     ]
-    late.sort(key=lambda view: view.started_s[0])
-    return tuple(Start(view.group, view.member, race=True) for view in late[: max(0, room)])
+    stragglers.sort(key=lambda view: view.started_s[0])
+    return tuple(
+        Start(view.group, view.member, race=True) for view in stragglers[: max(0, allowed)]
+    )
 
 
 __all__ = [
     "EXPECTED_FROM",
     "MAX_ATTEMPTS",
-    "RACE_AFTER",
-    "RACE_AFTER_DONE",
-    "RACE_SHARE",
+    "MAX_RACE_SHARE",
+    "RACE_MEDIAN_FACTOR",
+    "RACE_MIN_FINISHED",
     "MemberView",
     "Start",
     "expected_publications",
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/slots.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/slots.py
@@ -1,86 +1,89 @@
 """
-Slots: how many requests one entry may have under way at a service's endpoints.
-
-Load pattern: eight or nine entries before three to five endpoints; the balancer keeps connections,
-so that one entry may hold most of the load; a trainer's step is gathered on one entry alone.
-
-Without it: each entry counts on the whole capacity and nine times as much is sent as the endpoints
-work on. The rest waits in the endpoints' own queues, where first come is first served: the fair
-queue, deadlines and refusals in time are without effect, because nothing ever waits here.
-
-Grounds for the figures:
-
-- `RESERVED` 0.2, as in admission: an entry without work so far can start some before the others
-  have heard of it.
-- `OVERCOMMIT` 1.25: an endpoint that ends a request finds the next one in its own queue and does
-  not idle for the way back and forth; a quarter of 8 slots is 2, about a hundred milliseconds of
-  work, against some milliseconds of way.
-- `MEMORY` 0.9 of an average is kept at each new duration: ten requests change it, so that it
-  follows a model that has become slower within a second of load and one straggler moves it little.
-- What is learned is the time for a unit that was asked for, not for one that was made: callers ask
-  for a bound and engines stop earlier, so that a time for each token made would have long bounds
-  refused that end in time.
-- `FIRST_UNIT_S` 0 holds until the first answer: nobody is refused out of ignorance.
+Number of requests that one entry may have in flight at a service's endpoints.
+
+Eight or nine entries send to three to five endpoints. The balancer keeps connections open, so that
+one entry may receive most of the load, and all samples of a trainer's step are requested by a
+single entry. If each entry used the complete capacity, nine times as many requests as the endpoints
+can work on would be sent and the surplus would wait in the endpoints' own first-come, first-served
+queues. The entries' fair queues, deadlines and early rejections would then have no effect, because
+no request would ever wait at an entry.
+
+The capacity is therefore divided over the entries by the number of requests that each has in flight
+or queued. `WorkTime` estimates how long a request takes.
 """
 
 from __future__ import annotations
 
 import math
 
-RESERVED = 0.2
+# 0.2 of the capacity is divided evenly, as in admission, so that an entry that had no work so far
+# can start some requests before the other entries have received its demand.
+EVEN_SHARE = 0.2
+# With slots for a quarter more requests than the endpoints work on, an endpoint that finishes a
+# request starts the next one from its own queue instead of idling for a network round trip. A
+# quarter of 8 slots is 2 requests, about a hundred milliseconds of work, while a round trip takes
+# some milliseconds.
 OVERCOMMIT = 1.25
-MEMORY = 0.9
-FIRST_UNIT_S = 0.0
+# Weight of the previous average at each new duration. About ten requests replace the average: it
+# follows a model that has become slower within a second under load, and one straggler changes it
+# little.
+PREVIOUS_WEIGHT = 0.9
+# Expected time per unit until the first response. With 0, no request is rejected while the duration
+# is unknown.
+INITIAL_UNIT_S = 0.0
 
 
 def entry_slots(capacity: int, wanted: float, wanted_elsewhere: tuple[float, ...]) -> int:
     """
-    Divide a service's capacity over the entries by what each has to do.
+    Return this entry's share of a service's capacity.
 
-    :param capacity: requests that the endpoints work on at a time.
-    :param wanted: requests that this entry has under way or waiting.
-    :param wanted_elsewhere: the same of each other entry.
-    :return: this entry's slots; 0 only where there is no capacity.
+    :param capacity: requests that all endpoints of the service work on at a time.
+    :param wanted: requests that this entry has in flight or queued.
+    :param wanted_elsewhere: the same number for each other entry.
+    :return: this entry's slots, at least 1; 0 only if there is no capacity.
     """
     if capacity <= 0:
         return 0
     even = 1.0 / (len(wanted_elsewhere) + 1)
     total = wanted + sum(wanted_elsewhere)
-    by_need = wanted / total if total > 0 else even
-    share = RESERVED * even + (1.0 - RESERVED) * by_need
+    by_demand = wanted / total if total > 0 else even
+    share = EVEN_SHARE * even + (1.0 - EVEN_SHARE) * by_demand
     return max(1, math.ceil(OVERCOMMIT * capacity * share))
 
 
 class WorkTime:
     """
-    Expected seconds of work for one unit asked for: a token of an engine, a call of a service.
+    Average seconds of work per requested unit: a token of an engine, or a call of a service.
+
+    The average is taken over the units that callers requested, not over those that were produced.
+    Callers request an upper bound of tokens and engines usually stop earlier; with a time per
+    produced token, requests with a large bound would be rejected although they finish in time.
     """
 
     def __init__(self) -> None:
-        self.unit_s = FIRST_UNIT_S
-        self._learned = False
+        self.unit_s = INITIAL_UNIT_S
+        self._has_duration = False
 
-    def learn(self, units: int, real_s: float) -> None:
+    def learn(self, units: int, actual_s: float) -> None:
         """
-        Learn from a request that was answered whole.
+        Add the duration of a request that was answered completely.
 
-        :param units: tokens or calls that it asked for.
-        :param real_s: seconds that it took.
+        :param units: tokens or calls that the request asked for.
+        :param actual_s: seconds that the request took.
         """
-        if not self._learned:
-            self._learned = True
-            self.unit_s = real_s / units
+        if not self._has_duration:
+            self._has_duration = True
+            self.unit_s = actual_s / units
             return
-        self.unit_s = MEMORY * self.unit_s + (1.0 - MEMORY) * real_s / units
+        self.unit_s = PREVIOUS_WEIGHT * self.unit_s + (1.0 - PREVIOUS_WEIGHT) * actual_s / units
 
     def expect_s(self, units: int) -> float:
         """
-        Expect a request's work.
+        Return the expected seconds of work of a request.
 
-        :param units: tokens or calls that it asks for.
-        :return: seconds.
+        :param units: tokens or calls that the request asks for.
         """
         return units * self.unit_s
 
 
-__all__ = ["FIRST_UNIT_S", "WorkTime", "entry_slots"]
+__all__ = ["INITIAL_UNIT_S", "WorkTime", "entry_slots"]
--- a/tests/unit/decisions/test_slots.py
+++ b/tests/unit/decisions/test_slots.py
@@ -3,9 +3,9 @@
 from ibisspring_decisions.slots import OVERCOMMIT, WorkTime, entry_slots
 
 
-def test_entries_together_send_what_the_endpoints_work_on() -> None:
-    # Nine entries before 40 slots. Each counted on all of them, nine times as much was sent, and
-    # what waited did so at the endpoints, where first come is first served.
+def test_slots_of_all_entries_add_up_to_about_the_capacity() -> None:
+    # Nine entries share 40 slots. If each entry used all of them, nine times as many requests would
+    # be sent, and the surplus would wait in the endpoints' first-come, first-served queues.
     wanted = (50.0, 10.0, *([0.0] * 7))
 
     slots = [
@@ -17,21 +17,22 @@
     assert min(slots) >= 1
 
 
-def test_one_entry_that_gathers_a_whole_step_gets_most_slots() -> None:
+def test_an_entry_that_requests_a_complete_step_gets_most_slots() -> None:
     assert entry_slots(40, 100.0, (0.0,) * 8) > 0.8 * 40
 
 
-def test_no_capacity_is_no_slot() -> None:
+def test_an_entry_gets_no_slot_without_capacity() -> None:
     assert entry_slots(0, 5.0, ()) == 0
 
 
-def test_nobody_is_refused_out_of_ignorance() -> None:
-    # Until something has been answered nothing is known, and a long bound must not look hopeless.
+def test_the_expected_time_is_zero_before_the_first_response() -> None:
+    # While the time per token is unknown, a request with a large token bound must not be rejected
+    # as unable to finish before its deadline.
     assert WorkTime().expect_s(1_000_000) == 0.0
 
 
-def test_long_bounds_that_end_early_are_not_expected_to_take_long() -> None:
-    # Callers ask for 100,000 tokens and get some hundred in 5 s.
+def test_large_token_bounds_that_end_early_have_a_short_expected_time() -> None:
+    # Callers request up to 100,000 tokens and get some hundred tokens in 5 s.
     work_time = WorkTime()
     for _ in range(20):
         work_time.learn(100_000, 5.0)
