--- a/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
@@ -1,41 +1,22 @@
 """
-Routing: which endpoint gets a request.
-
-Load pattern: requests of unequal length on three to five endpoints of a service in three data
-centres a millisecond apart; load reports that are a second old; one endpoint that has become slow
-or fails every request; a hot prompt prefix that one engine has cached; cheap endpoints beside
-standard ones.
-
-Without it: round robin sends as much to an endpoint that is stuck in long jobs as to an idle one;
-"least by the last report" sends every entry's requests to the same endpoint until the next report
-(a herd); an endpoint that fails at once looks idle and draws all requests to it; a cache hint that
-is always followed puts a hot prefix on one engine, however long its line.
-
-How it decides: two candidates are drawn at random and the one of lower cost wins. The cost is the
-work per slot, from the report and from what this entry sent since; nearness and a cached prefix
-lower it by a bounded amount, the kind counts by what a reclaim would cost; ejected endpoints take
-no part.
-
-Grounds for the figures:
-
-- Two draws: most of what looking at all would gain, without the herd.
-- `FAR` 0.05: another data centre is 1 ms away, a twentieth of a slot's work at most; it decides
-  between equals and never against a shorter line.
-- `CACHED` 0.5: a cached prefix saves the prefill, in the order of half a slot's work; cache events
-  are late and have gaps, so it never outweighs one more request per slot.
-- `OPENING` 0.4: an endpoint to which no connection is idle is used where those that have one are at
-  work on two requests more of six; requests then stay with few connections, and a burst spreads.
-- `CHEAP` 0.1: a generation or lookup loses nothing when its endpoint is reclaimed, it goes on
-  elsewhere; so between equals it goes to the cheap kind, of which the rules say how much there is.
-- `RISK` 1.0: a call that may not be repeated ends as "may have run" when its endpoint is reclaimed.
-  It goes to the cheap kind only where the standard one has one request more for each slot.
-- `EJECT_FAILURES` 3 in a row: one failure is a lost connection; three are the endpoint.
-- `EJECT_S` 2 s, doubled for each time in a row up to `EJECT_MOST_S` 30 s: a restart takes seconds,
-  and each return costs some callers one try.
-- `EJECT_SHARE` a third: with more ejected the rest would be overrun for the failures of something
-  that all share; then failing endpoints are used too.
-- `SLOW` 3 times the median of the pace of all: outside what load makes of equals, so that a slow
-  endpoint pays for its pace; `PACE_MEMORY` 0.8 forgets a slow phase within ten requests.
+Chooses the endpoint that a request is sent to.
+
+Load pattern: requests of unequal length are sent to a service with three to five endpoints in three
+data centres a millisecond apart. Load reports are a second old. An endpoint may become slow or fail
+every request, one engine may have cached the prompt prefix that most requests share, and cheap
+(preemptible) endpoints run beside standard ones.
+
+Simple policies fail under this load. Round robin sends as many requests to an endpoint that is
+blocked by long jobs as to an idle one. "Least load in the last report" makes all entries send their
+requests to the same endpoint until the next report arrives (a herd). An endpoint that fails every
+request at once looks idle and attracts all requests. Always following the cache hint sends all
+requests with a common prefix to one engine, however long its queue is.
+
+The router draws two candidates at random and takes the one with the lower cost. The cost is the
+work per slot, computed from the last report and from the requests that this entry has sent since.
+A local data centre, an idle connection and a cached prefix each lower the cost by a bounded amount;
+the endpoint's kind changes it by what a reclaim would cost the request. Ejected endpoints are not
+considered.
 """
 
 from __future__ import annotations
@@ -48,17 +29,41 @@
 if TYPE_CHECKING:
     import random
 
-FAR = 0.05
-CACHED = 0.5
-OPENING = 0.4
-CHEAP = 0.1
-RISK = 1.0
-EJECT_FAILURES = 3
-EJECT_S = 2.0
-EJECT_MOST_S = 30.0
-EJECT_SHARE = 1 / 3
-SLOW = 3.0
-PACE_MEMORY = 0.8
+# The amounts below are in units of cost: 1.0 is one request per slot.
+
+# Another data centre is 1 ms away, at most a twentieth of the work of a slot. The amount decides
+# between equally loaded endpoints and never outweighs a shorter queue.
+OTHER_DATA_CENTRE_COST = 0.05
+# A cached prefix saves the prefill, about half of the work of a slot. Cache events arrive late and
+# with gaps, so the bonus never outweighs one more request per slot.
+CACHED_PREFIX_BONUS = 0.5
+# At a capacity of six, an endpoint without an idle connection is used only when each endpoint with
+# one has over two requests more in work. Requests thus share few connections, and a burst is still
+# spread over the endpoints.
+IDLE_CONNECTION_BONUS = 0.4
+# A generation or lookup loses nothing when its endpoint is reclaimed, because it continues on
+# another one. Between equally loaded endpoints it goes to a cheap one; the rules limit how many
+# cheap endpoints there are.
+CHEAP_KIND_BONUS = 0.1
+# A call that must not be repeated ends as "may have run" when its endpoint is reclaimed. It goes to
+# a cheap endpoint only if the standard ones have one more request per slot.
+RECLAIM_RISK_COST = 1.0
+# A single failure may be a lost connection; three in a row are the endpoint's fault.
+EJECT_AFTER_FAILURES = 3
+# A restart takes seconds, and each return of an endpoint that still fails costs some callers one
+# try. The time therefore doubles with each ejection in a row, up to 30 s.
+EJECTION_BASE_S = 2.0
+EJECTION_MAX_S = 30.0
+# If more than a third of the candidates are ejected, the cause is something that all endpoints
+# share, and the remaining ones would be overloaded. All candidates are then used again.
+EJECTION_MAX_SHARE = 1 / 3
+# An endpoint is slow from three times the median pace of all, more than load alone can explain
+# between equal endpoints. Its cost is then multiplied by the ratio of its pace to the median.
+SLOW_PACE_RATIO = 3.0
+# Weight of the previous average in the moving average of the pace: the effect of a slow phase fades
+# within ten requests.
+PREVIOUS_PACE_WEIGHT = 0.8
+# Engines announce digests of cached prompts over the same number of characters.
 PREFIX_CHARACTERS = 64
 CHEAP_KIND = "cheap"
 
@@ -66,14 +71,15 @@
 @dataclass(frozen=True)
 class Candidate:
     """
-    An endpoint that may take the request.
-
-    :param running: its reported requests in work.
-    :param queued: its reported requests waiting.
-    :param capacity: requests that it works on at a time.
-    :param in_flight: requests that this entry has under way there.
-    :param sent_since: requests that this entry sent there since the report was heard.
-    :param cached: whether it says that it caches the request's prompt prefix.
+    An endpoint that may get the request.
+
+    :param kind: "cheap" for an endpoint that the platform may reclaim, otherwise "standard".
+    :param running: requests in work, from its last load report.
+    :param queued: waiting requests, from its last load report.
+    :param capacity: number of requests that it works on at a time.
+    :param in_flight: requests that this entry has sent to it and that have not ended.
+    :param sent_since: requests that this entry sent to it since the last load report was received.
+    :param cached: whether it announced that it has the request's prompt prefix in its cache.
     :param connected: whether a connection to it is known to be idle.
     """
 
@@ -90,8 +96,15 @@
 
 
 @dataclass
-class _Known:
-    """What was learned of one endpoint by using it."""
+class _EndpointHistory:
+    """
+    Results of the requests that this entry sent to one endpoint.
+
+    :param failures: failures in a row since the last success or ejection.
+    :param ejections: ejections in a row, without a successful request between them.
+    :param ejected_until: time in seconds at which the current or last ejection ends.
+    :param pace: moving average of the seconds per unit of work; None before the first success.
+    """
 
     failures: int = 0
     ejections: int = 0
@@ -100,20 +113,20 @@
 
 
 class Router:
-    """What one entry has learned of the endpoints by using them."""
+    """Chooses endpoints for one entry and records the results of its requests."""
 
     def __init__(self, data_centre: str, source: random.Random) -> None:
         self._data_centre = data_centre
         self._source = source
-        self._known_by_endpoint: dict[str, _Known] = {}
+        self._history_by_endpoint: dict[str, _EndpointHistory] = {}
 
     @classmethod
     def from_data_centre(cls, data_centre: str, source: random.Random) -> Router:
         """
-        Build a router.
+        Build a router without recorded results.
 
-        :param data_centre: where this entry stands.
-        :param source: random numbers.
+        :param data_centre: data centre in which this entry runs.
+        :param source: random number generator.
         :return: the router.
         """
         return cls(data_centre, source)
@@ -124,124 +137,127 @@
         """
         Choose one of the candidates.
 
-        :param candidates: endpoints that may take the request.
-        :param now: seconds on a steady clock.
+        :param candidates: endpoints that may get the request.
+        :param now: monotonic time in seconds.
         :param repeatable: whether the request loses nothing when its endpoint is reclaimed.
-        :return: the endpoint's id, or None where there is no candidate.
+        :return: the endpoint's id, or None if there are no candidates.
         """
         if not candidates:
             return None
         healthy = self._without_ejected(candidates, now)
-        usual_pace = self._usual_pace(healthy)
-        pair = self._source.sample(healthy, min(2, len(healthy)))
-        # Of one prompt's engines those that cache it are always drawn, or the hint would be lost in
-        # most draws; the cost still lets a shorter line win.
-        pair.extend(candidate for candidate in healthy if candidate.cached)
-        # The same for those with an idle connection.
-        pair.extend(candidate for candidate in healthy if candidate.connected)
+        median_pace = self._median_pace(healthy)
+        # Two random candidates give most of the benefit of comparing all of them, and entries that
+        # have the same old reports do not all choose the same endpoint.
+        drawn = self._source.sample(healthy, min(2, len(healthy)))
+        # Engines that have the prefix cached are always compared: two random draws would mostly
+        # miss them. Their cost still lets an endpoint with a shorter queue win.
+        drawn.extend(candidate for candidate in healthy if candidate.cached)
+        # Endpoints with an idle connection are always compared for the same reason.
+        drawn.extend(candidate for candidate in healthy if candidate.connected)
         if not repeatable:
-            # Two draws may both be cheap ones beside a free standard one.
+            # Both random candidates may be cheap although a standard endpoint is free.
             standard = [candidate for candidate in healthy if candidate.kind != CHEAP_KIND]
-            pair.extend(self._source.sample(standard, min(2, len(standard))))
-        cheap_cost = -CHEAP if repeatable else RISK
-        chosen = min(pair, key=lambda one: self._cost(one, usual_pace, cheap_cost))
+            drawn.extend(self._source.sample(standard, min(2, len(standard))))
+        cheap_cost = -CHEAP_KIND_BONUS if repeatable else RECLAIM_RISK_COST
+        chosen = min(drawn, key=lambda option: self._cost(option, median_pace, cheap_cost))
         return chosen.endpoint
 
     def failed(self, endpoint: str, now: float) -> None:
         """
-        Learn that an endpoint failed a request.
+        Record that an endpoint failed a request; eject it after several failures in a row.
 
         :param endpoint: its id.
-        :param now: seconds on the same clock.
+        :param now: monotonic time in seconds, as for `choose`.
         """
-        known = self._known(endpoint)
-        known.failures += 1
-        if known.failures < EJECT_FAILURES:
+        history = self._history(endpoint)
+        history.failures += 1
+        if history.failures < EJECT_AFTER_FAILURES:
             return
-        known.failures = 0
-        known.ejected_until = now + min(EJECT_MOST_S, EJECT_S * 2**known.ejections)
-        known.ejections += 1
+        history.failures = 0
+        history.ejected_until = now + min(EJECTION_MAX_S, EJECTION_BASE_S * 2**history.ejections)
+        history.ejections += 1
 
     def answered(self, endpoint: str, pace: float) -> None:
         """
-        Learn that an endpoint answered whole.
+        Record that an endpoint completed a request; reset its counts of failures and ejections.
 
         :param endpoint: its id.
-        :param pace: seconds for each unit of work, a token or a call.
+        :param pace: seconds per unit of work; a unit is a token or a call.
         """
-        known = self._known(endpoint)
-        known.failures = 0
-        known.ejections = 0
-        old = pace if known.pace is None else known.pace
-        known.pace = PACE_MEMORY * old + (1.0 - PACE_MEMORY) * pace
+        history = self._history(endpoint)
+        history.failures = 0
+        history.ejections = 0
+        previous = pace if history.pace is None else history.pace
+        history.pace = PREVIOUS_PACE_WEIGHT * previous + (1.0 - PREVIOUS_PACE_WEIGHT) * pace
 
     def ejected(self, now: float) -> tuple[str, ...]:
         """
-        Tell which endpoints are left out.
+        Return the endpoints that are ejected at a time.
 
-        :param now: seconds on the same clock.
+        :param now: monotonic time in seconds, as for `choose`.
         :return: their ids.
         """
-        known = self._known_by_endpoint.items()
-        return tuple(endpoint for endpoint, one in known if one.ejected_until > now)
+        histories = self._history_by_endpoint.items()
+        return tuple(endpoint for endpoint, history in histories if history.ejected_until > now)
 
     def forget(self, endpoint: str) -> None:
         """
-        Forget an endpoint that is gone.
+        Delete the recorded results of an endpoint that no longer exists.
 
         :param endpoint: its id.
         """
-        self._known_by_endpoint.pop(endpoint, None)
+        self._history_by_endpoint.pop(endpoint, None)
 
-    def _known(self, endpoint: str) -> _Known:
-        return self._known_by_endpoint.setdefault(endpoint, _Known())
+    def _history(self, endpoint: str) -> _EndpointHistory:
+        return self._history_by_endpoint.setdefault(endpoint, _EndpointHistory())
 
     def _without_ejected(
         self, candidates: tuple[Candidate, ...], now: float
     ) -> tuple[Candidate, ...]:
+        """Return the candidates that are not ejected, or all if too many are ejected."""
         ejected = self.ejected(now)
         healthy = tuple(one for one in candidates if one.endpoint not in ejected)
-        most = max(1.0, len(candidates) * EJECT_SHARE)
-        if not healthy or len(candidates) - len(healthy) > most:
+        max_ejected = max(1.0, len(candidates) * EJECTION_MAX_SHARE)
+        if not healthy or len(candidates) - len(healthy) > max_ejected:
             return candidates
         return healthy
 
-    def _usual_pace(self, candidates: tuple[Candidate, ...]) -> float | None:
+    def _median_pace(self, candidates: tuple[Candidate, ...]) -> float | None:
         paces = []
         for candidate in candidates:
-            known = self._known_by_endpoint.get(candidate.endpoint)
-            if known is not None and known.pace is not None:
-                paces.append(known.pace)
+            history = self._history_by_endpoint.get(candidate.endpoint)
+            if history is not None and history.pace is not None:
+                paces.append(history.pace)
         paces.sort()
         return paces[(len(paces) - 1) // 2] if paces else None
 
-    def _cost(self, candidate: Candidate, usual_pace: float | None, cheap_cost: float) -> float:
-        # The report lags: without what was sent since, all requests until the next one would go to
-        # the endpoint that was idle when it reported.
+    def _cost(self, candidate: Candidate, median_pace: float | None, cheap_cost: float) -> float:
+        # The report is up to a second old. Unless the requests sent since are added, all requests
+        # until the next report would go to the endpoint that was idle at the time of this one.
         reported = candidate.running + candidate.queued + candidate.sent_since
         work = max(reported, candidate.in_flight)
         cost = (work + 1) / max(1, candidate.capacity)
-        known = self._known_by_endpoint.get(candidate.endpoint)
-        if usual_pace and known is not None and known.pace is not None:
-            slower = known.pace / usual_pace
-            cost *= slower if slower >= SLOW else 1.0
+        history = self._history_by_endpoint.get(candidate.endpoint)
+        if median_pace and history is not None and history.pace is not None:
+            pace_ratio = history.pace / median_pace
+            cost *= pace_ratio if pace_ratio >= SLOW_PACE_RATIO else 1.0
         if candidate.data_centre != self._data_centre:
-            cost += FAR
+            cost += OTHER_DATA_CENTRE_COST
         if candidate.kind == CHEAP_KIND:
             cost += cheap_cost
         if candidate.cached:
-            cost -= CACHED
+            cost -= CACHED_PREFIX_BONUS
         if candidate.connected:
-            cost -= OPENING
+            cost -= IDLE_CONNECTION_BONUS
         return cost
 
 
 def prefix_digest(prompt: str) -> str:
     """
-    Digest a prompt's prefix as engines announce those they cache.
+    Compute the digest under which engines announce a cached prompt prefix.
 
-    :param prompt: the prompt.
-    :return: 16 hexadecimal digits over its first `PREFIX_CHARACTERS` characters.
+    :param prompt: the complete prompt.
+    :return: 16 hexadecimal digits, computed over its first `PREFIX_CHARACTERS` characters.
     """
     return xxhash.xxh64_hexdigest(prompt[:PREFIX_CHARACTERS].encode("utf-8", "surrogatepass"))
 
--- a/tests/unit/decisions/test_routing.py
+++ b/tests/unit/decisions/test_routing.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from ibisspring_decisions.routing import EJECT_FAILURES, Candidate, Router
+from ibisspring_decisions.routing import EJECT_AFTER_FAILURES, Candidate, Router
 
-HERE = "derby"
+LOCAL_DATA_CENTRE = "derby"
 CAPACITY = 4
 
 
-class Endpoints:
-    """Endpoints with slots and a line each; what callers wait is what the tests judge by."""
+class SimulatedEndpoints:
+    """Endpoints that each have `CAPACITY` slots and an unbounded queue; `speeds` is by endpoint."""
 
     def __init__(self, speeds: list[float]) -> None:
         self.speeds = speeds
@@ -22,7 +22,7 @@
         self.sent: list[int] = [0 for _ in speeds]
 
     def send(self, index: int, now: float, work_s: float) -> float:
-        """Send a request; returns the seconds until its answer."""
+        """Send a request; return the seconds until it is answered."""
         slots = self.slots[index]
         slot = min(range(CAPACITY), key=slots.__getitem__)
         end = max(now, slots[slot]) + work_s / self.speeds[index]
@@ -32,31 +32,36 @@
         return end - now
 
     def load(self, index: int, now: float) -> int:
+        """Return the number of requests at an endpoint, running and queued."""
         self.open[index] = [end for end in self.open[index] if end > now]
         return len(self.open[index])
 
 
 def candidate(index: int, load: int = 0, **changes: object) -> Candidate:
-    made = Candidate(f"e{index}", HERE, "standard", min(load, CAPACITY), 0, CAPACITY, 0)
+    made = Candidate(
+        f"e{index}", LOCAL_DATA_CENTRE, "standard", min(load, CAPACITY), 0, CAPACITY, 0
+    )
     queued = max(0, load - CAPACITY)
     return dataclasses.replace(made, queued=queued, **changes)
 
 
 def router(seed: int = 1) -> Router:
-    return Router.from_data_centre(HERE, random.Random(seed))
+    return Router.from_data_centre(LOCAL_DATA_CENTRE, random.Random(seed))
 
 
-def waits_of(
+def simulate_waits(
     speeds: list[float], entries: int, lag_s: float, rate: float, pick, routers=(), seed: int = 7
 ) -> list[float]:
     """
-    What callers wait beyond their own work, who come at `rate` to several entries that see reports
-    `lag_s` old.
+    Send requests at `rate` per second through several entries for 60 s.
 
-    `routers` learn the pace of each answer when it comes.
+    The entries see load reports that are up to `lag_s` old. `pick` chooses the endpoint. `routers`
+    (one per entry) get the pace of each answer at the time at which it arrives.
+
+    :return: sorted seconds that each request took beyond its own work.
     """
     source = random.Random(seed)
-    endpoints = Endpoints(speeds)
+    endpoints = SimulatedEndpoints(speeds)
     reports = [0] * len(speeds)
     sent_since = [[0] * len(speeds) for _ in range(entries)]
     answers: list[tuple[float, int, int, float]] = []
@@ -70,9 +75,9 @@
             reports = [endpoints.load(index, now) for index in range(len(speeds))]
             sent_since = [[0] * len(speeds) for _ in range(entries)]
         while answers and answers[0][0] <= now:
-            _, answered, at, pace = heapq.heappop(answers)
+            _, sender, answering, pace = heapq.heappop(answers)
             if routers:
-                routers[answered].answered(f"e{at}", pace)
+                routers[sender].answered(f"e{answering}", pace)
         entry = source.randrange(entries)
         index = pick(entry, reports, sent_since[entry], now)
         sent_since[entry][index] += 1
@@ -83,12 +88,14 @@
     return sorted(waits)
 
 
-def at(waits: list[float], share: float) -> float:
-    """The wait that this share of the callers does not exceed."""
+def quantile(waits: list[float], share: float) -> float:
+    """Return the wait that this share of the requests does not exceed."""
     return waits[int(len(waits) * share)]
 
 
-def routed(routers: list[Router], counts_sent: bool = True):
+def pick_with(routers: list[Router], counts_sent: bool = True):
+    """Return a `pick` function that asks the entry's router."""
+
     def pick(entry: int, reports: list[int], sent: list[int], now: float) -> int:
         candidates = tuple(
             candidate(index, load, sent_since=sent[index] * counts_sent)
@@ -99,52 +106,52 @@
     return pick
 
 
-def test_one_slow_endpoint_does_not_make_callers_wait() -> None:
-    # One of five engines has become ten times slower. In turn, each fifth caller waits behind its
-    # line; by load, they go where work gets done.
+def test_one_slow_endpoint_does_not_make_requests_wait() -> None:
+    # One of five endpoints has become ten times slower. With round robin every fifth request waits
+    # in its queue; the router sends them to the endpoints that complete work.
     speeds = [1.0, 1.0, 1.0, 1.0, 0.1]
-    turn = iter(range(1 << 30))
-    in_turn = waits_of(speeds, 1, 0.5, 10.0, lambda *_: next(turn) % 5)
+    counter = iter(range(1 << 30))
+    round_robin = simulate_waits(speeds, 1, 0.5, 10.0, lambda *_: next(counter) % 5)
     routers = [router()]
-    by_load = waits_of(speeds, 1, 0.5, 10.0, routed(routers), routers)
+    by_load = simulate_waits(speeds, 1, 0.5, 10.0, pick_with(routers), routers)
 
-    without_pace = waits_of(speeds, 1, 0.5, 10.0, routed([router()]))
+    without_pace = simulate_waits(speeds, 1, 0.5, 10.0, pick_with([router()]))
 
-    assert at(by_load, 0.95) < at(in_turn, 0.95) / 10
-    assert at(by_load, 0.99) < at(without_pace, 0.99) / 2
+    assert quantile(by_load, 0.95) < quantile(round_robin, 0.95) / 10
+    assert quantile(by_load, 0.99) < quantile(without_pace, 0.99) / 2
 
 
-def test_what_was_sent_since_the_report_counts() -> None:
-    # One entry, reports two seconds old: all that it sends meanwhile looks as if it had not been
-    # sent, and lines grow beside free slots. Mean of eight seeds.
+def test_requests_sent_since_the_report_count_as_load() -> None:
+    # One entry has reports that are up to two seconds old. If it ignores the requests that it has
+    # sent since, queues grow beside free slots. The compared value is the mean over eight seeds.
     mean_by_counting = {}
     for counting in (True, False):
         waits: list[float] = []
         for seed in range(8):
             routers = [router(seed)]
-            pick = routed(routers, counting)
-            waits += waits_of([1.0] * 5, 1, 2.0, 14.0, pick, routers, seed)
+            pick = pick_with(routers, counting)
+            waits += simulate_waits([1.0] * 5, 1, 2.0, 14.0, pick, routers, seed)
         mean_by_counting[counting] = sum(waits) / len(waits)
 
     assert mean_by_counting[True] < 0.7 * mean_by_counting[False]
 
 
-def test_entries_with_old_reports_do_not_run_as_a_herd() -> None:
-    # Nine entries see reports that are a second old. All send to the endpoint that was idle then,
-    # and its callers wait in a long line beside idle endpoints.
+def test_entries_with_old_reports_do_not_choose_the_same_endpoint() -> None:
+    # Nine entries have reports that are up to a second old. With "least reported load" all of them
+    # send to the endpoint that was idle then: its queue grows while other endpoints are idle.
     speeds = [1.0] * 5
 
     def least_reported(entry: int, reports: list[int], sent: list[int], now: float) -> int:
         return min(range(5), key=reports.__getitem__)
 
-    herd = waits_of(speeds, 9, 1.0, 14.0, least_reported)
-    by_load = waits_of(speeds, 9, 1.0, 14.0, routed([router(seed) for seed in range(9)]))
+    herd = simulate_waits(speeds, 9, 1.0, 14.0, least_reported)
+    by_load = simulate_waits(speeds, 9, 1.0, 14.0, pick_with([router(seed) for seed in range(9)]))
 
-    assert at(by_load, 0.95) < at(herd, 0.95) / 2
+    assert quantile(by_load, 0.95) < quantile(herd, 0.95) / 2
 
 
-def test_an_endpoint_that_fails_at_once_does_not_draw_the_callers() -> None:
-    # It refuses or breaks each request in a millisecond, so that it always looks idle.
+def test_an_endpoint_that_fails_at_once_does_not_attract_requests() -> None:
+    # The endpoint e4 fails each request in a millisecond, so its reported load is always zero.
     chooser = router()
     failures = 0
     for number in range(1000):
@@ -154,16 +161,16 @@
             failures += 1
             chooser.failed("e4", now)
 
-    assert failures <= 4 * EJECT_FAILURES
+    assert failures <= 4 * EJECT_AFTER_FAILURES
 
 
 @pytest.mark.parametrize("failing", [3, 5])
-def test_when_most_fail_all_are_still_used(failing: int) -> None:
-    # Something that they share is broken, and comes back: nobody may be left without endpoints, and
-    # the few that work may not be overrun.
+def test_when_most_endpoints_fail_all_are_still_used(failing: int) -> None:
+    # A dependency that the endpoints share fails for a while. Requests must not be left without
+    # any endpoint, and the few endpoints that still work must not be overloaded.
     chooser = router()
     for index in range(failing):
-        for _ in range(EJECT_FAILURES):
+        for _ in range(EJECT_AFTER_FAILURES):
             chooser.failed(f"e{index}", 0.0)
 
     chosen = {chooser.choose(tuple(map(candidate, range(5))), 0.1) for _ in range(100)}
@@ -171,9 +178,9 @@
     assert len(chosen) == 5
 
 
-def test_ejected_endpoint_comes_back() -> None:
+def test_an_ejected_endpoint_is_used_again_after_the_ejection() -> None:
     chooser = router()
-    for _ in range(EJECT_FAILURES):
+    for _ in range(EJECT_AFTER_FAILURES):
         chooser.failed("e0", 0.0)
     pair = (candidate(0), candidate(1))
 
@@ -181,9 +188,9 @@
     assert {chooser.choose(pair, 3.0) for _ in range(50)} == {"e0", "e1"}
 
 
-def test_a_hot_prefix_does_not_pile_up_on_the_engine_that_caches_it() -> None:
-    # Every caller sends one prompt. The engine that caches it gets them first, and the others get
-    # them as soon as its line is longer.
+def test_a_common_prefix_does_not_overload_the_engine_that_caches_it() -> None:
+    # All requests have the same prompt. The engine that has it cached gets the first ones, and the
+    # other engines get requests as soon as its queue is longer than theirs.
     chooser = router()
     loads = [0] * 5
     for _ in range(40):
@@ -194,9 +201,9 @@
     assert max(loads) - min(loads) <= CAPACITY
 
 
-def test_what_a_reclaim_would_harm_goes_to_the_standard_kind() -> None:
-    # Tickets were sent to cheap endpoints that were reclaimed, and nobody knew which had run, while
-    # streams that lose nothing held the standard ones.
+def test_requests_that_must_not_be_repeated_go_to_the_standard_kind() -> None:
+    # Guards against sending ticket calls to cheap endpoints while repeatable streams occupy the
+    # standard ones: after a reclaim it is unknown which of the calls have run.
     chooser = router()
     fleet = (candidate(0), *(candidate(index, kind="cheap") for index in range(1, 5)))
     busy = (candidate(0, load=CAPACITY + 1), *fleet[1:])
@@ -210,9 +217,9 @@
     assert "e0" not in when_full
 
 
-def test_near_goes_first_between_equals_only() -> None:
+def test_the_local_data_centre_is_preferred_only_at_equal_load() -> None:
     chooser = router()
-    far = candidate(1, data_centre="stoke")
+    remote = candidate(1, data_centre="stoke")
 
-    assert {chooser.choose((candidate(0), far), 0.0) for _ in range(20)} == {"e0"}
-    assert {chooser.choose((candidate(0, load=1), far), 0.0) for _ in range(20)} == {"e1"}
+    assert {chooser.choose((candidate(0), remote), 0.0) for _ in range(20)} == {"e0"}
+    assert {chooser.choose((candidate(0, load=1), remote), 0.0) for _ in range(20)} == {"e1"}
