--- a/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
@@ -1,28 +1,25 @@
 """
-Which item of which job runs next, at which engine.
-
-Load pattern: every few seconds a trainer submits a hundred items at once, in groups that share a
-prompt and are worth something only when whole; one item in twelve is five times as long as the
-others; engines work on a fixed number at a time, differ in speed, and are left in mid-run. Several
-trainers share them.
-
-Without it, each entry would place its own items by load reports that lag: two of them flood the
-same engine while another is idle, long items begin last and hold up their groups for seconds, and a
-group is read into the memory of every engine.
-
-Counted at the most that they may grow to, four items fill an engine's memory and eight of its
-twelve places stay empty: measured, a job of 111 items took 5.6 s until its last one began, against
-1.3 s.
-
-Grounds: the earliest due job first, since a step that is late is worth least. Within a job the long
-items first, by their callers' estimate: with twice as many items as places, a long one that begins
-last ends a whole item's time after all others. An item goes where it likely ends first: a full
-engine takes a quarter longer for an event than an empty one and runs out of memory sooner, which
-counts as much as an engine that is half as fast again; so the long items, which are placed first,
-go to the fast engines. A group goes to the engine that holds its prompt
-already, while that one has room. An engine to which no connection is idle costs as much as one that
-is a quarter fuller (`OPENING`): a new connection is paid for, and which engine is a little emptier
-matters less.
+Chooses which waiting item of which job begins next, and on which engine.
+
+Load pattern: every few seconds a trainer submits a job of a hundred items. The items form groups
+that share a prompt, and a group is useful only when it is complete. One item in twelve is five
+times as long as the others. Several trainers share the engines, each of which runs a fixed number
+of items at a time. The engines differ in speed, and items may have to leave one in mid-run.
+
+If each entry placed its own items by load reports that lag, two entries would overload the same
+engine while another is idle, long items would begin last and delay their groups for seconds, and
+every engine would read the prompt of the same group into its memory.
+
+One dispatcher therefore places all items. `order_of` ranks them: the job that is due first comes
+first, since a late step is worth least, and within a job the longest items by their callers'
+estimate. With twice as many items as slots, a long item that begins last would end the time of a
+complete item after all others.
+
+`place` then gives each item to the engine that will probably end it first. A full engine takes a
+quarter longer for each event than an empty one and runs out of memory sooner; its cost is that of
+an empty engine of half its speed. The long items, which are placed first, thus go to the fast
+engines. A group is placed on the engine that already has its prompt while that engine has free
+capacity.
 """
 
 from __future__ import annotations
@@ -34,14 +31,16 @@
     from collections.abc import Iterable, Sequence
 
 Rank = tuple[int, float, bool, int, tuple[str, str]]
-"""Sort key of an item."""
+"""Sort key of a waiting item: priority, due time, not carried, negated length, job and item."""
 
-# A prompt that an engine holds saves a reading of half a millisecond: it decides between engines
-# that are nearly equal.
-HELD_PROMPT = 0.9
-OPENING = 0.25
-# Outputs are a fifth of the most that callers allow at the median.
-UNKNOWN_SHARE = 5
+# Cost factor of an engine that has read the group's prompt already. This saves half a millisecond
+# of reading, so it decides only between engines of nearly equal cost.
+CACHED_PROMPT_FACTOR = 0.9
+# Added to the cost of an engine without an idle connection, as if the engine were a quarter fuller.
+# Each new connection has a price, which matters more than small differences in load.
+NEW_CONNECTION_COST = 0.25
+# The median output is a fifth of the maximum that callers allow.
+MAX_TO_MEDIAN_OUTPUT_RATIO = 5
 
 
 @dataclass(frozen=True)
@@ -49,12 +48,14 @@
     """
     An item that may begin.
 
-    :param key: job and item.
-    :param due_s: when its job is due, on the caller's clock.
-    :param carried: it belongs to a group that an earlier job left unfinished.
-    :param expected_tokens: tokens that its output likely has.
-    :param tokens: tokens that it takes in memory at most.
-    :param engines: engines that may run it.
+    :param key: ids of its job and of the item.
+    :param group: ids of its job and of the group that shares its prompt.
+    :param due_s: time at which its job is due, in seconds on the caller's clock.
+    :param priority: its job's priority; the lowest number begins first.
+    :param carried: whether an earlier job left its group incomplete.
+    :param expected_tokens: expected length of its output in tokens; 0 if not known.
+    :param tokens: tokens of engine memory that are reserved for it, from `memory_needed`.
+    :param engines: ids of the engines that may run it.
     """
 
     key: tuple[str, str]
@@ -70,14 +71,15 @@
 @dataclass
 class EngineRoom:
     """
-    What an engine has left.
-
-    :param slots: items that it still takes.
-    :param tokens: memory that is left.
-    :param running: items on it.
-    :param slowness: time that it takes for an item against the fastest; 1.0 for that one.
-    :param groups: groups whose prompt it holds.
-    :param connected: idle connections to it; None where connections cost nothing.
+    Free capacity of an engine.
+
+    :param engine: the engine's id.
+    :param slots: number of further items that it can run.
+    :param tokens: free memory in tokens.
+    :param running: number of items that it runs.
+    :param slowness: its time per event divided by that of the fastest engine, which has 1.0.
+    :param groups: groups whose prompt it has read.
+    :param connected: number of idle connections to it; None if connections cost nothing.
     """
 
     engine: str
@@ -91,99 +93,111 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """An item to begin at an engine."""
+    """An item and the engine on which it begins."""
 
     key: tuple[str, str]
     engine: str
 
 
-def memory_needed(tokens: int, prompt_tokens: int, expected_tokens: int) -> int:
+def memory_needed(max_tokens: int, prompt_tokens: int, expected_tokens: int) -> int:
     """
-    Reckon the memory that an item takes.
-
-    Engines put the newest item back when memory runs out and read it again in a millisecond, which
-    costs far less than places that stay empty.
-
-    :param tokens: most that it may grow to.
-    :param expected_tokens: its output by its caller's estimate; 0 for none.
-    :return: tokens.
+    Estimate the engine memory that an item needs.
+
+    The estimate is the expected size, not the maximum. Counted with its maximum, four items fill an
+    engine's memory and eight of its twelve slots stay empty: a job of 111 items then took 5.6 s
+    until its last item began, instead of 1.3 s. An engine that runs out of memory returns its
+    newest item to its queue and later reads it again in a millisecond, which costs far less than
+    empty slots.
+
+    :param max_tokens: maximum size of the item, prompt and output.
+    :param prompt_tokens: size of its prompt.
+    :param expected_tokens: size of its output by the caller's estimate; 0 if there is none.
+    :return: memory in tokens.
     """
     if not expected_tokens:
-        return max(prompt_tokens, tokens // UNKNOWN_SHARE)
-    return min(tokens, prompt_tokens + expected_tokens)
+        return max(prompt_tokens, max_tokens // MAX_TO_MEDIAN_OUTPUT_RATIO)
+    return min(max_tokens, prompt_tokens + expected_tokens)
 
 
 def order_of(item: WaitingItem) -> Rank:
     """
-    Rank an item among those that wait; the lowest begins first.
+    Rank an item among the waiting ones.
 
-    :return: a sort key.
+    :return: sort key; the item with the lowest key begins first.
     """
     return (item.priority, item.due_s, not item.carried, -item.expected_tokens, item.key)
 
 
-def place(items: Iterable[WaitingItem], rooms: Sequence[EngineRoom]) -> tuple[Placement, ...]:
+def place(
+    items: Iterable[WaitingItem], engine_capacities: Sequence[EngineRoom]
+) -> tuple[Placement, ...]:
     """
-    Place items in their order while engines have room.
+    Place items in the given order while engines have free capacity.
 
-    With thousands of items waiting and a place free now and then, only as many items are looked at
-    as it takes to fill the places.
+    Iteration ends when all slots are filled: often thousands of items wait and only one slot is
+    free.
 
-    :param items: items in the order of `order_of`; no more of them are taken than needed.
-    :param rooms: engines; changed as items are placed.
-    :return: the placements in order.
+    :param items: waiting items, sorted by `order_of`.
+    :param engine_capacities: free capacity of each engine; reduced by each item that is placed.
+    :return: the placements in the order of the items.
     """
-    room_by_engine = {room.engine: room for room in rooms}
+    capacity_by_engine = {capacity.engine: capacity for capacity in engine_capacities}
     placements: list[Placement] = []
-    free = sum(max(0, room.slots) for room in rooms)
-    if free <= 0:
+    free_slots = sum(max(0, capacity.slots) for capacity in engine_capacities)
+    if free_slots <= 0:
         return ()
-    full: set[frozenset[str]] = set()
+    engines_without_slots: set[frozenset[str]] = set()
     for item in items:
-        if item.engines in full:
+        if item.engines in engines_without_slots:
             continue
         fitting = [
-            room_by_engine[engine]
+            capacity_by_engine[engine]
             for engine in item.engines
-            if engine in room_by_engine and _fits(room_by_engine[engine], item)
+            if engine in capacity_by_engine and _fits(capacity_by_engine[engine], item)
         ]
         if not fitting:
-            if not _any_slot(room_by_engine, item.engines):
-                full.add(item.engines)
+            if not _any_slot(capacity_by_engine, item.engines):
+                engines_without_slots.add(item.engines)
             continue
-        room = _best(fitting, item)
-        room.slots -= 1
-        room.tokens -= item.tokens
-        room.running += 1
-        room.groups.add(item.group)
-        if room.connected:
-            room.connected -= 1
-        free -= 1
-        placements.append(Placement(item.key, room.engine))
-        if free <= 0:
+        capacity = _best(fitting, item)
+        capacity.slots -= 1
+        capacity.tokens -= item.tokens
+        capacity.running += 1
+        capacity.groups.add(item.group)
+        if capacity.connected:
+            capacity.connected -= 1
+        free_slots -= 1
+        placements.append(Placement(item.key, capacity.engine))
+        if free_slots <= 0:
             break
     return tuple(placements)
 
 
-def _any_slot(room_by_engine: dict[str, EngineRoom], engines: frozenset[str]) -> bool:
-    return any(room_by_engine[engine].slots > 0 for engine in engines if engine in room_by_engine)
+def _any_slot(capacity_by_engine: dict[str, EngineRoom], engines: frozenset[str]) -> bool:
+    return any(
+        capacity_by_engine[engine].slots > 0 for engine in engines if engine in capacity_by_engine
+    )
 
 
-def _fits(room: EngineRoom, item: WaitingItem) -> bool:
-    if room.slots <= 0:
+def _fits(capacity: EngineRoom, item: WaitingItem) -> bool:
+    if capacity.slots <= 0:
         return False
-    # Alone, an item may take more than what is reckoned: the engine itself decides.
-    return item.tokens <= room.tokens or room.running == 0
+    # An engine that runs nothing gets the item even if the estimate exceeds its memory: the engine
+    # itself accepts or rejects it.
+    return item.tokens <= capacity.tokens or capacity.running == 0
 
 
 def _best(fitting: list[EngineRoom], item: WaitingItem) -> EngineRoom:
-    """Take the engine that likely ends the item first, its group's if that one is near."""
-
-    def cost(room: EngineRoom) -> tuple[float, str]:
-        fullness = room.running / max(1, room.running + room.slots)
-        held = HELD_PROMPT if item.group in room.groups else 1.0
-        opening = OPENING if room.connected == 0 else 0.0
-        return ((1.0 + fullness + opening) * room.slowness * held, room.engine)
+    """Return the engine with the lowest cost; the ids decide between equal costs."""
+
+    def cost(capacity: EngineRoom) -> tuple[float, str]:
+        fullness = capacity.running / max(1, capacity.running + capacity.slots)
+        prompt_factor = CACHED_PROMPT_FACTOR if item.group in capacity.groups else 1.0
+        connection_cost = NEW_CONNECTION_COST if capacity.connected == 0 else 0.0
+        return (
+            (1.0 + fullness + connection_cost) * capacity.slowness * prompt_factor,
+            capacity.engine,
+        )
 
     return min(fitting, key=cost)
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/stragglers.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/stragglers.py
@@ -1,20 +1,19 @@
 """
-Which runs leave a slow engine for a faster one.
-
-Load pattern: one engine of five turns three times as slow for some seconds, with twelve texts half
-way; the step that they belong to waits for all of them.
-
-Without it: the engine's slowness shows only when its runs end, which is when it is too late.
-Measured, a text of 38 events took 6.7 s on such an engine against 1.4 s elsewhere; the trainer's
-next step began 4.9 s late and the last one of the day was never asked.
-
-Grounds: how fast an engine is shows in the events of its streams while they run. `SLOW` 1.7 times
-the median is outside what load makes of equals (a full engine takes a quarter longer for an event
-than an empty one). A run that moves goes on after its last event and costs the other engine one
-reading of its text, a few milliseconds; it moves only where a place is free that no waiting item
-takes, at an engine that may run it, and not in its last moments (`LEAST_LEFT`). Measured where
-places at engines with too old weights were counted as well: sixteen texts left the slow engine, the
-only one that might run them, and came back to it twice a second for six seconds.
+Chooses which runs move from a slow engine to a faster one.
+
+Load pattern: one engine of five becomes three times slower for some seconds while it runs twelve
+half-finished items; the step that they belong to waits for all of them.
+
+Without this, the slow engine is detected only when its runs end, which is too late. An output of 38
+events took 6.7 s on such an engine instead of 1.4 s; the trainer's next step began 4.9 s late and
+its last step of the day was never submitted.
+
+The policy detects a slow engine by the pace of the events in its streams while they run. A moved
+run continues after its last event and costs the other engine one reading of its text, a few
+milliseconds. A run moves only to an engine that may run it and that has a free slot which no
+waiting item takes. When slots of engines with too old weights were counted as well, sixteen runs
+left the slow engine, the only one that might run them, and were sent back to it twice a second for
+six seconds.
 """
 
 from __future__ import annotations
@@ -26,38 +25,44 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-SLOW = 1.7
-# Events that must be left for a move to be worth it; the outcome of a shorter run is on its way.
+# An engine is slow above this multiple of the median time per event. Load alone explains less
+# between equal engines: a full engine takes a quarter longer for an event than an empty one.
+SLOW_PACE_RATIO = 1.7
+# Minimum number of remaining events for a move: the result of a shorter run arrives sooner than
+# a move would pay off.
 LEAST_LEFT = 6
-# The weight of a new measurement: two of them, half a second apart, tell a slow engine.
-PACE_WEIGHT = 0.6
+# Weight of a new measurement in the moving average: two measurements, half a second apart, are
+# enough to detect a slow engine.
+NEW_PACE_WEIGHT = 0.6
 
 
 @dataclass
 class Pace:
     """
-    How long an engine takes for an event.
+    Moving average of the time that an engine takes for an event.
 
-    :param seconds: smoothed seconds for an event of one stream; 0.0 before the first.
+    :param seconds: average seconds per event of one stream; 0.0 before the first measurement.
     """
 
     seconds: float = 0.0
 
     def measure(self, seconds: float) -> None:
-        """Take in a measurement over some streams of the engine."""
+        """Add a measurement of the seconds per event over some streams of the engine."""
         if not self.seconds:
             self.seconds = seconds
             return
-        self.seconds += PACE_WEIGHT * (seconds - self.seconds)
+        self.seconds += NEW_PACE_WEIGHT * (seconds - self.seconds)
 
 
 @dataclass(frozen=True)
 class MovableRun:
     """
-    A run that may move.
+    A run that may move to another engine.
 
-    :param left: events that it likely still makes.
-    :param engines: engines that may run it.
+    :param number: the run's number.
+    :param engine: id of the engine that it runs on.
+    :param left: estimated number of events that it still has to produce.
+    :param engines: ids of the engines that may run it.
     """
 
     number: int
@@ -68,15 +73,18 @@
 
 def slow_engines(pace_by_engine: Mapping[str, Pace]) -> frozenset[str]:
     """
-    Find the engines that are much slower than most.
+    Find the engines that are much slower than the median.
 
-    :return: their ids; none where fewer than three are known, since nobody knows then who is slow.
+    :return: their ids; empty if the pace of fewer than three engines is known, because the median
+        of two does not show which of them is slow.
     """
     paces = {engine: pace.seconds for engine, pace in pace_by_engine.items() if pace.seconds}
     if len(paces) < 3:
         return frozenset()
-    usual = statistics.median_low(paces.values())
-    return frozenset(engine for engine, seconds in paces.items() if seconds > SLOW * usual)
+    median = statistics.median_low(paces.values())
+    return frozenset(
+        engine for engine, seconds in paces.items() if seconds > SLOW_PACE_RATIO * median
+    )
 
 
 def choose_moves(
@@ -86,20 +94,22 @@
     waiting: int,
 ) -> tuple[int, ...]:
     """
-    Choose the runs that leave.
+    Choose the runs that move.
 
-    :param free_by_engine: places that are free.
-    :param waiting: items that wait for places.
-    :return: numbers, the run with the most left first.
+    :param runs: the runs that may move, on any engine.
+    :param slow: ids of the slow engines.
+    :param free_by_engine: number of free slots by engine.
+    :param waiting: number of items that wait for a slot.
+    :return: numbers of the runs, those with the most remaining events first.
     """
     movable = [run for run in runs if run.engine in slow and run.left >= LEAST_LEFT]
     movable.sort(key=lambda run: (-run.left, run.number))
-    free = {engine: places for engine, places in free_by_engine.items() if engine not in slow}
-    left = sum(free.values()) - waiting
+    free = {engine: slots for engine, slots in free_by_engine.items() if engine not in slow}
+    max_moves = sum(free.values()) - waiting
     chosen: list[int] = []
     for run in movable:
         engine = max(run.engines & free.keys(), key=free.__getitem__, default=None)
-        if engine is None or free[engine] <= 0 or len(chosen) >= left:
+        if engine is None or free[engine] <= 0 or len(chosen) >= max_moves:
             continue
         free[engine] -= 1
         chosen.append(run.number)
--- a/tests/unit/decisions/test_dispatch.py
+++ b/tests/unit/decisions/test_dispatch.py
@@ -11,12 +11,12 @@
 )
 
 EVENT_S = 0.037
-STRIDE = 68
+TOKENS_PER_EVENT = 68
 SLOTS = 12
-MEMORY = 40_482
+MEMORY_TOKENS = 40_482
 
 
-def waiting(number: int, expected: int, **changes) -> WaitingItem:
+def waiting_item(number: int, expected: int, **changes) -> WaitingItem:
     fields = {
         "key": ("job", f"item-{number:03d}"),
         "group": ("job", f"group-{number // 8}"),
@@ -30,11 +30,11 @@
     return WaitingItem(**{**fields, **changes})
 
 
-def room(engine: str, **changes) -> EngineRoom:
+def engine_capacity(engine: str, **changes) -> EngineRoom:
     fields = {
         "engine": engine,
         "slots": SLOTS,
-        "tokens": MEMORY,
+        "tokens": MEMORY_TOKENS,
         "running": 0,
         "slowness": 1.0,
         "groups": set(),
@@ -42,120 +42,135 @@
     return EngineRoom(**{**fields, **changes})
 
 
-def replay(items: list[WaitingItem], events_by_key: dict, sort: bool) -> float:
-    """Run a job on five engines, one engine's place after another; when its last item ends."""
-    left = sorted(items, key=order_of) if sort else list(items)
+def run_job(items: list[WaitingItem], events_by_key: dict, sort: bool) -> float:
+    """Run a job on five engines; return the seconds until its last item ends."""
+    remaining = sorted(items, key=order_of) if sort else list(items)
     ends: list[tuple[float, str, WaitingItem]] = []
     now = 0.0
-    while left or ends:
-        rooms = []
+    while remaining or ends:
+        capacities = []
         for engine in "abcde":
-            mine = [item for _, name, item in ends if name == engine]
-            tokens = MEMORY - sum(item.tokens for item in mine)
-            rooms.append(room(engine, slots=SLOTS - len(mine), tokens=tokens, running=len(mine)))
-        placed = {one.key: one.engine for one in place(left, rooms)}
-        for item in left:
-            if item.key in placed:
-                ends.append((now + events_by_key[item.key] * EVENT_S, placed[item.key], item))
-        left = [item for item in left if item.key not in placed]
-        ends.sort(key=lambda one: one[0])
+            running = [item for _, name, item in ends if name == engine]
+            tokens = MEMORY_TOKENS - sum(item.tokens for item in running)
+            capacities.append(
+                engine_capacity(
+                    engine, slots=SLOTS - len(running), tokens=tokens, running=len(running)
+                )
+            )
+        engine_by_key = {one.key: one.engine for one in place(remaining, capacities)}
+        for item in remaining:
+            if item.key in engine_by_key:
+                ends.append(
+                    (now + events_by_key[item.key] * EVENT_S, engine_by_key[item.key], item)
+                )
+        remaining = [item for item in remaining if item.key not in engine_by_key]
+        ends.sort(key=lambda end: end[0])
         now = ends.pop(0)[0]
     return now
 
 
 def job_of(count: int) -> tuple[list[WaitingItem], dict]:
-    """One item in twelve makes five times as many events; estimates are right at the median."""
+    """
+    Build a job in which one item in twelve produces five times as many events as the others.
+
+    :return: the items, with exact estimates of their length, and the number of events by item key.
+    """
     items = []
     events_by_key = {}
     for number in range(count):
         events = 100 if number % 12 == 11 else 20
-        item = waiting(number, events * STRIDE)
+        item = waiting_item(number, events * TOKENS_PER_EVENT)
         items.append(item)
         events_by_key[item.key] = events
     return items, events_by_key
 
 
-def test_a_job_of_more_items_than_places_is_done_in_little_more_than_its_longest_item() -> None:
-    # A trainer submits 112 items for 60 places. Its step was thrown away: the last items began
-    # after six seconds, since each was counted at the most that it might grow to and four of them
-    # filled an engine.
+def test_a_job_with_more_items_than_slots_takes_little_longer_than_its_longest_item() -> None:
+    # A trainer submits 112 items for 60 slots. When each item was counted with its maximum size,
+    # four items filled an engine, the last items began after six seconds, and the trainer
+    # discarded the step.
     items, events_by_key = job_of(112)
     longest_s = 100 * EVENT_S
 
-    assert replay(items, events_by_key, sort=True) <= longest_s * 1.35
+    assert run_job(items, events_by_key, sort=True) <= longest_s * 1.35
 
-    by_most = [waiting(n, item.expected_tokens, tokens=9300) for n, item in enumerate(items)]
-    assert replay(by_most, events_by_key, sort=True) > longest_s * 1.35
+    by_maximum = [
+        waiting_item(n, item.expected_tokens, tokens=9300) for n, item in enumerate(items)
+    ]
+    assert run_job(by_maximum, events_by_key, sort=True) > longest_s * 1.35
 
 
 def test_long_items_begin_first() -> None:
-    # The one long item of a step begins when all others are done, and the step ends a whole item's
-    # time later than it had to.
+    # Guards against beginning a long item of a step only after the others have ended, which delays
+    # the step by the time of a complete item.
     items, events_by_key = job_of(112)
 
-    assert replay(items, events_by_key, sort=True) < replay(items, events_by_key, sort=False)
+    assert run_job(items, events_by_key, sort=True) < run_job(items, events_by_key, sort=False)
 
 
-def test_the_job_that_is_due_first_goes_first_and_a_carried_group_before_the_others() -> None:
-    late = waiting(0, 9000, due_s=9.0)
-    early = waiting(1, 10, due_s=5.0)
-    carried = waiting(2, 10, due_s=9.0, carried=True)
-    urgent = waiting(3, 10, due_s=20.0, priority=0)
+def test_the_job_that_is_due_first_begins_first_and_its_carried_groups_before_the_others() -> None:
+    late = waiting_item(0, 9000, due_s=9.0)
+    early = waiting_item(1, 10, due_s=5.0)
+    carried = waiting_item(2, 10, due_s=9.0, carried=True)
+    urgent = waiting_item(3, 10, due_s=20.0, priority=0)
 
     ranked = sorted([late, early, carried, urgent], key=order_of)
 
     assert ranked == [urgent, early, carried, late]
 
 
-def test_a_group_goes_to_the_engine_that_holds_its_prompt_while_that_one_is_near() -> None:
-    item = waiting(0, 100)
-    holds = room("b", running=1, groups={item.group})
+def test_a_group_goes_to_the_engine_with_its_prompt_while_loads_are_nearly_equal() -> None:
+    item = waiting_item(0, 100)
+    with_prompt = engine_capacity("b", running=1, groups={item.group})
 
-    assert place([item], [room("a"), holds])[0].engine == "b"
+    assert place([item], [engine_capacity("a"), with_prompt])[0].engine == "b"
 
-    holds.running = 4
-    assert place([item], [room("a"), holds])[0].engine == "a"
+    with_prompt.running = 4
+    assert place([item], [engine_capacity("a"), with_prompt])[0].engine == "a"
 
 
-def test_a_slow_engine_gets_no_group_for_holding_its_prompt() -> None:
-    # A text that left a slow engine is sent straight back there, since its prompt is there.
-    item = waiting(0, 100)
-    slow = room("b", slowness=5.0, groups={item.group})
+def test_a_slow_engine_is_not_preferred_for_having_the_prompt() -> None:
+    # Guards against sending an item that was moved away from a slow engine back to it because that
+    # engine has the item's prompt.
+    item = waiting_item(0, 100)
+    slow = engine_capacity("b", slowness=5.0, groups={item.group})
 
-    assert place([item], [room("a", running=1), slow])[0].engine == "a"
+    assert place([item], [engine_capacity("a", running=1), slow])[0].engine == "a"
 
 
 def test_long_items_go_to_the_fast_engines() -> None:
-    # Engines of one data centre take a third longer for each event. A text of 134 events ends after
-    # seven seconds there and after five elsewhere, and its step waits for it.
-    rooms = [room("a", slowness=1.3), room("b"), room("c")]
-    items = [waiting(n, 9000 if n < 6 else 900, group=("job", str(n))) for n in range(24)]
+    # The engines of one data centre take a third longer for each event. An output of 134 events
+    # takes seven seconds there and five elsewhere, and its step waits for it.
+    capacities = [engine_capacity("a", slowness=1.3), engine_capacity("b"), engine_capacity("c")]
+    items = [waiting_item(n, 9000 if n < 6 else 900, group=("job", str(n))) for n in range(24)]
     items = [dataclasses.replace(item, engines=frozenset("abc"), tokens=900) for item in items]
 
-    placed = {one.key: one.engine for one in place(sorted(items, key=order_of), rooms)}
+    engine_by_key = {one.key: one.engine for one in place(sorted(items, key=order_of), capacities)}
 
-    assert not [item for item in items[:6] if placed[item.key] == "a"]
-    assert [item for item in items[6:] if placed[item.key] == "a"]
+    assert not [item for item in items[:6] if engine_by_key[item.key] == "a"]
+    assert [item for item in items[6:] if engine_by_key[item.key] == "a"]
 
 
-def test_nothing_goes_to_an_engine_without_a_place_or_with_other_weights() -> None:
-    full = room("a", slots=0)
-    other = room("b")
-    items = [waiting(0, 100, engines=frozenset({"a"}))]
+def test_nothing_goes_to_an_engine_without_free_slots_or_one_that_may_not_run_the_item() -> None:
+    full = engine_capacity("a", slots=0)
+    not_allowed = engine_capacity("b")
+    items = [waiting_item(0, 100, engines=frozenset({"a"}))]
 
-    assert place(items, [full, other]) == ()
+    assert place(items, [full, not_allowed]) == ()
 
 
-def test_a_slow_engine_gets_less() -> None:
-    rooms = [room("a", slowness=3.0), room("b")]
-    items = [waiting(n, 100, engines=frozenset("ab"), group=("job", str(n))) for n in range(12)]
+def test_a_slow_engine_gets_fewer_items() -> None:
+    capacities = [engine_capacity("a", slowness=3.0), engine_capacity("b")]
+    items = [
+        waiting_item(n, 100, engines=frozenset("ab"), group=("job", str(n))) for n in range(12)
+    ]
 
-    placed = [placement.engine for placement in place(items, rooms)]
+    engines = [placement.engine for placement in place(items, capacities)]
 
-    assert placed.count("a") <= 3
+    assert engines.count("a") <= 3
 
 
-def test_memory_is_reckoned_by_the_estimate_and_never_above_the_bound() -> None:
+def test_memory_follows_the_estimate_and_never_exceeds_the_maximum() -> None:
     assert memory_needed(9300, 271, 1300) == 1571
     assert memory_needed(9300, 271, 16000) == 9300
     assert memory_needed(9300, 271, 0) == 1860
