--- a/packages/ibisspring-decisions/src/ibisspring_decisions/capacity.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/capacity.py
@@ -1,23 +1,19 @@
 """
-How many endpoints of which kind run where.
-
-Load pattern: a service needs a number of endpoints in given data centres. The cheap kind costs a
-fraction of the standard one, but a whole data centre's cheap endpoints may be reclaimed on seconds'
-notice, and either kind may be unavailable in a data centre for a while.
-
-Without it: an operator's fixed fleet is either all standard, and costs the most, or lost at once
-with the reclaim. Replacing reclaimed endpoints by cheap ones in the same data centre has them
-reclaimed again; asking an unavailable kind again every second is a storm of refused orders;
-stopping at the first sight of one endpoint too many makes the fleet go up and down with every late
-announcement.
-
-Grounds of the figures: a reclaim takes back what the data centre needs for hours, so the cheap kind
-is left alone there for `RECLAIM_PAUSE_S` (10 min). An unavailable kind is asked for again after
-`UNAVAILABLE_PAUSE_S` (60 s): sooner is a storm, and the other kind serves in the meantime. A
-surplus is only stopped after `SURPLUS_HOLD_S` (60 s), longer than an endpoint's silence until it is
-taken as gone (5 s) and than its start. A move back to the cheap kind takes one endpoint at a time,
-its replacement first, so that it never costs service. Two or more cheap endpoints of a data centre
-that are gone within `RECLAIM_SPAN_S` (10 s) are a reclaim; one alone may be a crash.
+Plans how many endpoints of which kind run in which data centre.
+
+Load pattern: a service needs a number of endpoints in given data centres. A cheap endpoint costs a
+fraction of a standard one, but the platform may reclaim all cheap endpoints of a data centre with a
+notice of seconds, and either kind may be unavailable in a data centre for a while.
+
+A fixed fleet is either all standard and costs the most, or is lost at once with a reclaim. Simple
+automatic policies fail as well: a cheap replacement in the same data centre is reclaimed again;
+ordering an unavailable kind every second is a storm of refused orders; stopping an endpoint as soon
+as there is one too many makes the fleet oscillate with every late announcement.
+
+The plan therefore does not order a kind in a data centre for a while after a reclaim or a refused
+order, spreads the cheap endpoints over the data centres, and stops a surplus endpoint only when the
+surplus has lasted. A fleet with the right number but too few of one kind changes one endpoint at a
+time and starts the replacement first, so that the change never costs service.
 """
 
 from __future__ import annotations
@@ -27,21 +23,29 @@
 
 STANDARD = "standard"
 CHEAP = "cheap"
+# After a reclaim, the data centre needs the capacity itself for hours, so no cheap endpoint is
+# ordered there for 10 min.
 RECLAIM_PAUSE_S = 600.0
+# An unavailable kind is not ordered again for 60 s in that data centre. Shorter intervals cause a
+# storm of refused orders, and the other kind serves in the meantime.
 UNAVAILABLE_PAUSE_S = 60.0
+# A surplus must last 60 s before an endpoint is stopped. This is longer than the 5 s of silence
+# after which an endpoint counts as lost, and longer than the start of an endpoint.
 SURPLUS_HOLD_S = 60.0
-RECLAIM_SPAN_S = 10.0
-RECLAIM_LEAST = 2
+# Two or more cheap endpoints of a data centre that are lost within 10 s are a reclaim; a single
+# loss may be a crash.
+RECLAIM_WINDOW_S = 10.0
+RECLAIM_MIN_LOSSES = 2
 
 
 @dataclass(frozen=True)
 class Wanted:
     """
-    What the `place` rule of a service asks for.
+    The fleet that the `place` rule of a service asks for.
 
-    :param data_centres: in order of preference.
-    :param count: endpoints over all data centres.
-    :param cheap_share: largest share of `count` that may be of the cheap kind, 0 to 1.
+    :param data_centres: allowed data centres, in order of preference.
+    :param count: number of endpoints over all data centres.
+    :param cheap_share: largest share of `count` that may be of the cheap kind, from 0 to 1.
     """
 
     data_centres: tuple[str, ...]
@@ -51,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Place:
-    """A kind in a data centre."""
+    """A data centre and a kind of endpoint, `STANDARD` or `CHEAP`."""
 
     data_centre: str
     kind: str
@@ -62,7 +66,9 @@
     """
     An endpoint that serves.
 
-    :param in_flight: requests on it, as announced.
+    :param endpoint: its id.
+    :param place: its data centre and kind.
+    :param in_flight: number of its running and queued requests, as it announced last.
     """
 
     endpoint: str
@@ -72,46 +78,55 @@
 
 @dataclass(frozen=True)
 class Start:
-    """Start one endpoint."""
+    """A planned start of one endpoint."""
 
     place: Place
 
 
 @dataclass(frozen=True)
 class Stop:
-    """Drain an endpoint, then stop it."""
+    """A planned stop of an endpoint, which is drained first."""
 
     endpoint: str
 
 
 class Capacity:
-    """What the plans remember; places are shared by all services, as a reclaim takes them all."""
+    """
+    Plans the starts and stops of endpoints.
+
+    Losses and refused orders are recorded by data centre and kind for all services together,
+    because a reclaim takes the cheap endpoints of all services.
+    """
 
     def __init__(self) -> None:
         self._paused_until_by_place: dict[Place, float] = {}
-        self._lost_s_by_place: dict[Place, list[float]] = {}
+        self._loss_times_by_place: dict[Place, list[float]] = {}
         self._surplus_since_by_service: dict[str, float] = {}
 
     def note_unavailable(self, place: Place, now: float) -> None:
         """
-        Note that the platform had no such endpoint.
+        Record that the platform could not start an endpoint of this kind in this data centre.
 
-        :param place: what was asked for.
-        :param now: seconds.
+        :param place: data centre and kind of the refused order.
+        :param now: monotonic time in seconds.
         """
         self._pause(place, now + UNAVAILABLE_PAUSE_S)
 
     def note_lost(self, place: Place, now: float) -> None:
         """
-        Note that an endpoint is gone which nobody stopped.
+        Record that an endpoint was lost without a stop order.
 
-        :param place: where it ran.
-        :param now: seconds.
+        Several losses of cheap endpoints in a short time count as a reclaim.
+
+        :param place: the lost endpoint's data centre and kind.
+        :param now: monotonic time in seconds.
         """
-        lost = [at for at in self._lost_s_by_place.get(place, []) if now - at <= RECLAIM_SPAN_S]
-        lost.append(now)
-        self._lost_s_by_place[place] = lost
-        if place.kind == CHEAP and len(lost) >= RECLAIM_LEAST:
+        losses = [
+            at for at in self._loss_times_by_place.get(place, []) if now - at <= RECLAIM_WINDOW_S
+        ]
+        losses.append(now)
+        self._loss_times_by_place[place] = losses
+        if place.kind == CHEAP and len(losses) >= RECLAIM_MIN_LOSSES:
             self._pause(place, now + RECLAIM_PAUSE_S)
 
     def plan(
@@ -123,85 +138,97 @@
         now: float,
     ) -> tuple[Start | Stop, ...]:
         """
-        Decide what to start and what to stop for one service now.
+        Plan the endpoints to start or to stop now for one service.
 
         :param service: its name.
-        :param wanted: its rule.
-        :param running: its endpoints that serve and do not drain.
-        :param pending: those ordered and not announced yet, one item each.
-        :param now: seconds.
-        :return: the steps; empty when the fleet is as it should be or nothing can be had.
+        :param wanted: the fleet that its rule asks for.
+        :param running: its endpoints that serve and are not draining.
+        :param pending: data centre and kind of each endpoint that was ordered and has not announced
+            itself.
+        :param now: monotonic time in seconds.
+        :return: the starts or stops; empty if the fleet is as wanted or nothing is available.
         """
-        placed = tuple(
+        in_wanted = tuple(
             endpoint for endpoint in running if endpoint.place.data_centre in wanted.data_centres
         )
-        places = [*(endpoint.place for endpoint in placed), *pending]
-        missing = wanted.count - len(places)
+        occupied = [*(endpoint.place for endpoint in in_wanted), *pending]
+        missing = wanted.count - len(occupied)
         if missing > 0:
             self._surplus_since_by_service.pop(service, None)
-            return self._starts(wanted, places, missing, now)
+            return self._starts(wanted, occupied, missing, now)
         if pending:
             return ()
-        move = self._move(wanted, places, now) if missing == 0 else None
-        if move is not None:
-            return (move,)
+        replacement = self._replacement(wanted, occupied, now) if missing == 0 else None
+        if replacement is not None:
+            return (replacement,)
         return self._stops(service, wanted, running, now)
 
     def _starts(
-        self, wanted: Wanted, places: list[Place], missing: int, now: float
+        self, wanted: Wanted, occupied: list[Place], missing: int, now: float
     ) -> tuple[Start, ...]:
         starts = []
         for _ in range(missing):
-            place = self._best_place(wanted, places, now)
+            place = self._best_place(wanted, occupied, now)
             if place is None:
                 break
-            places.append(place)
+            occupied.append(place)
             starts.append(Start(place))
         return tuple(starts)
 
-    def _best_place(self, wanted: Wanted, places: list[Place], now: float) -> Place | None:
+    def _best_place(self, wanted: Wanted, occupied: list[Place], now: float) -> Place | None:
         for kind in (CHEAP, STANDARD):
-            if kind == CHEAP and _cheap(places) >= _most_cheap(wanted):
+            if kind == CHEAP and _cheap_count(occupied) >= _max_cheap(wanted):
                 continue
-            place = self._emptiest(wanted, places, kind, now)
+            place = self._least_occupied(wanted, occupied, kind, now)
             if place is not None:
                 return place
         return None
 
-    def _emptiest(self, wanted: Wanted, places: list[Place], kind: str, now: float) -> Place | None:
+    def _least_occupied(
+        self, wanted: Wanted, occupied: list[Place], kind: str, now: float
+    ) -> Place | None:
+        """
+        Choose the data centre for another endpoint of a kind.
+
+        :return: the place in the wanted data centre with the fewest endpoints; None if the kind
+            cannot be ordered in any of them now.
+        """
         best = None
         best_rank = (0, 0, 0)
         for preference, data_centre in enumerate(wanted.data_centres):
             place = Place(data_centre, kind)
             if self._paused_until_by_place.get(place, 0.0) > now:
                 continue
-            same_kind = places.count(place)
-            # A reclaim takes all cheap endpoints of a data centre at once, so that no data centre
-            # gets more than its part of them, also while another has none to give.
-            if kind == CHEAP and same_kind >= _most_cheap_each(wanted):
+            same_kind = occupied.count(place)
+            # A reclaim takes all cheap endpoints of a data centre at once. No data centre gets more
+            # than its share of them, even if another one has none available.
+            if kind == CHEAP and same_kind >= _max_cheap_per_data_centre(wanted):
                 continue
-            there = sum(1 for other in places if other.data_centre == data_centre)
-            rank = (there, same_kind, preference)
+            total = sum(1 for other in occupied if other.data_centre == data_centre)
+            rank = (total, same_kind, preference)
             if best is None or rank < best_rank:
                 best = place
                 best_rank = rank
         return best
 
-    def _move(self, wanted: Wanted, places: list[Place], now: float) -> Start | None:
+    def _replacement(self, wanted: Wanted, occupied: list[Place], now: float) -> Start | None:
         """
-        Start one endpoint of the kind that is short; the surplus ends with one of the other kind.
+        Plan one start of the kind that has too few endpoints.
+
+        The surplus that this causes is removed by a later stop of an endpoint of the other kind.
         """
-        cheap = _cheap(places)
-        most_cheap = _most_cheap(wanted)
-        if cheap == most_cheap:
+        cheap = _cheap_count(occupied)
+        max_cheap = _max_cheap(wanted)
+        if cheap == max_cheap:
             return None
-        kind = CHEAP if cheap < most_cheap else STANDARD
-        place = self._emptiest(wanted, places, kind, now)
+        kind = CHEAP if cheap < max_cheap else STANDARD
+        place = self._least_occupied(wanted, occupied, kind, now)
         return Start(place) if place is not None else None
 
     def _stops(
         self, service: str, wanted: Wanted, running: tuple[Running, ...], now: float
     ) -> tuple[Stop, ...]:
+        """Plan the stop of one endpoint if the surplus has lasted for `SURPLUS_HOLD_S`."""
         if len(running) <= wanted.count:
             self._surplus_since_by_service.pop(service, None)
             return ()
@@ -209,38 +236,39 @@
         if now - since_s < SURPLUS_HOLD_S:
             return ()
         self._surplus_since_by_service[service] = now
-        outside = [
+        in_unwanted = [
             endpoint
             for endpoint in running
             if endpoint.place.data_centre not in wanted.data_centres
         ]
-        cheap = _cheap([endpoint.place for endpoint in running])
-        kind = CHEAP if cheap > _most_cheap(wanted) else STANDARD
-        chosen = _most_crowded(outside or _of_kind(running, kind) or list(running))
+        cheap = _cheap_count([endpoint.place for endpoint in running])
+        kind = CHEAP if cheap > _max_cheap(wanted) else STANDARD
+        chosen = _first_to_stop(in_unwanted or _of_kind(running, kind) or list(running))
         return (Stop(chosen.endpoint),)
 
     def _pause(self, place: Place, until_s: float) -> None:
-        known_s = self._paused_until_by_place.get(place, 0.0)
-        self._paused_until_by_place[place] = max(known_s, until_s)
+        previous_s = self._paused_until_by_place.get(place, 0.0)
+        self._paused_until_by_place[place] = max(previous_s, until_s)
 
 
-def _cheap(places: list[Place]) -> int:
+def _cheap_count(places: list[Place]) -> int:
     return sum(1 for place in places if place.kind == CHEAP)
 
 
-def _most_cheap(wanted: Wanted) -> int:
+def _max_cheap(wanted: Wanted) -> int:
     return math.floor(wanted.count * wanted.cheap_share + 1e-9)
 
 
-def _most_cheap_each(wanted: Wanted) -> int:
-    return math.ceil(_most_cheap(wanted) / len(wanted.data_centres))
+def _max_cheap_per_data_centre(wanted: Wanted) -> int:
+    return math.ceil(_max_cheap(wanted) / len(wanted.data_centres))
 
 
 def _of_kind(running: tuple[Running, ...], kind: str) -> list[Running]:
     return [endpoint for endpoint in running if endpoint.place.kind == kind]
 
 
-def _most_crowded(candidates: list[Running]) -> Running:
+def _first_to_stop(candidates: list[Running]) -> Running:
+    """Return an endpoint with the fewest requests in the data centre with the most candidates."""
     count_by_data_centre: dict[str, int] = {}
     for endpoint in candidates:
         data_centre = endpoint.place.data_centre
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/drain.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/drain.py
@@ -1,19 +1,18 @@
 """
-When a draining endpoint is stopped.
+Decides when a draining endpoint is stopped.
 
-Load pattern: an endpoint is stopped on purpose (an operator's drain, a smaller fleet, a move to the
-other kind) while entries still send to it and streams on it run for seconds or minutes.
+Load pattern: an endpoint is to be stopped on purpose (an operator's drain, a smaller fleet, a move
+to the other kind) while entries still send requests to it and streams on it run for seconds or
+minutes.
 
-Without it: the stop order goes out at once. Every stream on the endpoint breaks, calls that may not
-be repeated end as `may_have_run`, and entries that have not heard of the drain go on sending to a
-dead address.
+If the stop order were sent at once, every stream on the endpoint would break, calls that must not
+be repeated would end as `may_have_run`, and entries that have not received the drain yet would
+continue to send requests to an endpoint that no longer runs.
 
-Grounds of the figures: an entry acts on a drain within its renewal interval (0.5 s) and at the
-latest when its lease lapses (3 s), so no fixed time is assumed: the caller says when it is in force
-everywhere. The load that an endpoint announces lags: an announcement a second, taken over to the
-leader about every five seconds. An announced zero counts once `SETTLE_S` (10 s) have passed since
-then, so that it was announced after the last request could have come in. `DEADLINE_S` (120 s) is
-the longest time of one request; what still runs then was given up by its caller.
+The endpoint is therefore stopped once the drain is in force at all entries and the endpoint has
+announced that it has no requests, or at the deadline. No fixed time is assumed until the drain is
+in force: an entry applies it within its renewal interval (0.5 s) and at the latest when its lease
+expires (3 s), and the caller of this module passes the time at which all entries have done so.
 """
 
 from __future__ import annotations
@@ -21,12 +20,17 @@
 import enum
 from dataclasses import dataclass
 
+# An announced load of zero counts only when the drain has been in force for 10 s, so that it was
+# announced after the last request could have arrived. Announcements lag: an endpoint sends one per
+# second, and the leader receives them about every five seconds.
 SETTLE_S = 10.0
+# The longest time of a single request is 120 s. Requests that run for longer have been cancelled by
+# their callers.
 DEADLINE_S = 120.0
 
 
 class DrainStep(enum.Enum):
-    """What to do with a draining endpoint now."""
+    """What to do with a draining endpoint now: wait, or stop it for one of two reasons."""
 
     WAIT = "wait"
     STOP_IDLE = "stop_idle"
@@ -36,10 +40,12 @@
 @dataclass(frozen=True)
 class DrainLimits:
     """
-    Bounds of a drain.
+    Time limits of a drain.
 
-    :param settle_s: seconds after which an announced zero is believed.
-    :param deadline_s: seconds after which the endpoint is stopped with work on it.
+    :param settle_s: seconds for which the drain must be in force before an announced load of zero
+        counts.
+    :param deadline_s: seconds after the drain request at which the endpoint is stopped even if it
+        still has requests.
     """
 
     settle_s: float = SETTLE_S
@@ -49,12 +55,13 @@
 @dataclass(frozen=True)
 class Draining:
     """
-    A draining endpoint as the leader sees it.
+    What the leader knows of a draining endpoint.
 
-    :param asked_s: when the drain was asked for.
-    :param in_force_s: since when no entry gives it new work; None while one may still do so.
-    :param in_flight: requests in work and waiting there, as announced last.
-    :param announced_since: whether it announced itself since `in_force_s`.
+    :param asked_s: time in seconds at which the drain was requested.
+    :param in_force_s: time in seconds since which no entry sends new requests to the endpoint; None
+        while an entry may still do so.
+    :param in_flight: number of its running and queued requests, as it announced last.
+    :param announced_since: whether it has announced itself since `in_force_s`.
     """
 
     asked_s: float
@@ -67,10 +74,10 @@
     """
     Decide whether a draining endpoint is stopped now.
 
-    :param draining: what is known of it.
-    :param limits: the bounds.
-    :param now: seconds on the clock of `asked_s` and `in_force_s`.
-    :return: the step.
+    :param draining: what the leader knows of the endpoint.
+    :param limits: time limits of the drain.
+    :param now: time in seconds on the clock of `asked_s` and `in_force_s`.
+    :return: to wait, or to stop the endpoint.
     """
     if now - draining.asked_s >= limits.deadline_s:
         return DrainStep.STOP_AT_DEADLINE
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
@@ -1,20 +1,21 @@
 """
-How many endpoints to order where, from a platform that takes a number for each data centre.
-
-Load pattern: endpoints are lost for good, emptied and taken away, or reclaimed a whole data centre
-at once, in the middle of the day; new ones serve some seconds after their order; a data centre may
-have none to give for a while. An endpoint that fell silent may come back by itself.
-
-Without it: the fleet shrinks with each loss and never grows again. Measured, five engines became
-two within 20 s and half of the trainers' steps after that came too late.
-
-Grounds: as many endpoints are kept as there were at the first start, which is what the operator
-paid for and sized the load by, and more where a trainer's items do not find places: a step ends
-with its longest text, which begins late when it has to wait for a place. `PLACES_SHARE` of the
-items get one at once; the rest are short ones that wait for other short ones. Prices decide where a
-missing one is ordered, since data centres are about a millisecond apart. A data centre that had
-none is asked again after `REFUSED_S`, three times in the time that a reclaim lasts. What was
-ordered counts as there until it is late by `LATE_S`, so that no loss is made up for twice.
+Chooses how many endpoints to order in which data centre of a platform.
+
+The platform accepts a total number of endpoints for each data centre.
+
+Load pattern: endpoints are permanently lost, drained and removed, or reclaimed for a complete data
+centre at once, in the middle of the day. New endpoints serve some seconds after their order, and a
+data centre may have none available for a while. An endpoint that has stopped sending announcements
+may resume by itself.
+
+Without this, the fleet shrinks with each loss and never grows again: five engines became two within
+20 s, and half of the trainers' steps after that were late.
+
+The policy keeps as many endpoints as at the first start, since the operator paid for this number
+and sized the load by it. It orders more if a trainer's items do not find free slots: a step ends
+with its longest item, which begins late if it has to wait for a slot. A missing endpoint is ordered
+in the cheapest data centre that has capacity, since data centres are only about a millisecond
+apart.
 """
 
 from __future__ import annotations
@@ -26,22 +27,28 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
+# Share of the items that can begin at once. The remaining ones are short and wait for other short
+# items to end.
 PLACES_SHARE = 0.75
-REFUSED_S = 2.5
-LATE_S = 4.0
+# A data centre that had no endpoints available is not asked again for this time, so that it is
+# asked three times while a reclaim lasts.
+REFUSED_PAUSE_S = 2.5
+# Ordered endpoints count as present until this long after the end of their boot time, so that no
+# loss is replaced twice.
+BOOT_SLACK_S = 4.0
 
 
 @dataclass(frozen=True)
 class Market:
     """
-    What the platform offers for one service.
+    Endpoints that the platform offers for one service.
 
-    :param most: endpoints that a data centre may have.
-    :param boot_s: seconds from an order until an endpoint serves.
-    :param price_by_data_centre: price of an endpoint's second.
+    :param max_endpoints: maximum number of endpoints in each data centre.
+    :param boot_s: seconds from an order until the new endpoint serves.
+    :param price_by_data_centre: price of an endpoint per second.
     """
 
-    most: int
+    max_endpoints: int
     boot_s: float
     price_by_data_centre: Mapping[str, float]
 
@@ -49,9 +56,10 @@
 @dataclass(frozen=True)
 class Order:
     """
-    A number to order.
+    An order for endpoints in one data centre.
 
-    :param count: endpoints that the data centre is to have, those that it has included.
+    :param count: total number of endpoints that the data centre shall have, including those that it
+        has already.
     """
 
     data_centre: str
@@ -61,45 +69,51 @@
 @dataclass
 class ServiceFleet:
     """
-    What is remembered of one service's orders.
+    Recent orders for one service.
 
-    :param until_by_data_centre: until when what was ordered there counts as there.
-    :param count_by_data_centre: the number ordered there last.
-    :param refused_until_by_data_centre: until when it is not asked.
+    :param expected_until_by_data_centre: time until which the ordered endpoints count as present.
+    :param ordered_by_data_centre: total number in the last accepted order.
+    :param refused_until_by_data_centre: time until which nothing is ordered after a refusal.
     """
 
-    until_by_data_centre: dict[str, float] = field(default_factory=dict)
-    count_by_data_centre: dict[str, int] = field(default_factory=dict)
+    expected_until_by_data_centre: dict[str, float] = field(default_factory=dict)
+    ordered_by_data_centre: dict[str, int] = field(default_factory=dict)
     refused_until_by_data_centre: dict[str, float] = field(default_factory=dict)
 
     def ordered(self, order: Order, market: Market, now: float) -> None:
-        """Remember an order that the platform took."""
-        self.until_by_data_centre[order.data_centre] = now + market.boot_s + LATE_S
-        self.count_by_data_centre[order.data_centre] = order.count
+        """Record an order that the platform accepted at the time `now`, in seconds."""
+        self.expected_until_by_data_centre[order.data_centre] = now + market.boot_s + BOOT_SLACK_S
+        self.ordered_by_data_centre[order.data_centre] = order.count
 
     def refused(self, data_centre: str, now: float) -> None:
-        """Remember that a data centre had none to give."""
-        self.refused_until_by_data_centre[data_centre] = now + REFUSED_S
+        """Record that a data centre had no endpoints available at the time `now`, in seconds."""
+        self.refused_until_by_data_centre[data_centre] = now + REFUSED_PAUSE_S
 
     def expected(self, data_centre: str, present: int, now: float) -> int:
-        """Endpoints that a data centre has or is about to have."""
-        if now >= self.until_by_data_centre.get(data_centre, 0.0):
+        """
+        Return the number of endpoints that a data centre has or will soon have.
+
+        :param present: number of its endpoints that serve.
+        :param now: monotonic time in seconds, as for `ordered`.
+        """
+        if now >= self.expected_until_by_data_centre.get(data_centre, 0.0):
             return present
-        return max(present, self.count_by_data_centre[data_centre])
+        return max(present, self.ordered_by_data_centre[data_centre])
 
 
-def wanted_count(first: int, demand: int, capacity: int) -> int:
+def wanted_count(initial: int, demand: int, capacity: int) -> int:
     """
-    Size a service.
+    Compute the number of endpoints that a service needs.
 
-    :param first: endpoints at the first start.
-    :param demand: most items that were to be run at a time lately.
-    :param capacity: items that one endpoint works on at a time.
-    :return: endpoints over all data centres.
+    :param initial: number of endpoints at the first start; the result is never smaller.
+    :param demand: highest recent number of items that were to run at the same time.
+    :param capacity: number of items that one endpoint works on at a time; if it is 0, the result is
+        `initial`.
+    :return: number of endpoints over all data centres.
     """
     if capacity <= 0:
-        return first
-    return max(first, math.ceil(demand * PLACES_SHARE / capacity))
+        return initial
+    return max(initial, math.ceil(demand * PLACES_SHARE / capacity))
 
 
 def next_order(
@@ -110,11 +124,14 @@
     now: float,
 ) -> Order | None:
     """
-    Choose the next number to order.
-
-    :param wanted: endpoints over all data centres.
-    :param present_by_data_centre: endpoints that serve.
-    :return: one order; None where the fleet is as it should be or nothing can be had.
+    Choose the next order to send to the platform.
+
+    :param fleet: the service's recent orders.
+    :param market: endpoints that the platform offers.
+    :param wanted: number of endpoints over all data centres.
+    :param present_by_data_centre: number of endpoints that serve.
+    :param now: monotonic time in seconds.
+    :return: one order; None if no endpoint is missing or no data centre can be asked now.
     """
     expected_by_data_centre = {
         data_centre: fleet.expected(data_centre, present_by_data_centre.get(data_centre, 0), now)
@@ -128,10 +145,10 @@
         return (market.price_by_data_centre[data_centre], data_centre)
 
     for data_centre in sorted(market.price_by_data_centre, key=price):
-        room = market.most - expected_by_data_centre[data_centre]
-        if room <= 0 or now < fleet.refused_until_by_data_centre.get(data_centre, 0.0):
+        available = market.max_endpoints - expected_by_data_centre[data_centre]
+        if available <= 0 or now < fleet.refused_until_by_data_centre.get(data_centre, 0.0):
             continue
-        return Order(data_centre, expected_by_data_centre[data_centre] + min(room, missing))
+        return Order(data_centre, expected_by_data_centre[data_centre] + min(available, missing))
     return None
 
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/weights.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/weights.py
@@ -1,20 +1,16 @@
 """
-Which engines load a new weight version now.
-
-Load pattern: a trainer publishes weights every few minutes; every engine that it uses must load
-them from a weight store that serves few loads at a time, while samples and callers go on. Loads
-fail, hang, or are reported done and were not.
-
-Without it (every engine ordered at once): the store refuses most loads, the refused ones come back
-together, and an engine set that loads as one serves nobody in the meantime; a failed swap that is
-repeated at once takes the store's places from the engines that could have loaded.
-
-Grounds of the figures:
-- SERVING_SHARE 0.5: at most half of a model's engines load at a time, so the other half serves;
-  with one engine alone that one loads, since old weights would serve nobody's samples in the end.
-- RETRY_FIRST_S 1.0, RETRY_MOST_S 30.0: the first retry costs a second of staleness; the cap keeps
-  one broken engine from using a place of the store more often than twice a minute, and is a small
-  part of the minutes between versions.
+Chooses which engines load a new weight version now.
+
+Load pattern: a trainer publishes weights every few minutes. All engines that serve its model must
+load them from a weight store that serves only a few loads at a time, while requests for samples and
+from other callers continue. A load may fail, hang, or be reported as done without having been done.
+
+If every engine were ordered to load at once, the store would refuse most loads, the refused engines
+would retry together, and no engine would serve in the meantime. An engine whose load fails and is
+repeated at once would take the store's capacity from engines that could have loaded.
+
+The policy lets at most half of a model's engines load at a time and delays the retries of failed
+loads with exponential backoff.
 """
 
 from __future__ import annotations
@@ -22,9 +18,14 @@
 import math
 from dataclasses import dataclass
 
-SERVING_SHARE = 0.5
-RETRY_FIRST_S = 1.0
-RETRY_MOST_S = 30.0
+# At least half of a model's engines serve while the others load. A single engine loads all the
+# same, because samples from old weights would be of no use in the end.
+MIN_SERVING_SHARE = 0.5
+# The first retry after 1 s costs a second of staleness.
+RETRY_BASE_S = 1.0
+# The limit of 30 s keeps an engine that always fails from using the store more than twice a minute,
+# and is a small part of the minutes between two versions.
+RETRY_MAX_S = 30.0
 
 
 @dataclass(frozen=True)
@@ -33,11 +34,11 @@
     One engine that serves the model.
 
     :param endpoint: its id.
-    :param version: version that it says it uses for the adapter; None where it has none.
-    :param loading: whether an order to it is under way.
-    :param failures: swaps to the wanted version that failed in a row.
-    :param failed_s: when the last one failed, seconds.
-    :param running: requests in its work.
+    :param version: version of the adapter that it announces; None if it has none.
+    :param loading: whether it has an order to load that has not ended.
+    :param failures: number of failed loads of the wanted version in a row.
+    :param failed_s: time of the last failure in seconds.
+    :param running: number of requests that it runs.
     """
 
     endpoint: str
@@ -50,32 +51,34 @@
 
 def retry_at_s(failures: int, failed_s: float) -> float:
     """
-    When a failed swap may be tried again.
+    Compute the time at which a failed load may be tried again.
 
-    :param failures: failures in a row; 0 may start at once.
-    :param failed_s: when the last one failed, seconds.
+    :param failures: number of failures in a row; with 0 the load may begin at once.
+    :param failed_s: time of the last failure in seconds.
+    :return: time in seconds on the same clock.
     """
     if failures == 0:
         return failed_s
-    return failed_s + min(RETRY_MOST_S, RETRY_FIRST_S * 2 ** (failures - 1))
+    return failed_s + min(RETRY_MAX_S, RETRY_BASE_S * 2 ** (failures - 1))
 
 
 def plan_wave(
-    engines: tuple[EngineView, ...], wanted: int, store_places: int, now: float
+    engines: tuple[EngineView, ...], wanted: int, free_store_slots: int, now: float
 ) -> tuple[str, ...]:
     """
     Choose the engines that load the wanted version now.
 
-    :param engines: every serving engine of the model.
+    :param engines: all serving engines of the model.
     :param wanted: version to be loaded.
-    :param store_places: loads that the weight store has room for now.
-    :param now: seconds on the clock of `failed_s`.
-    :return: endpoint ids: those never failed first, then the oldest version, then the idlest.
+    :param free_store_slots: number of further loads that the weight store can serve now.
+    :param now: time in seconds on the clock of `failed_s`.
+    :return: ids of engines with the fewest failures first, then the oldest version, then the fewest
+        running requests.
     """
     loading = sum(1 for engine in engines if engine.loading)
-    most = max(1, math.floor(len(engines) * (1 - SERVING_SHARE)))
-    room = min(store_places, most - loading)
-    if room <= 0:
+    max_loading = max(1, math.floor(len(engines) * (1 - MIN_SERVING_SHARE)))
+    max_new = min(free_store_slots, max_loading - loading)
+    if max_new <= 0:
         return ()
     ready = []
     for engine in engines:
@@ -93,13 +96,13 @@
             engine.running,
         )
     )
-    return tuple(engine.endpoint for engine in ready[:room])
+    return tuple(engine.endpoint for engine in ready[:max_new])
 
 
 __all__ = [
-    "RETRY_FIRST_S",
-    "RETRY_MOST_S",
-    "SERVING_SHARE",
+    "MIN_SERVING_SHARE",
+    "RETRY_BASE_S",
+    "RETRY_MAX_S",
     "EngineView",
     "plan_wave",
     "retry_at_s",
--- a/tests/unit/decisions/test_capacity.py
+++ b/tests/unit/decisions/test_capacity.py
@@ -17,7 +17,15 @@
 
 
 class _Fleet:
-    """Applies the plan; an endpoint serves `START_S` after its order, a stopped one is gone."""
+    """
+    A fleet that carries out the plans of `Capacity`.
+
+    An endpoint serves `START_S` after its order; a stopped one disappears at once.
+
+    :param orders: number of planned starts and stops.
+    :param refused: number of starts that were refused because the place was unavailable.
+    :param min_serving: lowest number of endpoints that served at a time in the last span.
+    """
 
     def __init__(self, wanted: Wanted) -> None:
         self.wanted = wanted
@@ -29,11 +37,11 @@
         self.orders = 0
         self.refused = 0
         self.stopped = 0
-        self.least_serving = 0
+        self.min_serving = 0
 
     def run(self, span_s: float) -> None:
-        """Plan once a second; `least_serving` is the worst that callers saw in this span."""
-        self.least_serving = len(self.serving)
+        """Plan once a second for a number of seconds; `min_serving` is reset first."""
+        self.min_serving = len(self.serving)
         for _ in range(int(span_s)):
             self.now += 1.0
             self._announce_started()
@@ -41,16 +49,14 @@
             pending = tuple(place for _, place in self.starting)
             for step in self.capacity.plan("lm", self.wanted, running, pending, self.now):
                 self._apply(step)
-            self.least_serving = min(self.least_serving, len(self.serving))
+            self.min_serving = min(self.min_serving, len(self.serving))
 
     def _announce_started(self) -> None:
-        for started in list(self.starting):
-            if self.now - started[0] < START_S:
+        for start in list(self.starting):
+            if self.now - start[0] < START_S:
                 continue
-            self.starting.remove(started)
-            self.serving[f"{started[1].data_centre}-{self.now:.0f}-{len(self.serving)}"] = started[
-                1
-            ]
+            self.starting.remove(start)
+            self.serving[f"{start[1].data_centre}-{self.now:.0f}-{len(self.serving)}"] = start[1]
 
     def _apply(self, step: Start | Stop) -> None:
         self.orders += 1
@@ -64,10 +70,10 @@
             self.starting.append((self.now, step.place))
 
     def reclaim(self, data_centre: str) -> None:
-        """Another service lost a cheap endpoint there in the same moment."""
+        """Lose all cheap endpoints of a data centre, one of them of another service."""
         place = Place(data_centre, CHEAP)
         self.capacity.note_lost(place, self.now)
-        for name in [name for name, at in self.serving.items() if at == place]:
+        for name in [name for name, other in self.serving.items() if other == place]:
             del self.serving[name]
             self.capacity.note_lost(place, self.now)
 
@@ -78,14 +84,14 @@
         return sorted(place.data_centre for place in self.serving.values() if place.kind == kind)
 
 
-def _settled(wanted: Wanted = WANTED) -> _Fleet:
+def _started_fleet(wanted: Wanted = WANTED) -> _Fleet:
     fleet = _Fleet(wanted)
     fleet.run(60)
     return fleet
 
 
 def test_the_fleet_is_as_the_rule_says_and_stays() -> None:
-    fleet = _settled()
+    fleet = _started_fleet()
 
     assert (fleet.count(CHEAP), fleet.count(STANDARD)) == (3, 2)
     assert fleet.data_centres(CHEAP) == ["birmingham", "derby", "stoke"]
@@ -94,26 +100,26 @@
 
 
 def test_a_reclaim_costs_one_endpoint_and_is_replaced_by_the_standard_kind() -> None:
-    # All cheap endpoints of derby are reclaimed at once. Callers lose one of five; asking derby
-    # for the cheap kind again would lose the replacement as well.
-    fleet = _settled()
+    # All cheap endpoints in derby are reclaimed at once, which costs the service one endpoint of
+    # five. A cheap replacement in derby would be reclaimed as well.
+    fleet = _started_fleet()
 
     fleet.reclaim("derby")
     fleet.run(40)
 
-    assert fleet.least_serving == 4
+    assert fleet.min_serving == 4
     assert len(fleet.serving) == 5
     assert fleet.data_centres(CHEAP) == ["birmingham", "stoke"]
 
 
 def test_the_move_back_to_the_cheap_kind_never_costs_service() -> None:
-    fleet = _settled()
+    fleet = _started_fleet()
     fleet.reclaim("derby")
     fleet.run(40)
 
     fleet.run(900)
 
-    assert fleet.least_serving == 5
+    assert fleet.min_serving == 5
     assert (fleet.count(CHEAP), fleet.count(STANDARD)) == (3, 2)
     assert fleet.stopped == 1
 
@@ -138,22 +144,22 @@
 
 
 def test_an_endpoint_too_many_for_a_moment_is_not_stopped() -> None:
-    # A late announcement makes a dead endpoint look alive for some seconds.
-    fleet = _settled()
-    fleet.serving["ghost"] = Place("derby", STANDARD)
+    # A late announcement makes a lost endpoint count as serving for some seconds.
+    fleet = _started_fleet()
+    fleet.serving["lost"] = Place("derby", STANDARD)
     fleet.run(30)
-    del fleet.serving["ghost"]
+    del fleet.serving["lost"]
     fleet.run(120)
 
     assert fleet.stopped == 0
 
 
 def test_a_changed_rule_moves_the_fleet_without_a_gap() -> None:
-    fleet = _settled()
+    fleet = _started_fleet()
 
     fleet.wanted = Wanted(("birmingham", "stoke"), count=5, cheap_share=0.2)
     fleet.run(1200)
 
-    assert fleet.least_serving == 5
+    assert fleet.min_serving == 5
     assert (fleet.count(CHEAP), fleet.count(STANDARD)) == (1, 4)
     assert "derby" not in fleet.data_centres(CHEAP) + fleet.data_centres(STANDARD)
--- a/tests/unit/decisions/test_drain.py
+++ b/tests/unit/decisions/test_drain.py
@@ -10,15 +10,16 @@
 @pytest.mark.parametrize(
     ("draining", "now", "step"),
     [
-        # An entry may still send to it: stopping it would break a request that came a moment ago.
+        # An entry may still send requests to the endpoint; a stop would break the latest ones.
         (Draining(0.0, None, 0, True), 50.0, DrainStep.WAIT),
-        # The announced zero is older than the last request that an entry sent.
+        # The announced load of zero may be older than the last request that an entry sent.
         (Draining(0.0, 3.0, 0, True), 5.0, DrainStep.WAIT),
         (Draining(0.0, 3.0, 0, False), 30.0, DrainStep.WAIT),
-        # A long stream still runs.
+        # A long stream is still running.
         (Draining(0.0, 3.0, 1, True), 100.0, DrainStep.WAIT),
         (Draining(0.0, 3.0, 0, True), 13.0, DrainStep.STOP_IDLE),
-        # A stream that never ends, or an entry cut off with its lease, must not hold it for ever.
+        # A stream that never ends, or an entry that is disconnected and still holds its lease, must
+        # not delay the stop without limit.
         (Draining(0.0, 3.0, 1, True), 120.0, DrainStep.STOP_AT_DEADLINE),
         (Draining(0.0, None, 0, False), 120.0, DrainStep.STOP_AT_DEADLINE),
     ],
