--- a/packages/ibisspring-decisions/src/ibisspring_decisions/capacity.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/capacity.py
@@ -10,10 +10,11 @@
 ordering an unavailable kind every second is a storm of refused orders; stopping an endpoint as soon
 as there is one too many makes the fleet oscillate with every late announcement.
 
-The plan therefore does not order a kind in a data centre for a while after a reclaim or a refused
-order, spreads the cheap endpoints over the data centres, and stops a surplus endpoint only when the
-surplus has lasted. A fleet with the right number but too few of one kind changes one endpoint at a
-time and starts the replacement first, so that the change never costs service.
+The plan therefore orders no cheap endpoint in a data centre for 10 min after a reclaim there and no
+endpoint of an unavailable kind for 60 s after the refused order. It spreads the cheap endpoints
+over the data centres and stops a surplus endpoint only when the surplus has lasted for 60 s. A
+fleet with the right number of endpoints but too few of one kind is changed one endpoint at a time,
+and each replacement starts first, so that the change never costs service.
 """
 
 from __future__ import annotations
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
@@ -4,7 +4,7 @@
 Load pattern: every few seconds a trainer submits a job of a hundred items. The items form groups
 that share a prompt, and a group is useful only when it is complete. One item in twelve is five
 times as long as the others. Several trainers share the engines, each of which runs a fixed number
-of items at a time. The engines differ in speed, and items may have to leave one in mid-run.
+of items at a time. The engines differ in speed, and items may leave an engine before they end.
 
 If each entry placed its own items by load reports that lag, two entries would overload the same
 engine while another is idle, long items would begin last and delay their groups for seconds, and
@@ -12,13 +12,13 @@
 
 One dispatcher therefore places all items. `order_of` ranks them: the job that is due first comes
 first, since a late step is worth least, and within a job the longest items by their callers'
-estimate. With twice as many items as slots, a long item that begins last would end the time of a
-complete item after all others.
+estimate. With twice as many items as slots, a long item that begins last would end later than all
+others by its complete running time.
 
 `place` then gives each item to the engine that will probably end it first. A full engine takes a
-quarter longer for each event than an empty one and runs out of memory sooner; its cost is that of
-an empty engine of half its speed. The long items, which are placed first, thus go to the fast
-engines. A group is placed on the engine that already has its prompt while that engine has free
+quarter longer for each event than an empty one and runs out of memory sooner, so its cost equals
+that of an empty engine of half its speed. The long items, which are placed first, thus go to the
+fast engines. A group is placed on the engine that already has its prompt while that engine has free
 capacity.
 """
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
@@ -5,8 +5,8 @@
 
 Load pattern: endpoints are permanently lost, drained and removed, or reclaimed for a complete data
 centre at once, in the middle of the day. New endpoints serve some seconds after their order, and a
-data centre may have none available for a while. An endpoint that has stopped sending announcements
-may resume by itself.
+data centre may have none available for some seconds. An endpoint that has stopped sending
+announcements may resume by itself.
 
 Without this, the fleet shrinks with each loss and never grows again: five engines became two within
 20 s, and half of the trainers' steps after that were late.
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
@@ -7,16 +7,17 @@
 (preemptible) endpoints run beside standard ones.
 
 Simple policies fail under this load. Round robin sends as many requests to an endpoint that is
-blocked by long jobs as to an idle one. "Least load in the last report" makes all entries send their
-requests to the same endpoint until the next report arrives (a herd). An endpoint that fails every
-request at once looks idle and attracts all requests. Always following the cache hint sends all
-requests with a common prefix to one engine, however long its queue is.
-
-The router draws two candidates at random and takes the one with the lower cost. The cost is the
-work per slot, computed from the last report and from the requests that this entry has sent since.
-A local data centre, an idle connection and a cached prefix each lower the cost by a bounded amount;
-the endpoint's kind changes it by what a reclaim would cost the request. Ejected endpoints are not
-considered.
+blocked by long requests as to an idle one. "Least load in the last report" makes all entries send
+their requests to the same endpoint until the next report arrives (a herd). An endpoint that fails
+every request at once looks idle and attracts all requests. Always following the cache hint sends
+all requests with a common prefix to one engine, however long its queue is.
+
+The router compares two random candidates and those with a cached prefix or an idle connection, and
+takes the one with the lowest cost. The cost is the work per slot, computed from the last report and
+from the requests that this entry has sent since. The distance, a cached prefix and an idle
+connection change the cost by bounded amounts; the endpoint's kind changes it by what a reclaim
+would cost the request. Endpoints that failed several requests in a row are ejected: they get no
+requests for some seconds.
 """
 
 from __future__ import annotations
@@ -37,9 +38,9 @@
 # A cached prefix saves the prefill, about half of the work of a slot. Cache events arrive late and
 # with gaps, so the bonus never outweighs one more request per slot.
 CACHED_PREFIX_BONUS = 0.5
-# At a capacity of six, an endpoint without an idle connection is used only when each endpoint with
-# one has over two requests more in work. Requests thus share few connections, and a burst is still
-# spread over the endpoints.
+# At a capacity of six, a request goes to an endpoint without an idle connection only if the
+# connected ones have more than two additional requests in work. Requests thus share few
+# connections, and a burst is still spread over the endpoints.
 IDLE_CONNECTION_BONUS = 0.4
 # A generation or lookup loses nothing when its endpoint is reclaimed, because it continues on
 # another one. Between equally loaded endpoints it goes to a cheap one; the rules limit how many
@@ -50,15 +51,17 @@
 RECLAIM_RISK_COST = 1.0
 # A single failure may be a lost connection; three in a row are the endpoint's fault.
 EJECT_AFTER_FAILURES = 3
-# A restart takes seconds, and each return of an endpoint that still fails costs some callers one
-# try. The time therefore doubles with each ejection in a row, up to 30 s.
+# The first ejection lasts 2 s, because a restart takes seconds. Each return of an endpoint that
+# still fails costs some callers one try, so the duration doubles with each ejection in a row, up to
+# 30 s.
 EJECTION_BASE_S = 2.0
 EJECTION_MAX_S = 30.0
 # If more than a third of the candidates are ejected, the cause is something that all endpoints
 # share, and the remaining ones would be overloaded. All candidates are then used again.
 EJECTION_MAX_SHARE = 1 / 3
-# An endpoint is slow from three times the median pace of all, more than load alone can explain
-# between equal endpoints. Its cost is then multiplied by the ratio of its pace to the median.
+# An endpoint counts as slow from three times the median pace; load alone does not cause such a
+# difference between equal endpoints. The cost of a slow endpoint is multiplied by the ratio of its
+# pace to the median.
 SLOW_PACE_RATIO = 3.0
 # Weight of the previous average in the moving average of the pace: the effect of a slow phase fades
 # within ten requests.
@@ -216,7 +219,7 @@
     ) -> tuple[Candidate, ...]:
         """Return the candidates that are not ejected, or all if too many are ejected."""
         ejected = self.ejected(now)
-        healthy = tuple(one for one in candidates if one.endpoint not in ejected)
+        healthy = tuple(option for option in candidates if option.endpoint not in ejected)
         max_ejected = max(1.0, len(candidates) * EJECTION_MAX_SHARE)
         if not healthy or len(candidates) - len(healthy) > max_ejected:
             return candidates
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/stragglers.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/stragglers.py
@@ -25,8 +25,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-# An engine is slow above this multiple of the median time per event. Load alone explains less
-# between equal engines: a full engine takes a quarter longer for an event than an empty one.
+# An engine is slow above this multiple of the median time per event. Load alone causes smaller
+# differences between equal engines: a full engine takes a quarter longer for an event than an empty
+# one.
 SLOW_PACE_RATIO = 1.7
 # Minimum number of remaining events for a move: the result of a shorter run arrives sooner than
 # a move would pay off.
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/version_hosts.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/version_hosts.py
@@ -164,19 +164,19 @@
     Of the hosts that the next version will make too old, up to half of all hosts, rounded up, may
     skip this version: the other half will serve while they load the next one.
     """
-    too_old = [one for one in hosts if one.version_by_model.get(model, 0) < version - lag]
+    too_old = [host for host in hosts if host.version_by_model.get(model, 0) < version - lag]
     oldest_usable = [
-        one for one in hosts if lag and one.version_by_model.get(model, 0) == version - lag
+        host for host in hosts if lag and host.version_by_model.get(model, 0) == version - lag
     ]
     may_skip = (len(hosts) + 1) // 2
-    return tuple(one.engine for one in (*too_old, *oldest_usable[may_skip:]))
+    return tuple(host.engine for host in (*too_old, *oldest_usable[may_skip:]))
 
 
 def _newest_served(
     chosen: Mapping[str, tuple[str, ...]], host_by_engine: Mapping[str, Host], model: str
 ) -> int:
     """Return the newest version that any host of a model serves; 0 if there is none."""
-    versions = [host_by_engine[one].version_by_model.get(model, 0) for one in chosen[model]]
+    versions = [host_by_engine[engine].version_by_model.get(model, 0) for engine in chosen[model]]
     return max(versions, default=0)
 
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/weights.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/weights.py
@@ -2,8 +2,9 @@
 Chooses which engines load a new weight version now.
 
 Load pattern: a trainer publishes weights every few minutes. All engines that serve its model must
-load them from a weight store that serves only a few loads at a time, while requests for samples and
-from other callers continue. A load may fail, hang, or be reported as done without having been done.
+load them from a weight store that serves only a few loads at a time, while sample requests and
+other callers' requests continue. A load may fail, hang, or be reported as done without having been
+done.
 
 If every engine were ordered to load at once, the store would refuse most loads, the refused engines
 would retry together, and no engine would serve in the meantime. An engine whose load fails and is
@@ -18,10 +19,10 @@
 import math
 from dataclasses import dataclass
 
-# At least half of a model's engines serve while the others load. A single engine loads all the
-# same, because samples from old weights would be of no use in the end.
+# At least half of a model's engines serve while the others load. The only engine of a model loads
+# nevertheless, because samples from old weights would eventually be of no use.
 MIN_SERVING_SHARE = 0.5
-# The first retry after 1 s costs a second of staleness.
+# Delay of the first retry, which costs one second of staleness. Each further failure doubles it.
 RETRY_BASE_S = 1.0
 # The limit of 30 s keeps an engine that always fails from using the store more than twice a minute,
 # and is a small part of the minutes between two versions.
