--- a/packages/ibisspring-gateway/src/ibisspring_gateway/__init__.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/__init__.py
@@ -1,3 +1,3 @@
-"""What an entry does for callers by the route table."""
+"""Services of an entry: they forward callers' requests by the route table and run jobs' items."""
 
 from __future__ import annotations
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/result_reads.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/result_reads.py
@@ -1,4 +1,4 @@
-"""The service `result_reads`: reads results, their texts from the nearest store that has them."""
+"""The service `result_reads`: reads the results of jobs, long texts from a nearby store."""
 
 from __future__ import annotations
 
@@ -12,19 +12,23 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings.vm import VmSettings
 
-# What a trainer that keeps up reads at a time comes with the leader's word that it is listed.
+# Up to this many bytes of results are returned by the leader in its first response, without a call
+# to a nearby store. A trainer that keeps up with its job reads no more than this at a time.
 INLINE_BYTES = 16_384
-NEAR_CALL_S = 0.3
-# A store that did not answer is left out until control, by its silence, no longer names it.
-AVOID_S = 2.0
+NEARBY_CALL_TIMEOUT_S = 0.3
+# A store that did not answer is not called again for this long; by then the directory has noticed
+# its silence and no longer lists it.
+AVOID_SILENT_STORE_S = 2.0
 
 
 class ResultReads:
     """
-    Asks the jobs' leader which positions are listed and a store nearby for long texts.
+    Reads results by position in a job.
 
-    Positions never change, so that any store that has applied them gives the same results. Callers
-    read whole jobs again and again, and the leader mostly stands in another data centre.
+    The leader of the jobs log says which positions are listed, and a nearby store returns long
+    texts. The result at a position never changes, so any store that has applied it returns the same
+    result. Callers read complete jobs repeatedly, and the leader is usually in another data centre:
+    without nearby reads, the texts would be sent between data centres each time.
     """
 
     name = "result_reads"
@@ -38,69 +42,84 @@
         """
         Build the service.
 
-        :param settings: checked settings of an entry.
+        :param settings: validated settings of an entry.
         :return: the service.
         """
         return cls(settings.data_centre)
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the parts it works with."""
+        """Look up the services that this one calls."""
         self._view = kernel.find("directory_view")
         self._client = kernel.find("peer_client")
         self._counters = kernel.find("counters")
         self._runner = kernel.find("runner")
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: the service runs no task and owns no connection."""
 
     async def read(self, message: ReadResults) -> Any:
         """
         Read results from a position on.
 
-        :param message: `hold_s` seconds are waited for a result at that position.
-        :return: `ResultsRead`; an `UnknownJob`, or a refusal where the leader was not found.
+        :param message: first position and limits; the leader waits up to `hold_s` seconds for a
+            result at that position.
+        :return: `ResultsRead`; `UnknownJob`; or a refusal where no leader answered in time.
         """
-        near = self._near()
-        if near:
+        store_address = self._nearby_store()
+        if store_address:
             message = replace(message, inline_bytes=INLINE_BYTES)
         answer = await self._runner.call_jobs(message, message.hold_s)
         if not isinstance(answer, ResultsListed):
             return answer
-        listed = ReadListed(message.job, message.client_account, message.after, answer.listed)
-        read = await self._client.call(near, listed, NEAR_CALL_S)
-        if not isinstance(read, ResultsRead):
-            self._avoid_until_by_address[near] = boot_now() + AVOID_S
-            read = ResultsRead(answer.total, ())
-        found = len(read.results)
+        store_request = ReadListed(
+            message.job, message.client_account, message.after, answer.listed
+        )
+        from_store = await self._client.call(store_address, store_request, NEARBY_CALL_TIMEOUT_S)
+        if not isinstance(from_store, ResultsRead):
+            self._avoid_until_by_address[store_address] = boot_now() + AVOID_SILENT_STORE_S
+            from_store = ResultsRead(answer.total, ())
+        found = len(from_store.results)
         self._counters.add("result_reads.near" if found else "result_reads.near_behind")
         if message.after + found >= answer.listed:
-            return ResultsRead(answer.total, read.results)
-        # It has not applied the newest of them yet.
-        left = message.max_bytes - sum(len(one.output) for one in read.results)
-        rest = replace(
+            return ResultsRead(answer.total, from_store.results)
+        # The store did not answer or has not applied the newest results yet: read those from the
+        # leader.
+        remaining_bytes = message.max_bytes - sum(
+            len(result.output) for result in from_store.results
+        )
+        remaining = replace(
             message,
             after=message.after + found,
             hold_s=0.0,
-            max_bytes=left,
+            max_bytes=remaining_bytes,
             inline_bytes=None,
         )
-        newest = await self._runner.call_jobs(rest)
-        if not isinstance(newest, ResultsRead):
-            return newest
-        return ResultsRead(answer.total, (*read.results, *newest.results))
+        from_leader = await self._runner.call_jobs(remaining)
+        if not isinstance(from_leader, ResultsRead):
+            return from_leader
+        return ResultsRead(answer.total, (*from_store.results, *from_leader.results))
+
+    def _nearby_store(self) -> str:
+        """
+        Choose a store with a replica in this data centre.
 
-    def _near(self) -> str:
-        """Find a store with a replica in this data centre; empty where the leader is as near."""
+        :return: its peer address; empty where there is none or the leader itself is in this data
+            centre.
+        """
         view = self._view.view
-        here = [
-            one.address
-            for one in view.stores
-            if one.data_centre == self._data_centre and not one.empty
+        local_addresses = [
+            store.address
+            for store in view.stores
+            if store.data_centre == self._data_centre and not store.empty
         ]
-        if view.job_leader in here:
+        if view.job_leader in local_addresses:
             return ""
         now = boot_now()
-        usable = (one for one in here if now >= self._avoid_until_by_address.get(one, 0.0))
+        usable = (
+            address
+            for address in local_addresses
+            if now >= self._avoid_until_by_address.get(address, 0.0)
+        )
         return next(usable, "")
 
 
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/role.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/role.py
@@ -1,4 +1,4 @@
-"""The services of the entry role of a daemon that finds all others by seeds."""
+"""The services of the entry role, for daemons that find each other through seed addresses."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 def build_services(settings: VmSettings) -> tuple[Service, ...]:
     """
-    Build the services of this role in start order.
+    Build the services of the entry role.
 
-    :param settings: checked settings.
-    :return: the services.
+    :param settings: validated settings of this daemon.
+    :return: the services, in the order in which they must be started.
     """
     return (
         DirectoryView.from_config(settings),
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/wire.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/wire.py
@@ -1,4 +1,4 @@
-"""How the entry speaks with endpoints; an adapter puts it into their words."""
+"""The interface between an entry and the adapter that encodes its requests for endpoints."""
 
 from __future__ import annotations
 
@@ -15,13 +15,15 @@
 @dataclass(frozen=True)
 class CallerRequest:
     """
-    A caller's request that is passed on to one endpoint.
-
-    :param request: id of this attempt of the caller.
-    :param target: path and query as they stood in the request line.
-    :param headers: as the caller sent them, without those of its connection.
-    :param client_account: whose key came with it; empty on a public route.
-    :param left_s: seconds that the caller still waits; None where it did not say.
+    A caller's request, or a reward call, that is forwarded to an endpoint.
+
+    :param request: id that the caller gave this attempt.
+    :param target: path and query exactly as in the request line.
+    :param headers: headers as the caller sent them; `EndpointWire.call_headers` removes those that
+        concern only the caller's connection.
+    :param client_account: account whose key authenticated the request; empty on a public route.
+    :param left_s: seconds until the caller's deadline, counted from the arrival of the request;
+        None where the caller sent no deadline.
     """
 
     request: str
@@ -35,11 +37,14 @@
 
 class Verdict(enum.Enum):
     """
-    What an endpoint's answer means.
-
-    ANSWERED is the endpoint's own answer. TURNED_AWAY promises that the request was not run.
-    OTHER_ENDPOINT promises the same and tells that another endpoint has the address, or that it has
-    other weights. FAILED has run and may be tried elsewhere. NOT_OURS belongs to another request.
+    Classification of an endpoint's response by its status and headers.
+
+    ANSWERED: the response is the endpoint's own answer to the request.
+    TURNED_AWAY: the endpoint rejected the request and guarantees that it did not run it.
+    OTHER_ENDPOINT: the request was not run either, because another endpoint now has the address or
+    the endpoint has other weights than expected.
+    FAILED: the endpoint ran the request and failed; another endpoint may be tried.
+    NOT_OURS: the response belongs to another request.
     """
 
     ANSWERED = "answered"
@@ -52,10 +57,11 @@
 @dataclass(frozen=True)
 class Event:
     """
-    One event of a stream.
+    One event of a streamed response.
 
-    :param number: from 1.
-    :param version: weight version from this event on; None where it did not change.
+    :param number: position in the item's text, from 1.
+    :param version: weight version that made this event and the following ones; None where it is
+        the same as for the previous event.
     """
 
     number: int
@@ -64,33 +70,47 @@
 
 
 class EndpointWire(Protocol):
-    """The service `endpoint_wire`."""
+    """The service `endpoint_wire`: builds requests to endpoints and interprets their responses."""
 
     name: str
 
     def call_headers(self, request: CallerRequest, to: EndpointRecord, left_s: float) -> Headers:
-        """Headers of a request at an endpoint."""
+        """
+        Build the headers of a forwarded request.
+
+        :param to: endpoint that the request is sent to.
+        :param left_s: seconds that the endpoint may work on the request.
+        """
 
     def call_verdict(self, request: CallerRequest, status: int, headers: Headers) -> Verdict:
-        """Judge the head of its answer."""
+        """Classify the response to a forwarded request by its status and headers."""
 
     def run_headers(self, assignment: Assignment) -> Headers:
-        """Headers of an item's run."""
+        """Build the headers of the request that runs a job's item."""
 
     def run_verdict(self, assignment: Assignment, status: int, headers: Headers) -> Verdict:
-        """Judge the head of its answer."""
+        """Classify the response to an item's run by its status and headers."""
 
     def run_version(self, headers: Headers) -> int | None:
-        """Weight version that begins a run."""
+        """Read the weight version at the start of a run; None where the headers do not give it."""
 
     def reward_request(self, call: RewardCall, left_s: float) -> CallerRequest:
-        """Put a reward call as a request that comes from no caller."""
+        """
+        Convert a reward call to a request that the forwarder can send.
+
+        :param left_s: seconds that endpoints may work on the call.
+        """
 
     def score(self, headers: Headers) -> str:
-        """Read the score from the head of a reward call's answer; empty for none."""
+        """Read the score from the headers of the response to a reward call; empty for none."""
 
     def read_event(self, block: bytes) -> Event | None:
-        """Read the lines of one event; None where they are none."""
+        """
+        Parse one event of a stream.
+
+        :param block: lines of the event, without the blank line that ends it.
+        :return: the event; None where the lines are not a valid event.
+        """
 
 
 __all__ = ["CallerRequest", "EndpointWire", "Event", "Verdict"]
