--- a/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
@@ -1,4 +1,4 @@
-"""Passes a caller's request on to an endpoint of its route's service and returns its answer."""
+"""Forwards requests to endpoints of their route's services and returns the responses."""
 
 from __future__ import annotations
 
@@ -25,22 +25,24 @@
     from ibisspring_core.settings.vm import VmSettings
     from ibisspring_gateway.wire import CallerRequest
 
-# A second endpoint gets an idempotent request that has no answer by then: longer than almost all
-# answers take, short enough that the second one still comes within the target.
-HEDGE_SHARE_OF_TARGET = 0.5
-# Less time than this is no use to an endpoint.
-LEAST_LEFT_S = 0.02
+# An idempotent request that has no response after this share of the route's target time is also
+# sent to a second endpoint. Almost all responses take less time, and the second endpoint can still
+# respond within the target.
+HEDGE_DELAY_IN_TARGETS = 0.5
+# With less time than this remaining, no attempt is started: an endpoint could not complete it.
+MIN_ATTEMPT_S = 0.02
 RETRY_AFTER_S = 0.25
-# An endpoint's word that it ran the request and failed; other errors may be another's fault.
-FAILED_STATUS = 500
+# The status of an endpoint that ran the request and failed. Other error statuses are not counted as
+# failures of the endpoint, since their cause may lie elsewhere.
+ENDPOINT_FAILURE_STATUS = 500
 
 
 @dataclass(frozen=True)
 class Answer:
     """
-    An endpoint's whole answer.
+    An endpoint's complete response.
 
-    :param headers: as the endpoint sent them, without those of its connection.
+    :param headers: headers as the endpoint sent them.
     """
 
     status: int
@@ -49,54 +51,54 @@
 
 
 @dataclass(frozen=True)
-class Sent:
+class SendResult:
     """
-    How a request ended that was sent on.
+    The result of a request that the system itself sent.
 
-    :param answer: an endpoint's whole answer, or why there is none.
-    :param ran: an endpoint may have run it.
-    :param errors: endpoints that said that they failed it.
+    :param answer: an endpoint's complete response, or a refusal that says why there is none.
+    :param may_have_run: at least one endpoint may have run the request.
+    :param endpoint_failures: number of endpoints that ran the request and failed.
     """
 
     answer: Answer | Refusal
-    ran: bool
-    errors: int
+    may_have_run: bool
+    endpoint_failures: int
 
 
 @dataclass(frozen=True)
-class Failed:
+class FailedAttempt:
     """
-    A try that brought no answer.
+    An attempt that got no usable response.
 
-    :param ran: the endpoint may have run the request.
+    :param may_have_run: the endpoint may have run the request.
     """
 
     reason: Reason
-    ran: bool
+    may_have_run: bool
 
 
 class Forwarder:
-    """The service `forwarder`."""
+    """The service `forwarder`: sends requests to endpoints, with retries and hedged attempts."""
 
     name = "forwarder"
 
     def __init__(self, data_centre: str) -> None:
         self._router = Router.from_data_centre(data_centre, random.Random())
         self._in_flight_by_endpoint: dict[str, int] = {}
-        self._background: set[asyncio.Task[Answer | Failed]] = set()
+        self._background_attempts: set[asyncio.Task[Answer | FailedAttempt]] = set()
 
     @classmethod
     def from_config(cls, settings: VmSettings) -> Forwarder:
         """
         Build the service.
 
-        :param settings: checked settings of an entry.
+        :param settings: validated settings of an entry.
         :return: the service.
         """
         return cls(settings.data_centre)
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the parts it works with."""
+        """Look up the services that this one calls."""
         self._view = kernel.find("directory_view")
         self._connections = kernel.find("connections")
         self._wire = kernel.find("endpoint_wire")
@@ -104,24 +106,27 @@
         self._usage = kernel.find("usage_counts")
 
     async def stop(self) -> None:
-        """End tries that nobody waits for."""
-        for task in self._background:
+        """Cancel the attempts that continue in the background."""
+        for task in self._background_attempts:
             task.cancel()
 
     async def forward(self, request: CallerRequest, route: Route) -> Answer | Refusal:
         """
-        Pass a request on, trying other endpoints where the route allows it.
+        Forward a caller's request, with attempts at other endpoints where the route allows them.
 
-        :param route: its route.
-        :return: an endpoint's whole answer; a refusal that says truthfully whether it may have run.
+        :param route: the route of the request.
+        :return: an endpoint's complete response, or a refusal; its `not_run` is True only where no
+            endpoint can have run the request.
         """
-        bound_s = min(route.timeout_s, request.left_s or route.timeout_s)
-        began_s = boot_now()
-        exchange = _Exchange(self, request, route, began_s + bound_s, began_s + bound_s)
+        time_limit_s = min(route.timeout_s, request.left_s or route.timeout_s)
+        started_at_s = boot_now()
+        exchange = _Exchange(
+            self, request, route, started_at_s + time_limit_s, started_at_s + time_limit_s
+        )
         answer = await exchange.run()
-        if exchange.ran or isinstance(answer, Answer):
-            self._usage.began(request.client_account, boot_now() - began_s)
-        took_s = boot_now() - began_s
+        if exchange.may_have_run or isinstance(answer, Answer):
+            self._usage.count_request(request.client_account, boot_now() - started_at_s)
+        took_s = boot_now() - started_at_s
         self._counters.observe("request_seconds", took_s, _outcome_of(answer))
         if isinstance(answer, Refusal):
             self._counters.refused(answer.reason)
@@ -131,32 +136,42 @@
                 route=route.name,
                 reason=answer.reason.value,
                 not_run=answer.not_run,
-                tries=list(exchange.tried),
+                tries=list(exchange.tried_endpoints),
             )
         return answer
 
-    async def send(self, request: CallerRequest, route: Route, patience_s: float) -> Sent:
+    async def send(self, request: CallerRequest, route: Route, time_limit_s: float) -> SendResult:
         """
-        Pass on a request that the system makes itself; it is in no account's usage.
+        Send a request of the system itself, which counts for no account's usage.
 
-        :param request: `left_s` is what endpoints are told.
-        :param patience_s: seconds until this sending is given up.
+        :param request: its `left_s` determines the deadline that is sent to endpoints.
+        :param time_limit_s: seconds after which this call returns without a response.
         """
-        began_s = boot_now()
-        left_s = request.left_s or patience_s
-        exchange = _Exchange(self, request, route, began_s + patience_s, began_s + left_s)
+        started_at_s = boot_now()
+        left_s = request.left_s or time_limit_s
+        exchange = _Exchange(
+            self, request, route, started_at_s + time_limit_s, started_at_s + left_s
+        )
         answer = await exchange.run()
-        return Sent(answer, exchange.ran, exchange.errors)
+        return SendResult(answer, exchange.may_have_run, exchange.endpoint_failures)
+
+    def choose_endpoint(
+        self, service: str, tried_endpoints: list[str], at_most_once: bool
+    ) -> EndpointRecord | None:
+        """
+        Choose an endpoint of a service for the next attempt of a request.
 
-    def choose(self, service: str, tried: list[str], once: bool) -> EndpointRecord | None:
-        """Choose an endpoint that was not tried yet; None where there is none."""
+        :param tried_endpoints: ids of the endpoints of earlier attempts, which are excluded.
+        :param at_most_once: the request must not run twice.
+        :return: the endpoint; None where there is no other one.
+        """
         record_by_id = {
             record.endpoint: record
             for record in self._view.serving(service)
-            if record.endpoint not in tried
+            if record.endpoint not in tried_endpoints
         }
         candidates = tuple(self._candidate(record) for record in record_by_id.values())
-        chosen = self._router.choose(candidates, boot_now(), repeatable=not once)
+        chosen = self._router.choose(candidates, boot_now(), repeatable=not at_most_once)
         return record_by_id[chosen] if chosen is not None else None
 
     def _candidate(self, record: EndpointRecord) -> Candidate:
@@ -171,205 +186,226 @@
             connected=self._connections.idle(record.address),
         )
 
-    def hedged(self) -> None:
-        """Count a second endpoint that was asked because the first was slow."""
+    def count_hedge(self) -> None:
+        """Count an attempt that was started because the first endpoint was slow."""
         self._counters.add("forward.hedged")
 
-    def leave(self, tries: set[asyncio.Task[Answer | Failed]]) -> None:
+    def finish_in_background(self, attempts: set[asyncio.Task[Answer | FailedAttempt]]) -> None:
         """
-        Let tries end whose answer nobody needs any more.
+        Let attempts end whose responses are no longer needed.
 
-        Broken off, the endpoint's work would be thrown away all the same, and the connection with
-        it.
+        The endpoints' work is wasted either way, but cancelling the attempts would also close their
+        connections.
         """
-        for task in tries:
-            self._background.add(task)
-            task.add_done_callback(self._background.discard)
+        for task in attempts:
+            self._background_attempts.add(task)
+            task.add_done_callback(self._background_attempts.discard)
 
     async def attempt(
-        self, request: CallerRequest, to: EndpointRecord, end_s: float, told_end_s: float
-    ) -> Answer | Failed:
+        self,
+        request: CallerRequest,
+        record: EndpointRecord,
+        deadline_at_s: float,
+        endpoint_deadline_at_s: float,
+    ) -> Answer | FailedAttempt:
         """
-        Send a request to one endpoint and read its whole answer.
+        Send a request to one endpoint and read its complete response.
 
-        :param end_s: when this is given up.
-        :param told_end_s: when the endpoint is told to stop.
+        :param record: the endpoint.
+        :param deadline_at_s: boot-clock time at which this attempt times out.
+        :param endpoint_deadline_at_s: boot-clock time at which the endpoint is asked to stop
+            working on the request.
         """
-        self._in_flight_by_endpoint[to.endpoint] = (
-            self._in_flight_by_endpoint.get(to.endpoint, 0) + 1
+        self._in_flight_by_endpoint[record.endpoint] = (
+            self._in_flight_by_endpoint.get(record.endpoint, 0) + 1
         )
-        began_s = boot_now()
+        started_at_s = boot_now()
         try:
-            async with asyncio.timeout(end_s - began_s):
-                answer = await self._exchange(request, to, told_end_s)
+            async with asyncio.timeout(deadline_at_s - started_at_s):
+                answer = await self._send_attempt(request, record, endpoint_deadline_at_s)
         except TimeoutError:
-            answer = Failed(Reason.TIMEOUT, True)
+            answer = FailedAttempt(Reason.TIMEOUT, True)
         except aiohttp.ClientConnectorError:
-            answer = Failed(Reason.ENDPOINT_FAILED, False)
+            answer = FailedAttempt(Reason.ENDPOINT_FAILED, False)
         except (aiohttp.ClientError, OSError):
-            answer = Failed(Reason.ENDPOINT_FAILED, True)
+            answer = FailedAttempt(Reason.ENDPOINT_FAILED, True)
         finally:
-            self._in_flight_by_endpoint[to.endpoint] -= 1
-        self._learn(request, to, answer, boot_now() - began_s)
+            self._in_flight_by_endpoint[record.endpoint] -= 1
+        self._record_attempt(request, record, answer, boot_now() - started_at_s)
         return answer
 
-    def _learn(
-        self, request: CallerRequest, to: EndpointRecord, answer: Answer | Failed, took_s: float
+    def _record_attempt(
+        self,
+        request: CallerRequest,
+        record: EndpointRecord,
+        answer: Answer | FailedAttempt,
+        took_s: float,
     ) -> None:
         self._counters.observe("try_seconds", took_s, _outcome_of(answer))
         if isinstance(answer, Answer):
-            self._router.answered(to.endpoint, took_s)
+            self._router.answered(record.endpoint, took_s)
             return
         self._counters.retried(answer.reason)
         eliot.log_message(
             "forward:try_failed",
             request=request.request,
-            endpoint=to.endpoint,
+            endpoint=record.endpoint,
             reason=answer.reason.value,
-            ran=answer.ran,
+            ran=answer.may_have_run,
             after_s=round(took_s, 3),
         )
-        self._router.failed(to.endpoint, boot_now())
-
-    async def _exchange(
-        self, request: CallerRequest, to: EndpointRecord, told_end_s: float
-    ) -> Answer | Failed:
-        headers = self._wire.call_headers(request, to, told_end_s - boot_now())
-        sending = self._connections.request(
-            request.method, to.address, request.target, headers, request.body
+        self._router.failed(record.endpoint, boot_now())
+
+    async def _send_attempt(
+        self, request: CallerRequest, record: EndpointRecord, endpoint_deadline_at_s: float
+    ) -> Answer | FailedAttempt:
+        headers = self._wire.call_headers(request, record, endpoint_deadline_at_s - boot_now())
+        request_context = self._connections.request(
+            request.method, record.address, request.target, headers, request.body
         )
-        async with sending as response:
-            answered = headers_of(response)
-            verdict = self._wire.call_verdict(request, response.status, answered)
+        async with request_context as response:
+            response_headers = headers_of(response)
+            verdict = self._wire.call_verdict(request, response.status, response_headers)
             if verdict is Verdict.NOT_OURS:
-                # An extra answer to an earlier request: what follows on this connection cannot be
-                # told apart either.
+                # An extra response to an earlier request. Later responses on this connection could
+                # not be matched to their requests either, so it is closed.
                 response.close()
-                return Failed(Reason.MISMATCHED_ANSWER, True)
+                return FailedAttempt(Reason.MISMATCHED_ANSWER, True)
             body = await response.read()
-            self._connections.released(to.address, answered)
+            self._connections.released(record.address, response_headers)
             if verdict in (Verdict.TURNED_AWAY, Verdict.OTHER_ENDPOINT):
-                return Failed(Reason.ENDPOINT_REFUSED, False)
-            return Answer(response.status, answered, body)
+                return FailedAttempt(Reason.ENDPOINT_REFUSED, False)
+            return Answer(response.status, response_headers, body)
 
 
 class _Exchange:
-    """One caller's request with all its tries."""
+    """One request with all its attempts."""
 
     def __init__(
         self,
         forwarder: Forwarder,
         request: CallerRequest,
         route: Route,
-        end_s: float,
-        told_end_s: float,
+        deadline_at_s: float,
+        endpoint_deadline_at_s: float,
     ) -> None:
         self._forwarder = forwarder
         self._request = request
         self._route = route
-        self._end_s = end_s
-        self._told_end_s = told_end_s
-        self.ran = False
-        self.errors = 0
+        self._deadline_at_s = deadline_at_s
+        self._endpoint_deadline_at_s = endpoint_deadline_at_s
+        self.may_have_run = False
+        self.endpoint_failures = 0
         self._hedged = False
-        self._hedge_s = route.target_s * HEDGE_SHARE_OF_TARGET
-        self._last = Reason.NO_ENDPOINT
-        self._error: Answer | None = None
-        self.tried: list[str] = []
+        self._hedge_delay_s = route.target_s * HEDGE_DELAY_IN_TARGETS
+        self._last_reason = Reason.NO_ENDPOINT
+        self._error_answer: Answer | None = None
+        self.tried_endpoints: list[str] = []
 
     async def run(self) -> Answer | Refusal:
-        """Try until an endpoint answers or nothing is left to try."""
-        tries: set[asyncio.Task[Answer | Failed]] = set()
+        """Start attempts until an endpoint answers or no further attempt is allowed or possible."""
+        attempts: set[asyncio.Task[Answer | FailedAttempt]] = set()
         try:
-            answer = await self._run(tries)
+            answer = await self._run_attempts(attempts)
         except asyncio.CancelledError:
-            # The caller left: nobody needs what the endpoints are at work on.
-            for task in tries:
+            # The caller disconnected, so that no response is needed.
+            for task in attempts:
                 task.cancel()
             raise
-        self._forwarder.leave(tries)
+        self._forwarder.finish_in_background(attempts)
         return answer
 
-    async def _run(self, tries: set[asyncio.Task[Answer | Failed]]) -> Answer | Refusal:
+    async def _run_attempts(
+        self, attempts: set[asyncio.Task[Answer | FailedAttempt]]
+    ) -> Answer | Refusal:
         while True:
-            if not tries and not self._begin(tries):
-                return self._give_up()
-            left_s = self._end_s - boot_now()
-            hedges = self._may_hedge(tries)
-            wait_s = min(left_s, self._hedge_s) if hedges else left_s
+            if not attempts and not self._start_attempt(attempts):
+                return self._final_answer()
+            left_s = self._deadline_at_s - boot_now()
+            may_hedge = self._may_hedge(attempts)
+            wait_s = min(left_s, self._hedge_delay_s) if may_hedge else left_s
             done, _ = await asyncio.wait(
-                tries, timeout=max(0.0, wait_s), return_when=asyncio.FIRST_COMPLETED
+                attempts, timeout=max(0.0, wait_s), return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
-                tries.discard(task)
-                answer = self._judge(task.result())
+                attempts.discard(task)
+                answer = self._evaluate(task.result())
                 if answer is not None:
                     return answer
             if done:
                 continue
-            if boot_now() >= self._end_s:
-                self._last = Reason.TIMEOUT
-                self.ran = True
-                return self._give_up()
+            if boot_now() >= self._deadline_at_s:
+                self._last_reason = Reason.TIMEOUT
+                self.may_have_run = True
+                return self._final_answer()
             self._hedged = True
-            if hedges and self._begin(tries):
-                self._forwarder.hedged()
-
-    def _judge(self, answer: Answer | Failed) -> Answer | None:
-        if isinstance(answer, Failed):
-            self.ran = self.ran or answer.ran
-            self._last = answer.reason
+            if may_hedge and self._start_attempt(attempts):
+                self._forwarder.count_hedge()
+
+    def _evaluate(self, answer: Answer | FailedAttempt) -> Answer | None:
+        """Return the response if it ends the exchange; None where another attempt may follow."""
+        if isinstance(answer, FailedAttempt):
+            self.may_have_run = self.may_have_run or answer.may_have_run
+            self._last_reason = answer.reason
             return None
         repeatable = self._route.repeat is RepeatRule.IDEMPOTENT
         if answer.status >= 500 and repeatable:
-            # Kept for the caller in case that no other endpoint does better.
-            self._error = answer
-            self.ran = True
-            self.errors += answer.status == FAILED_STATUS
+            # Returned to the caller unless another endpoint answers without an error.
+            self._error_answer = answer
+            self.may_have_run = True
+            self.endpoint_failures += answer.status == ENDPOINT_FAILURE_STATUS
             return None
         return answer
 
-    def _may_hedge(self, tries: set[asyncio.Task[Answer | Failed]]) -> bool:
-        if self._route.repeat is not RepeatRule.IDEMPOTENT or len(tries) != 1:
+    def _may_hedge(self, attempts: set[asyncio.Task[Answer | FailedAttempt]]) -> bool:
+        if self._route.repeat is not RepeatRule.IDEMPOTENT or len(attempts) != 1:
             return False
-        return not self._hedged and len(self.tried) < self._route.max_attempts
-
-    def _begin(self, tries: set[asyncio.Task[Answer | Failed]]) -> bool:
-        """Begin a try at another endpoint; False where there must or can be none."""
-        once = self._route.repeat is RepeatRule.ONCE
-        if len(self.tried) >= self._route.max_attempts or (once and self.ran):
+        return not self._hedged and len(self.tried_endpoints) < self._route.max_attempts
+
+    def _start_attempt(self, attempts: set[asyncio.Task[Answer | FailedAttempt]]) -> bool:
+        """Start an attempt at another endpoint; return False where none is allowed or possible."""
+        at_most_once = self._route.repeat is RepeatRule.ONCE
+        if len(self.tried_endpoints) >= self._route.max_attempts or (
+            at_most_once and self.may_have_run
+        ):
             return False
-        if self._end_s - boot_now() < LEAST_LEFT_S:
+        if self._deadline_at_s - boot_now() < MIN_ATTEMPT_S:
             return False
-        record = self._forwarder.choose(pick_service(self._route), self.tried, once)
+        record = self._forwarder.choose_endpoint(
+            pick_service(self._route), self.tried_endpoints, at_most_once
+        )
         if record is None:
             return False
-        self.tried.append(record.endpoint)
-        attempt = self._forwarder.attempt(self._request, record, self._end_s, self._told_end_s)
-        tries.add(asyncio.create_task(attempt))
+        self.tried_endpoints.append(record.endpoint)
+        attempt = self._forwarder.attempt(
+            self._request, record, self._deadline_at_s, self._endpoint_deadline_at_s
+        )
+        attempts.add(asyncio.create_task(attempt))
         return True
 
-    def _give_up(self) -> Answer | Refusal:
-        if self._error is not None:
-            return self._error
-        if self._last is Reason.TIMEOUT:
-            return Refusal(Reason.TIMEOUT, not self.ran, None)
-        return Refusal(self._last, not self.ran, None if self.ran else RETRY_AFTER_S)
+    def _final_answer(self) -> Answer | Refusal:
+        if self._error_answer is not None:
+            return self._error_answer
+        if self._last_reason is Reason.TIMEOUT:
+            return Refusal(Reason.TIMEOUT, not self.may_have_run, None)
+        return Refusal(
+            self._last_reason, not self.may_have_run, None if self.may_have_run else RETRY_AFTER_S
+        )
 
 
-def _outcome_of(answer: Answer | Failed | Refusal) -> str:
+def _outcome_of(answer: Answer | FailedAttempt | Refusal) -> str:
     return "answered" if isinstance(answer, Answer) else answer.reason.value
 
 
 def pick_service(route: Route) -> str:
     """
-    Draw one of the services that share a route, by their weights.
+    Choose one of a route's services at random, in proportion to their weights.
 
-    :return: its name.
+    :return: the name of the service.
     """
     names = [share.service for share in route.shares]
     weights = [share.weight for share in route.shares]
     return random.choices(names, weights)[0]
 
 
-__all__ = ["Answer", "Forwarder", "Sent", "pick_service"]
+__all__ = ["Answer", "Forwarder", "SendResult", "pick_service"]
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/item_run.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/item_run.py
@@ -1,4 +1,4 @@
-"""One run of one item at one engine: a stream of events that may break anywhere."""
+"""Runs one item of a job at one engine and reads the events that the engine streams."""
 
 from __future__ import annotations
 
@@ -19,107 +19,117 @@
     from ibisspring_core.messages.jobs import Assignment
     from ibisspring_gateway.wire import EndpointWire
 
-# The first event takes a whole line at the engine; later ones come steadily, a tenth of a second
-# apart when the engine is slow by four times.
-FIRST_SILENCE_S = 3.0
-SILENCE_S = 1.2
-# An event is some hundred bytes.
+# Longest wait for the response headers and then for the first event: the run may have to wait for
+# everything in the engine's queue.
+FIRST_EVENT_TIMEOUT_S = 3.0
+# Longest wait for each later event. An engine that is four times slower than normal sends one every
+# 0.1 s.
+EVENT_TIMEOUT_S = 1.2
+# An event has a few hundred bytes; a run with an event longer than this ends as `broken`.
 MAX_EVENT_BYTES = 1024 * 1024
 EVENT_END = b"\n\n"
 
 
 @dataclass
-class RunText:
+class RunProgress:
     """
-    What a run made so far.
-
-    :param data: data of its events.
-    :param versions: weight version that made each of them.
-    :param handed_over: events that went out in parts.
-    :param version: weight version of the next event.
-    :param whole: the stream came to its end.
-    :param first_s: seconds until the first event.
-    :param kept_s: seconds that the engine keeps the connection; 0.0 before the end.
+    The events that a run has produced so far.
+
+    :param data: data of each event.
+    :param versions: weight version that made each event.
+    :param reported_events: number of events that earlier outcomes contain.
+    :param version: weight version of the next event; None while the engine has not stated one.
+    :param complete: the stream was read to its regular end.
+    :param first_event_s: seconds from the start of the run to its first event; 0.0 before it.
+    :param keep_alive_s: seconds for which the engine keeps the idle connection open; 0.0 before the
+        end of the stream.
     """
 
     data: list[str] = field(default_factory=list)
     versions: list[int] = field(default_factory=list)
-    handed_over: int = 0
+    reported_events: int = 0
     version: int | None = None
-    whole: bool = False
-    first_s: float = 0.0
-    kept_s: float = 0.0
+    complete: bool = False
+    first_event_s: float = 0.0
+    keep_alive_s: float = 0.0
 
     def outcome(self, number: int, kind: str) -> Outcome:
-        """Describe what was made since the last part; it counts as handed over."""
-        after = self.handed_over
-        self.handed_over = len(self.data)
+        """
+        Build an outcome from the events since the previous one, and mark them as reported.
+
+        :param number: number of the assignment.
+        :param kind: one of the kinds that `Outcome` lists.
+        """
+        after = self.reported_events
+        self.reported_events = len(self.data)
         return Outcome(
             number,
             kind,
             "\n".join(self.data[after:]),
             len(self.data) - after,
             tuple(version for version, _ in itertools.groupby(self.versions[after:])),
-            self.first_s,
+            self.first_event_s,
             after,
-            kept_s=self.kept_s,
+            kept_s=self.keep_alive_s,
         )
 
 
 async def run_item(
-    assignment: Assignment, connections: Connections, wire: EndpointWire, text: RunText
+    assignment: Assignment, connections: Connections, wire: EndpointWire, progress: RunProgress
 ) -> Outcome:
     """
-    Run an item.
+    Run an item at the endpoint that it is assigned to.
 
-    :param assignment: what to run, where, and after which event.
-    :param text: empty; filled as events come.
-    :return: how it ended, with the whole events that it made.
+    :param assignment: the item, its endpoint, and the event after which the run resumes.
+    :param progress: empty; events are added to it as they arrive.
+    :return: how the run ended, with its complete events that were not reported before.
     """
-    began_s = boot_now()
-    end_s = began_s + assignment.deadline_s
+    started_at_s = boot_now()
+    deadline_at_s = started_at_s + assignment.deadline_s
     try:
-        kind = await _stream(assignment, connections, wire, text, (began_s, end_s))
+        kind = await _stream(assignment, connections, wire, progress, (started_at_s, deadline_at_s))
     except (TimeoutError, aiohttp.ClientError, OSError, asyncio.CancelledError):
-        # A run that is stopped here hands on what it has, like one whose engine was lost.
+        # A cancelled run reports the events that it has, like a run whose engine was lost.
         kind = "broken"
-    if kind == "done" and not text.whole:
+    if kind == "done" and not progress.complete:
         kind = "broken"
-    return text.outcome(assignment.number, kind)
+    return progress.outcome(assignment.number, kind)
 
 
 async def _stream(
     assignment: Assignment,
     connections: Connections,
     wire: EndpointWire,
-    text: RunText,
-    span_s: tuple[float, float],
+    progress: RunProgress,
+    start_and_deadline_s: tuple[float, float],
 ) -> str:
     item = assignment.item
-    sending = connections.request(
+    request = connections.request(
         "POST", assignment.address, item.path, wire.run_headers(assignment), item.body
     )
-    async with asyncio.timeout(FIRST_SILENCE_S):
-        response = await sending
+    async with asyncio.timeout(FIRST_EVENT_TIMEOUT_S):
+        response = await request
     try:
         headers = headers_of(response)
-        kind = _kind_of(wire.run_verdict(assignment, response.status, headers), response.status)
+        kind = _outcome_kind(
+            wire.run_verdict(assignment, response.status, headers), response.status
+        )
         if kind != "done":
             return kind
-        text.version = wire.run_version(headers)
-        await _read_events(assignment, response, wire, text, *span_s)
+        progress.version = wire.run_version(headers)
+        await _read_events(assignment, response, wire, progress, *start_and_deadline_s)
         return "done"
     finally:
-        # A stream that was not read to its end leaves bytes that belong to no later answer, and an
-        # engine at work for nobody.
-        if text.whole:
+        # A connection whose stream was not read to its end is closed: its unread bytes must not be
+        # taken for a later response, and the engine must not go on with a run that is not read.
+        if progress.complete:
             response.release()
-            text.kept_s = connections.released(assignment.address, headers_of(response))
+            progress.keep_alive_s = connections.released(assignment.address, headers_of(response))
         else:
             response.close()
 
 
-def _kind_of(verdict: Verdict, status: int) -> str:
+def _outcome_kind(verdict: Verdict, status: int) -> str:
     kind_by_verdict = {
         Verdict.TURNED_AWAY: "turned_away",
         Verdict.OTHER_ENDPOINT: "stale",
@@ -136,42 +146,44 @@
     assignment: Assignment,
     response: aiohttp.ClientResponse,
     wire: EndpointWire,
-    text: RunText,
-    began_s: float,
-    end_s: float,
+    progress: RunProgress,
+    started_at_s: float,
+    deadline_at_s: float,
 ) -> None:
     buffer = b""
-    silence_s = FIRST_SILENCE_S
+    timeout_s = FIRST_EVENT_TIMEOUT_S
     while True:
-        async with asyncio.timeout(min(silence_s, end_s - boot_now())):
+        async with asyncio.timeout(min(timeout_s, deadline_at_s - boot_now())):
             chunk = await response.content.readany()
         if not chunk:
             break
         buffer += chunk
         *blocks, buffer = buffer.split(EVENT_END)
         for block in blocks:
-            if not _take_event(assignment, wire.read_event(block), text):
+            if not _append_event(assignment, wire.read_event(block), progress):
                 return
-            text.first_s = text.first_s or round(boot_now() - began_s, 3)
-            silence_s = SILENCE_S
+            progress.first_event_s = progress.first_event_s or round(boot_now() - started_at_s, 3)
+            timeout_s = EVENT_TIMEOUT_S
         if len(buffer) > MAX_EVENT_BYTES:
             return
-    # The length or the last chunk was there, or the reader would have raised.
-    text.whole = not buffer.strip() and bool(text.data)
+    # The body ended as its Content-Length or its last chunk says; otherwise the read would have
+    # raised an error.
+    progress.complete = not buffer.strip() and bool(progress.data)
 
 
-def _take_event(assignment: Assignment, event: object, text: RunText) -> bool:
-    """Take the next event; False where it is not the one that must come next."""
-    if event is None or event.number != assignment.resume_after + len(text.data) + 1:
+def _append_event(assignment: Assignment, event: object, progress: RunProgress) -> bool:
+    """Append an event; return False where it is invalid, out of order or without a version."""
+    if event is None or event.number != assignment.resume_after + len(progress.data) + 1:
         return False
     if event.version is not None:
-        text.version = event.version
-    # A text without the word of its engine on what made it is worth nothing: no label is guessed.
-    if text.version is None:
+        progress.version = event.version
+    # Text is unusable where the engine did not state the weight version that made it; the version
+    # is never guessed.
+    if progress.version is None:
         return False
-    text.versions.append(text.version)
-    text.data.append(event.data)
+    progress.versions.append(progress.version)
+    progress.data.append(event.data)
     return True
 
 
-__all__ = ["RunText", "run_item"]
+__all__ = ["RunProgress", "run_item"]
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
@@ -1,4 +1,4 @@
-"""The service `reward_calls`: asks for the score of a whole text until it has one."""
+"""The service `reward_calls`: repeats a reward call until an endpoint returns the text's score."""
 
 from __future__ import annotations
 
@@ -18,26 +18,29 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.messages.jobs import RewardCall
     from ibisspring_core.routes.model import Route
-    from ibisspring_gateway.forward import Sent
+    from ibisspring_gateway.forward import SendResult
 
-# One sending with its second endpoint is given up after this many times the route's target. An
-# endpoint that dropped the call costs that much; a sound one answers within the target.
-PATIENCE_TARGETS = 2.0
-LEAST_PATIENCE_S = 0.5
-# All endpoints were full or lost: the pause doubles from the first to the last of these, so that
-# a full service is not asked over and over and a text does not wait long once it has room.
-FIRST_PAUSE_S = 0.05
-MOST_PAUSE_S = 0.4
+# Time limit of one send, including its hedged attempt at a second endpoint, as a multiple of the
+# route's target time. An endpoint that dropped the call costs this much time; a healthy endpoint
+# answers within the target.
+TIME_LIMIT_TARGETS = 2.0
+# Lower bound of this time limit, which applies to routes with a short target.
+MIN_TIME_LIMIT_S = 0.5
+# Pause before the next send when all endpoints were full or did not answer. It doubles from the
+# first value up to the second, so that a full service is not called continuously and a text is
+# scored soon after the service has free capacity again.
+FIRST_RETRY_PAUSE_S = 0.05
+MAX_RETRY_PAUSE_S = 0.4
 
 
 @dataclass(frozen=True)
-class Unscored:
+class ScoringFailure:
     """
-    No score was found.
+    The reason why a reward call returned no score.
 
-    :param kind: `unscored`, where endpoints failed the call as often as they may; `broken`, where
-        its time was up.
-    :param failures: how often endpoints failed it.
+    :param kind: `unscored` where endpoints failed the call as often as is allowed; `broken` where
+        the item's deadline passed or the run was cancelled.
+    :param failures: number of times that an endpoint ran the call and failed.
     """
 
     kind: str
@@ -45,121 +48,130 @@
 
 
 class RewardCalls:
-    """One window for each route bounds the calls that are under way."""
+    """Limits the concurrent reward calls of each route; calls over the limit wait in a queue."""
 
     name = "reward_calls"
 
     def __init__(self) -> None:
         self._window_by_route: dict[str, CallWindow] = {}
-        # Turns, each with when it began to wait; those that were cancelled are passed over.
-        self._waiting_by_route: dict[str, deque[tuple[asyncio.Future[None], float]]] = {}
+        # Per waiting call: a future that is resolved when the call gets a slot, and the time at
+        # which the call was queued. Cancelled futures stay in the queue and are skipped.
+        self._queue_by_route: dict[str, deque[tuple[asyncio.Future[None], float]]] = {}
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the parts it works with."""
+        """Look up the services that this one calls."""
         self._view = kernel.find("directory_view")
         self._forwarder = kernel.find("forwarder")
         self._wire = kernel.find("endpoint_wire")
         self._counters = kernel.find("counters")
 
     async def stop(self) -> None:
-        """Nothing to stop: calls end with the runs that they belong to."""
+        """No-op: each call runs in the task of its run, which the runner cancels."""
 
-    async def score(self, call: RewardCall, max_attempts: int, end_s: float) -> str | Unscored:
+    async def score(
+        self, call: RewardCall, max_attempts: int, deadline_at_s: float
+    ) -> str | ScoringFailure:
         """
-        Ask endpoints of the call's route for the score until one gives it.
+        Send a reward call to endpoints of its route until one of them returns the text's score.
 
-        :param max_attempts: failures after which the item may be given up; the route's own figure
-            goes before it where that is larger.
-        :param end_s: when the item is given up; endpoints are told this end at each sending.
-        :return: the score.
+        :param max_attempts: failures after which the item may be abandoned; the route's own
+            `max_attempts` applies where it is larger.
+        :param deadline_at_s: boot-clock time at which the item is abandoned; each send tells the
+            endpoint the seconds that remain until then.
+        :return: the score, or why there is none.
         """
         failures = 0
-        pause_s = FIRST_PAUSE_S
-        while boot_now() < end_s:
+        pause_s = FIRST_RETRY_PAUSE_S
+        while boot_now() < deadline_at_s:
             route = self._route(call)
             if route is None:
-                # The route may come back with the next configuration.
+                # A later configuration may contain the route again.
                 self._counters.add("reward_call.no_route")
-                await asyncio.sleep(MOST_PAUSE_S)
+                await asyncio.sleep(MAX_RETRY_PAUSE_S)
                 continue
-            sent = await self._send(call, route, end_s)
+            sent = await self._send(call, route, deadline_at_s)
             if not isinstance(sent.answer, Refusal) and sent.answer.status // 100 == 2:
                 score = self._wire.score(sent.answer.headers)
                 if score:
                     return score
-            failures += sent.errors
+            failures += sent.endpoint_failures
             if failures >= max(max_attempts, route.max_attempts):
-                return Unscored("unscored", failures)
-            self._log_again(call, sent, failures)
-            if sent.errors:
+                return ScoringFailure("unscored", failures)
+            self._log_retry(call, sent, failures)
+            if sent.endpoint_failures:
                 continue
             await asyncio.sleep(pause_s)
-            pause_s = min(MOST_PAUSE_S, 2 * pause_s)
-        return Unscored("broken", failures)
+            pause_s = min(MAX_RETRY_PAUSE_S, 2 * pause_s)
+        return ScoringFailure("broken", failures)
 
     def _route(self, call: RewardCall) -> Route | None:
         index = self._view.index
         return index.route(call.host, call.path) if index is not None else None
 
-    def _log_again(self, call: RewardCall, sent: Sent, failures: int) -> None:
+    def _log_retry(self, call: RewardCall, sent: SendResult, failures: int) -> None:
         answer = sent.answer
         reason = answer.reason.value if isinstance(answer, Refusal) else f"status {answer.status}"
         self._counters.add("reward_call.again")
         eliot.log_message(
-            "reward_call:again", call=call.request, reason=reason, failures=failures, ran=sent.ran
+            "reward_call:again",
+            call=call.request,
+            reason=reason,
+            failures=failures,
+            ran=sent.may_have_run,
         )
 
-    async def _send(self, call: RewardCall, route: Route, end_s: float) -> Sent:
-        window = await self._enter(route)
-        full = False
+    async def _send(self, call: RewardCall, route: Route, deadline_at_s: float) -> SendResult:
+        window = await self._acquire_slot(route)
+        rejected = False
         try:
-            request = self._wire.reward_request(call, max(0.001, end_s - boot_now()))
-            patience_s = max(LEAST_PATIENCE_S, PATIENCE_TARGETS * route.target_s)
-            # It may be repeated whatever the route says of callers' requests.
-            repeatable = replace(route, repeat=RepeatRule.IDEMPOTENT)
-            sent = await self._forwarder.send(request, repeatable, patience_s)
-            full = isinstance(sent.answer, Refusal) and not sent.ran
+            request = self._wire.reward_request(call, max(0.001, deadline_at_s - boot_now()))
+            time_limit_s = max(MIN_TIME_LIMIT_S, TIME_LIMIT_TARGETS * route.target_s)
+            # The route's repeat rule is meant for callers' requests; a reward call may always be
+            # repeated.
+            repeatable_route = replace(route, repeat=RepeatRule.IDEMPOTENT)
+            sent = await self._forwarder.send(request, repeatable_route, time_limit_s)
+            rejected = isinstance(sent.answer, Refusal) and not sent.may_have_run
         finally:
-            window.ended(boot_now(), full)
-            self._leave(route)
+            window.ended(boot_now(), rejected)
+            self._grant_free_slots(route)
         return sent
 
-    def _places(self, route: Route) -> int:
-        """Requests that the endpoints of a route work on at a time, by their own word."""
+    def _reported_capacity(self, route: Route) -> int:
+        """Sum of the requests that the route's endpoints say they process at the same time."""
         return sum(
             record.load.capacity
             for share in route.shares
             for record in self._view.serving(share.service)
         )
 
-    async def _enter(self, route: Route) -> CallWindow:
-        """Wait until the window has room, in the order in which texts became whole."""
+    async def _acquire_slot(self, route: Route) -> CallWindow:
+        """Wait for a free slot in the route's window; calls get slots in order of arrival."""
         window = self._window_by_route.setdefault(route.name, CallWindow())
-        waiting = self._waiting_by_route.setdefault(route.name, deque())
-        if waiting or not window.has_room():
-            turn = asyncio.get_running_loop().create_future()
-            waiting.append((turn, boot_now()))
+        queue = self._queue_by_route.setdefault(route.name, deque())
+        if queue or not window.has_room():
+            granted = asyncio.get_running_loop().create_future()
+            queue.append((granted, boot_now()))
             try:
-                await turn
+                await granted
             except asyncio.CancelledError:
-                if not turn.cancelled():
-                    # Its turn had come already: the room goes to the next one.
+                if not granted.cancelled():
+                    # The slot was granted just before this call was cancelled: pass it on.
                     window.left()
-                    self._leave(route)
+                    self._grant_free_slots(route)
                 raise
         else:
-            window.began(boot_now(), 0.0, self._places(route))
+            window.began(boot_now(), 0.0, self._reported_capacity(route))
         return window
 
-    def _leave(self, route: Route) -> None:
+    def _grant_free_slots(self, route: Route) -> None:
         window = self._window_by_route[route.name]
-        waiting = self._waiting_by_route[route.name]
-        while waiting and window.has_room():
-            turn, since_s = waiting.popleft()
-            if turn.cancelled():
+        queue = self._queue_by_route[route.name]
+        while queue and window.has_room():
+            granted, queued_at_s = queue.popleft()
+            if granted.cancelled():
                 continue
-            window.began(boot_now(), boot_now() - since_s, self._places(route))
-            turn.set_result(None)
+            window.began(boot_now(), boot_now() - queued_at_s, self._reported_capacity(route))
+            granted.set_result(None)
 
 
-__all__ = ["RewardCalls", "Unscored"]
+__all__ = ["RewardCalls", "ScoringFailure"]
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/runner.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/runner.py
@@ -1,4 +1,4 @@
-"""The service `runner`: takes items from the jobs' dispatcher and runs them at engines."""
+"""The service `runner`: requests items from the jobs dispatcher and runs them at engines."""
 
 from __future__ import annotations
 
@@ -13,37 +13,42 @@
 from ibisspring_core.errors import Refusal
 from ibisspring_core.leader_client import LeaderClient
 from ibisspring_core.messages.jobs import PART, Outcome, ReportWork, TakeWork, Work
-from ibisspring_gateway.item_run import RunText, run_item
-from ibisspring_gateway.reward_calls import Unscored
+from ibisspring_gateway.item_run import RunProgress, run_item
+from ibisspring_gateway.reward_calls import ScoringFailure
 
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.messages.jobs import Assignment
     from ibisspring_core.settings.vm import VmSettings
 
-# One entry reads this many streams at once at most; the engines of today have 60 places together.
-MOST_RUNS = 48
-HOLD_S = 0.4
+# Most streams that one entry reads at the same time; all engines together currently have 60 slots.
+MAX_STREAMS = 48
+# Seconds for which the dispatcher may hold a request for work while it has none; also the pause
+# after a request that failed.
+WORK_HOLD_S = 0.4
 CALL_TIMEOUT_S = 1.0
-FIND_LEADER_S = 3.0
-# Callers of jobs come again by themselves after a second or two without an answer.
-JOB_CALL_S = 2.0
-ONE_JOB_CALL_S = 0.8
-# Outcomes that come close together travel and are committed together.
-GATHER_S = 0.02
-# What runs made is handed over this often, to be kept in the jobs' log: the loss of an entry, of
-# the jobs' leader or of all power then costs each text half of this time on average, and not all.
-PARTS_EVERY_S = 1.0
-# At a stop the last outcomes are worth this much of the time until the process is killed.
-HAND_OVER_S = 0.8
+FIND_LEADER_TIMEOUT_S = 3.0
+# Time limits of a caller's request about jobs: in total, and for each store that is asked. Callers
+# repeat such a request on their own after 1 or 2 s without a response.
+JOB_CALL_TIMEOUT_S = 2.0
+JOB_ATTEMPT_TIMEOUT_S = 0.8
+# Outcomes within this time are sent in one report and committed together.
+REPORT_DELAY_S = 0.02
+# Interval at which the new events of current runs are reported and stored in the jobs log. When an
+# entry, the leader of the jobs log or the power of all VMs is lost, each text then loses on
+# average the events of half this interval, instead of all its events.
+PART_INTERVAL_S = 1.0
+# Time limit of the last report at a stop; it uses part of the time until the process is killed.
+LAST_REPORT_TIMEOUT_S = 0.8
 
 
 class Runner:
     """
-    One task asks for work, one reports, and each run has its own.
+    Runs assignments: one task requests work, another reports outcomes, and each run has its own.
 
-    A run of an item with a reward call goes on after its text: the whole text is handed over to be
-    kept while the call is under way, so the log costs the result no time.
+    The run of an item with a reward call continues after the engine's text is complete. The text is
+    reported and stored in the jobs log during the call, so that storing it does not delay the
+    result.
     """
 
     name = "runner"
@@ -53,12 +58,12 @@
         self._incarnation = secrets.token_hex(8)
         self._epoch = 0
         self._sequence = 0
-        self._stopping = False
+        self._draining = False
         self._task_by_number: dict[int, asyncio.Task[None]] = {}
-        self._text_by_number: dict[int, RunText] = {}
-        self._scoring: set[int] = set()
-        self._outcomes: list[Outcome] = []
-        self._reported = asyncio.Event()
+        self._progress_by_number: dict[int, RunProgress] = {}
+        self._scoring_numbers: set[int] = set()
+        self._pending_outcomes: list[Outcome] = []
+        self._report_due = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     @classmethod
@@ -66,13 +71,13 @@
         """
         Build the service.
 
-        :param settings: checked settings of an entry.
+        :param settings: validated settings of an entry.
         :return: the service.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to ask for work."""
+        """Start to request work and to report outcomes."""
         self._view = kernel.find("directory_view")
         self._connections = kernel.find("connections")
         self._wire = kernel.find("endpoint_wire")
@@ -80,57 +85,63 @@
         self._reward_calls = kernel.find("reward_calls")
         self.leader = LeaderClient(kernel.find("peer_client"), self.job_addresses)
         self._tasks = [
-            asyncio.create_task(self._take(), name="runner:take"),
-            asyncio.create_task(self._report(), name="runner:report"),
+            asyncio.create_task(self._request_work(), name="runner:take"),
+            asyncio.create_task(self._report_outcomes(), name="runner:report"),
         ]
-        self._parts = kernel.find("timer").subscribe("runner", PARTS_EVERY_S, self._hand_over)
+        self._parts_timer = kernel.find("timer").subscribe(
+            "runner", PART_INTERVAL_S, self._report_parts
+        )
 
     async def stop(self) -> None:
-        """Stop all runs and hand over what they made; the items go on elsewhere."""
-        self._parts.cancel()
+        """Cancel all runs and report their events, so that other runners can continue the items."""
+        self._parts_timer.cancel()
         for task in self._tasks:
             task.cancel()
         runs = tuple(self._task_by_number.values())
         for task in runs:
             task.cancel()
         await asyncio.gather(*runs, return_exceptions=True)
-        if self._outcomes:
-            message = ReportWork(self._settings.peer_address, self._epoch, tuple(self._outcomes))
-            await self.leader.call(message, HAND_OVER_S, HAND_OVER_S)
+        if self._pending_outcomes:
+            message = ReportWork(
+                self._settings.peer_address, self._epoch, tuple(self._pending_outcomes)
+            )
+            await self.leader.call(message, LAST_REPORT_TIMEOUT_S, LAST_REPORT_TIMEOUT_S)
 
     def drain(self) -> None:
-        """Take no more work; what runs goes on."""
-        self._stopping = True
+        """Request no more work; current runs continue."""
+        self._draining = True
 
     @property
     def running(self) -> int:
-        """Items that run here."""
+        """Number of assignments that are not cancelled and whose final outcome is not reported."""
         return len(self._task_by_number)
 
     def job_addresses(self) -> tuple[str, ...]:
-        """Peer addresses where the leader of the jobs' log may be, the likeliest first."""
+        """Return peer addresses of possible leaders of the jobs log, the most likely one first."""
         view = self._view.view
         founders = view.job_group.founders if view.job_group is not None else ()
-        # A store without a replica neither leads nor knows who does.
-        holders = (one.address for one in view.stores if not one.empty)
+        # A store without a replica is never the leader and does not know the leader's address.
+        replicas = (store.address for store in view.stores if not store.empty)
         hint = (view.job_leader,) if view.job_leader else ()
-        return tuple(dict.fromkeys((*hint, *holders, *(one.address for one in founders))))
+        return tuple(dict.fromkeys((*hint, *replicas, *(founder.address for founder in founders))))
 
     async def call_jobs(self, message: Any, hold_s: float = 0.0) -> Any:
         """
-        Pass a caller's call on to the leader of the jobs' log.
+        Forward a caller's request to the leader of the jobs log.
 
-        :param message: a message that may run twice.
-        :param hold_s: seconds for which the leader may keep it waiting.
-        :return: the leader's answer; a refusal where none was found in time.
+        :param message: a message that may be processed twice.
+        :param hold_s: seconds for which the leader may delay its response.
+        :return: the leader's response; a refusal where no leader responded in time.
         """
-        return await self.leader.call(message, JOB_CALL_S + hold_s, ONE_JOB_CALL_S + hold_s)
+        return await self.leader.call(
+            message, JOB_CALL_TIMEOUT_S + hold_s, JOB_ATTEMPT_TIMEOUT_S + hold_s
+        )
 
-    async def _take(self) -> None:
+    async def _request_work(self) -> None:
         while True:
             self._sequence += 1
-            streams = len(self._task_by_number) - len(self._scoring)
-            free = 0 if self._stopping else MOST_RUNS - streams
+            streams = len(self._task_by_number) - len(self._scoring_numbers)
+            free = 0 if self._draining else MAX_STREAMS - streams
             call = TakeWork(
                 runner=self._settings.peer_address,
                 data_centre=self._settings.data_centre,
@@ -139,86 +150,89 @@
                 sequence=self._sequence,
                 running=tuple(self._task_by_number),
                 free=free,
-                hold_s=HOLD_S,
-                events=tuple(self._events(number) for number in self._task_by_number),
+                hold_s=WORK_HOLD_S,
+                events=tuple(self._event_count(number) for number in self._task_by_number),
             )
-            answer = await self.leader.call(call, FIND_LEADER_S, CALL_TIMEOUT_S)
+            answer = await self.leader.call(call, FIND_LEADER_TIMEOUT_S, CALL_TIMEOUT_S)
             if not isinstance(answer, Work):
                 detail = answer.detail if isinstance(answer, Refusal) else repr(answer)
                 eliot.log_message("runner:no_work_from", detail=detail)
-                await asyncio.sleep(HOLD_S)
+                await asyncio.sleep(WORK_HOLD_S)
                 continue
-            self._begin(answer)
+            self._apply_work(answer)
 
-    def _events(self, number: int) -> int:
-        text = self._text_by_number.get(number)
-        return len(text.data) if text is not None else 0
+    def _event_count(self, number: int) -> int:
+        progress = self._progress_by_number.get(number)
+        return len(progress.data) if progress is not None else 0
 
-    def _begin(self, work: Work) -> None:
+    def _apply_work(self, work: Work) -> None:
         if work.epoch != self._epoch:
-            # Another dispatcher goes on from the parts that are kept: what runs is for nobody.
+            # A new dispatcher resumes the items from their stored parts and ignores the outcomes of
+            # runs that belong to an earlier epoch.
             for task in self._task_by_number.values():
                 task.cancel()
             self._task_by_number.clear()
-            self._text_by_number.clear()
-            self._scoring.clear()
-            self._outcomes.clear()
+            self._progress_by_number.clear()
+            self._scoring_numbers.clear()
+            self._pending_outcomes.clear()
             self._epoch = work.epoch
         for number in work.cancelled:
             task = self._task_by_number.pop(number, None)
-            self._scoring.discard(number)
+            self._scoring_numbers.discard(number)
             if task is not None:
                 task.cancel()
         for number in work.moved:
             task = self._task_by_number.get(number)
-            # A text that became whole meanwhile has nothing left to go on elsewhere.
-            if task is not None and number not in self._scoring:
+            # An item that is being scored has its complete text: it needs no other engine.
+            if task is not None and number not in self._scoring_numbers:
                 task.cancel()
         for assignment in work.assignments:
-            task = asyncio.create_task(self._run(assignment), name=f"run:{assignment.item.item}")
+            task = asyncio.create_task(
+                self._run_assignment(assignment), name=f"run:{assignment.item.item}"
+            )
             self._task_by_number[assignment.number] = task
 
-    async def _run(self, assignment: Assignment) -> None:
+    async def _run_assignment(self, assignment: Assignment) -> None:
         epoch = self._epoch
         number = assignment.number
         if assignment.endpoint:
-            outcome = await self._make_text(assignment)
+            outcome = await self._generate_text(assignment)
         else:
             outcome = Outcome(number, "done")
-        if not self._is_wanted(number, epoch):
+        if not self._is_assigned(number, epoch):
             return
         if outcome.kind == "done" and assignment.item.reward is not None:
             if assignment.endpoint:
-                self._hand_on(replace(outcome, kind=PART, whole=True))
-            self._scoring.add(number)
+                self._queue_outcome(replace(outcome, kind=PART, whole=True))
+            self._scoring_numbers.add(number)
             outcome = await self._score(assignment, outcome.after + outcome.events)
-            if not self._is_wanted(number, epoch):
+            if not self._is_assigned(number, epoch):
                 return
-        self._hand_on(outcome)
+        self._queue_outcome(outcome)
 
-    def _is_wanted(self, number: int, epoch: int) -> bool:
-        """Whether the dispatcher still waits for a run; a new epoch gives its number anew."""
+    def _is_assigned(self, number: int, epoch: int) -> bool:
+        """Whether the dispatcher still expects an outcome; each epoch uses the same numbers."""
         return epoch == self._epoch and number in self._task_by_number
 
-    def _hand_on(self, outcome: Outcome) -> None:
-        self._outcomes.append(outcome)
-        self._reported.set()
+    def _queue_outcome(self, outcome: Outcome) -> None:
+        self._pending_outcomes.append(outcome)
+        self._report_due.set()
 
     async def _score(self, assignment: Assignment, after: int) -> Outcome:
-        """Make an item's reward call; a run that is stopped here leaves it to another runner."""
-        began_s = boot_now()
+        """Make an item's reward call; if the call is cancelled, another runner repeats it."""
+        started_at_s = boot_now()
         item = assignment.item
         try:
             scored = await self._reward_calls.score(
-                item.reward, assignment.max_attempts, began_s + assignment.deadline_s
+                item.reward, assignment.max_attempts, started_at_s + assignment.deadline_s
             )
         except asyncio.CancelledError:
-            scored = Unscored("broken", 0)
-        if isinstance(scored, Unscored):
+            scored = ScoringFailure("broken", 0)
+        if isinstance(scored, ScoringFailure):
             outcome = Outcome(assignment.number, scored.kind, after=after, whole=True)
         else:
             outcome = Outcome(assignment.number, "done", after=after, score=scored)
-        took_s = boot_now() - began_s
+        took_s = boot_now() - started_at_s
         self._counters.add(f"reward_call.{outcome.kind}")
         self._counters.observe("reward_call_seconds", took_s, outcome.kind)
         eliot.log_message(
@@ -229,21 +243,21 @@
             call=item.reward.request,
             kind=outcome.kind,
             reason="" if outcome.kind == "done" else outcome.kind,
-            failures=scored.failures if isinstance(scored, Unscored) else 0,
+            failures=scored.failures if isinstance(scored, ScoringFailure) else 0,
             text_from_elsewhere=not assignment.endpoint,
             took_s=round(took_s, 3),
         )
         return outcome
 
-    async def _make_text(self, assignment: Assignment) -> Outcome:
-        began_s = boot_now()
-        text = RunText()
-        self._text_by_number[assignment.number] = text
-        outcome = await run_item(assignment, self._connections, self._wire, text)
-        # Under another epoch the number may name another run by now.
-        if self._text_by_number.get(assignment.number) is text:
-            del self._text_by_number[assignment.number]
-        took_s = boot_now() - began_s
+    async def _generate_text(self, assignment: Assignment) -> Outcome:
+        started_at_s = boot_now()
+        progress = RunProgress()
+        self._progress_by_number[assignment.number] = progress
+        outcome = await run_item(assignment, self._connections, self._wire, progress)
+        # If the epoch changed during the run, the number may belong to another run now.
+        if self._progress_by_number.get(assignment.number) is progress:
+            del self._progress_by_number[assignment.number]
+        took_s = boot_now() - started_at_s
         self._counters.add(f"runner.{outcome.kind}")
         self._counters.observe("run_seconds", took_s, outcome.kind)
         eliot.log_message(
@@ -255,7 +269,7 @@
             kind=outcome.kind,
             reason="" if outcome.kind == "done" else outcome.kind,
             resume_after=assignment.resume_after,
-            events=len(text.data),
+            events=len(progress.data),
             versions=outcome.versions,
             expected_version=assignment.expected_version,
             expected_tokens=assignment.item.expected_tokens,
@@ -265,32 +279,32 @@
         )
         return outcome
 
-    async def _hand_over(self, now: float) -> None:
-        """Report what runs made that go on."""
-        for number, text in self._text_by_number.items():
-            if len(text.data) > text.handed_over and number in self._task_by_number:
-                self._hand_on(text.outcome(number, PART))
+    async def _report_parts(self, now: float) -> None:
+        """Queue the new events of the current runs for the next report."""
+        for number, progress in self._progress_by_number.items():
+            if len(progress.data) > progress.reported_events and number in self._task_by_number:
+                self._queue_outcome(progress.outcome(number, PART))
 
-    async def _report(self) -> None:
+    async def _report_outcomes(self) -> None:
         while True:
-            await self._reported.wait()
-            await asyncio.sleep(GATHER_S)
-            self._reported.clear()
+            await self._report_due.wait()
+            await asyncio.sleep(REPORT_DELAY_S)
+            self._report_due.clear()
             epoch = self._epoch
-            outcomes = tuple(self._outcomes)
+            outcomes = tuple(self._pending_outcomes)
             if not outcomes:
                 continue
             message = ReportWork(self._settings.peer_address, epoch, outcomes)
-            answer = await self.leader.call(message, FIND_LEADER_S, CALL_TIMEOUT_S)
+            answer = await self.leader.call(message, FIND_LEADER_TIMEOUT_S, CALL_TIMEOUT_S)
             if isinstance(answer, Refusal):
-                self._reported.set()
+                self._report_due.set()
                 continue
             if epoch == self._epoch:
-                del self._outcomes[: len(outcomes)]
+                del self._pending_outcomes[: len(outcomes)]
                 for outcome in outcomes:
                     if outcome.kind != PART:
                         self._task_by_number.pop(outcome.number, None)
-                        self._scoring.discard(outcome.number)
+                        self._scoring_numbers.discard(outcome.number)
 
 
 __all__ = ["Runner"]
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
@@ -1,4 +1,4 @@
-"""Counts the requests that endpoints began, by usage window and client account."""
+"""Counts the requests that endpoints started, by usage window and client account."""
 
 from __future__ import annotations
 
@@ -12,20 +12,23 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings.vm import VmSettings
 
-# Windows that the directory never confirms, as after a long cut, are dropped at last.
+# Counts that are more than this many windows older than the newest one are dropped, so that memory
+# stays bounded while the directory does not confirm any, as during a long network partition.
 MAX_WINDOWS = 24
 
 
-# Where the leader did not say how long to wait, renewals carry the counts.
-UNTOLD_PAUSE_S = 1.0
+# Pause after a report that the directory's leader did not acknowledge with a pause of its own.
+# Until the next report, the counts are sent with the renewals only.
+DEFAULT_PAUSE_S = 1.0
 
 
 class UsageCounts:
     """
     The service `usage_counts`.
 
-    Counts are sent with renewals until their window is closed. A renewal is held for half a second,
-    and an entry that is killed loses what it did not send; so they are also told as they rise.
+    Each renewal with the directory carries the counts of all windows that are not closed. The
+    leader may hold a renewal for half a second, and an entry that is killed loses the counts that
+    it has not sent; increased counts are therefore also reported in messages of their own.
     """
 
     name = "usage_counts"
@@ -33,56 +36,57 @@
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
         self._count_by_key: dict[tuple[int, str], int] = {}
-        self._risen = asyncio.Event()
-        self._task: asyncio.Task[None] | None = None
+        self._counts_increased = asyncio.Event()
+        self._report_task: asyncio.Task[None] | None = None
 
     @classmethod
     def from_config(cls, settings: VmSettings) -> UsageCounts:
         """
         Build the service.
 
-        :param settings: checked settings of an entry.
+        :param settings: validated settings of an entry.
         :return: the service.
         """
         return cls(settings.usage_window_s)
 
     async def start(self, kernel: Kernel) -> None:
-        """Send counts with renewals, and as they rise."""
+        """Add the counts to the renewals and start the task that reports increased counts."""
         self._view = kernel.find("directory_view")
         self._view.send_usage(self.open_counts)
-        self._task = asyncio.create_task(self._tell(), name="usage_counts")
+        self._report_task = asyncio.create_task(self._report_increases(), name="usage_counts")
 
     async def stop(self) -> None:
-        """Tell no more."""
-        if self._task is not None:
-            self._task.cancel()
+        """Cancel the reporting task."""
+        if self._report_task is not None:
+            self._report_task.cancel()
 
-    async def _tell(self) -> None:
+    async def _report_increases(self) -> None:
         while True:
-            await self._risen.wait()
-            self._risen.clear()
+            await self._counts_increased.wait()
+            self._counts_increased.clear()
             answer = await self._view.tell_usage()
-            told = isinstance(answer, UsageCounted)
-            await asyncio.sleep(answer.pause_s if told else UNTOLD_PAUSE_S)
+            accepted = isinstance(answer, UsageCounted)
+            await asyncio.sleep(answer.pause_s if accepted else DEFAULT_PAUSE_S)
 
-    def began(self, client_account: str, ago_s: float) -> None:
+    def count_request(self, client_account: str, elapsed_s: float) -> None:
         """
-        Count a request that an endpoint began.
+        Count a request that an endpoint started, or may have started.
 
-        :param ago_s: seconds since it began.
+        :param client_account: account to count it for; a request without an account is not counted.
+        :param elapsed_s: seconds since the request arrived; determines its usage window.
         """
         if not self._window_s or not client_account:
             return
-        window = math.floor((self._view.wall_s() - ago_s) / self._window_s)
+        window = math.floor((self._view.wall_s() - elapsed_s) / self._window_s)
         key = (window, client_account)
         self._count_by_key[key] = self._count_by_key.get(key, 0) + 1
-        self._risen.set()
+        self._counts_increased.set()
 
     def open_counts(self, closed_window: int) -> tuple[UsageCount, ...]:
         """
-        List the counts of windows that are not closed.
+        Return the counts of the windows that are not closed, and drop all others.
 
-        :param closed_window: newest window whose figures are fixed.
+        :param closed_window: newest window whose counts the directory no longer changes.
         """
         newest = max((window for window, _ in self._count_by_key), default=0)
         for key in list(self._count_by_key):
--- a/tests/unit/gateway/test_forward.py
+++ b/tests/unit/gateway/test_forward.py
@@ -17,7 +17,7 @@
 from ibisspring_gateway.wire import CallerRequest, Verdict
 
 REQUEST = CallerRequest("r1", "POST", "/lookup/7", (("Host", "a"),), b"body", "forge", 2.0)
-LOOKUP = Route(
+LOOKUP_ROUTE = Route(
     name="lookup",
     host="a",
     prefix="/lookup/",
@@ -27,11 +27,13 @@
     target_s=0.1,
     max_attempts=2,
 )
-PAY = Route("pay", "a", "/pay/", RepeatRule.ONCE, (Share("archive", 1.0),), 1.0, 0.1, 0, 3)
+PAYMENT_ROUTE = Route(
+    "pay", "a", "/pay/", RepeatRule.ONCE, (Share("archive", 1.0),), 1.0, 0.1, 0, 3
+)
 
 
 class _Wire:
-    """Stand-in: the answer's `Id` must be the request's, `Turned-Away` promises not run."""
+    """Fake adapter: `Id` must be the request's id, `Turned-Away` says that it was not run."""
 
     name = "endpoint_wire"
 
@@ -43,51 +45,53 @@
         return (*request.headers, ("Left", f"{left_s:.2f}"), ("To", to.endpoint))
 
     def call_verdict(self, request, status, headers):
-        known = {name.lower(): value for name, value in headers}
-        if known.get("id") != request.request:
+        value_by_name = {name.lower(): value for name, value in headers}
+        if value_by_name.get("id") != request.request:
             return Verdict.NOT_OURS
-        return Verdict.TURNED_AWAY if "turned-away" in known else Verdict.ANSWERED
+        return Verdict.TURNED_AWAY if "turned-away" in value_by_name else Verdict.ANSWERED
 
 
-def answer(body: bytes = b"whole", status: int = 200, head: str = "Id: r1\r\n") -> bytes:
+def response_bytes(body: bytes = b"whole", status: int = 200, head: str = "Id: r1\r\n") -> bytes:
     lines = f"HTTP/1.1 {status} X\r\n{head}Content-Length: {len(body)}\r\n\r\n"
     return lines.encode() + body
 
 
 def records_of(endpoints) -> tuple[EndpointRecord, ...]:
-    """Records of scripted endpoints, e0 and on, as one service in one data centre."""
+    """Build the records of scripted endpoints e0, e1, … of one service in one data centre."""
     return tuple(
         EndpointRecord(
-            f"e{n}",
+            f"e{number}",
             1,
             1,
             "archive",
             "plain",
             "standard",
             "derby",
-            one.address,
+            endpoint.address,
             load=EndpointLoad(capacity=6),
         )
-        for n, one in enumerate(endpoints)
+        for number, endpoint in enumerate(endpoints)
     )
 
 
 @asynccontextmanager
 async def forwarder_to(*endpoints, index=None, wire=None, users=()):
-    """Start a forwarder to scripted endpoints, and the services that use it."""
+    """Run a forwarder to scripted endpoints, and the services `users` that call it."""
     records = records_of(endpoints)
-    began: list[str] = []
+    counted_accounts: list[str] = []
     view = SimpleNamespace(name="directory_view", serving=lambda service: records, index=index)
-    usage = SimpleNamespace(name="usage_counts", began=lambda account, ago: began.append(account))
+    usage = SimpleNamespace(
+        name="usage_counts", count_request=lambda account, elapsed: counted_accounts.append(account)
+    )
     kernel = Kernel()
     connections = Connections()
     forwarder = Forwarder("derby")
-    parts = (view, usage, Counters.from_config(None), wire or _Wire(), connections, forwarder)
-    for service in (*parts, *users):
+    services = (view, usage, Counters.from_config(None), wire or _Wire(), connections, forwarder)
+    for service in (*services, *users):
         kernel.register(service)
     for service in (connections, forwarder, *users):
         await service.start(kernel)
-    forwarder.counted = began
+    forwarder.counted_accounts = counted_accounts
     forwarder.view = view
     try:
         yield forwarder
@@ -96,113 +100,124 @@
         await connections.stop()
 
 
-async def test_a_request_goes_through_unchanged_and_its_whole_answer_comes_back() -> None:
-    async with scripted(lambda head: [answer()]) as one, forwarder_to(one) as forwarder:
-        got = await forwarder.forward(REQUEST, LOOKUP)
+async def test_request_and_complete_response_are_forwarded_unchanged() -> None:
+    async with (
+        scripted(lambda head: [response_bytes()]) as endpoint,
+        forwarder_to(endpoint) as forwarder,
+    ):
+        result = await forwarder.forward(REQUEST, LOOKUP_ROUTE)
 
-        assert (got.status, got.body) == (200, b"whole")
-        assert one.heads[0].startswith("POST /lookup/7 HTTP/1.1\r\n")
-        assert "User-Agent" not in one.heads[0]
-        assert "Accept" not in one.heads[0]
-        assert forwarder.counted == ["forge"]
+        assert (result.status, result.body) == (200, b"whole")
+        assert endpoint.heads[0].startswith("POST /lookup/7 HTTP/1.1\r\n")
+        assert "User-Agent" not in endpoint.heads[0]
+        assert "Accept" not in endpoint.heads[0]
+        assert forwarder.counted_accounts == ["forge"]
 
 
 @pytest.mark.parametrize(
     "broken",
     [
-        [answer()[:-3], None],
-        [answer()[:-3]],
+        [response_bytes()[:-3], None],
+        [response_bytes()[:-3]],
         [None],
         [b"not http at all\r\n\r\n"],
-        [answer(head="Id: another\r\n")],
-        [answer(b"", 503, "Id: r1\r\nTurned-Away: 1\r\n")],
-        [answer(b"sorry", 500)],
+        [response_bytes(head="Id: another\r\n")],
+        [response_bytes(b"", 503, "Id: r1\r\nTurned-Away: 1\r\n")],
+        [response_bytes(b"sorry", 500)],
     ],
-    ids=["reset", "cut", "no answer", "no http", "of another request", "turned away", "failed"],
+    ids=["reset", "truncated", "no response", "not HTTP", "other id", "rejected", "failed"],
 )
 async def test_an_idempotent_request_is_answered_by_another_endpoint(broken) -> None:
-    # An auditor waits at the gate while an engine spoils its answers: the lookup is read from
-    # another endpoint, and no part of the spoiled answer is passed on.
-    def close_after(head: str) -> list:
+    # One endpoint resets the connection, or its response is invalid, an error or meant for another
+    # request. The request is sent to another endpoint, and no part of the bad response reaches the
+    # caller.
+    def send_and_close(head: str) -> list:
         return [*broken, None]
 
-    async with scripted(close_after) as bad, scripted(lambda head: [answer()]) as good:
+    async with scripted(send_and_close) as bad, scripted(lambda head: [response_bytes()]) as good:
         for endpoints in ((bad, good), (good, bad)):
             async with forwarder_to(*endpoints) as forwarder:
                 for _ in range(3):
-                    got = await forwarder.forward(REQUEST, LOOKUP)
-                    assert isinstance(got, Answer)
-                    assert (got.status, got.body) == (200, b"whole")
+                    result = await forwarder.forward(REQUEST, LOOKUP_ROUTE)
+                    assert isinstance(result, Answer)
+                    assert (result.status, result.body) == (200, b"whole")
 
 
 async def test_an_extra_answer_is_never_taken_for_the_next_one() -> None:
-    # An endpoint sends a second answer behind the first. Taken for the answer to the next request
-    # on that connection, it would show one merchant another one's ticket.
-    extra = answer() + answer(b"extra", head="Id: r1\r\n")
-    async with scripted(lambda head: [extra]) as one, forwarder_to(one) as forwarder:
-        await forwarder.forward(REQUEST, LOOKUP)
-        second = CallerRequest("r2", "POST", "/lookup/8", (), b"", "forge", 2.0)
+    # An endpoint sends a second response after the first. If the entry took it for the response to
+    # the next request on that connection, one caller would receive another caller's data.
+    extra = response_bytes() + response_bytes(b"extra", head="Id: r1\r\n")
+    async with scripted(lambda head: [extra]) as endpoint, forwarder_to(endpoint) as forwarder:
+        await forwarder.forward(REQUEST, LOOKUP_ROUTE)
+        next_request = CallerRequest("r2", "POST", "/lookup/8", (), b"", "forge", 2.0)
 
-        got = await forwarder.forward(second, LOOKUP)
+        result = await forwarder.forward(next_request, LOOKUP_ROUTE)
 
-        assert isinstance(got, Refusal)
-        assert not got.not_run
+        assert isinstance(result, Refusal)
+        assert not result.not_run
 
 
 async def test_a_request_that_may_run_once_is_not_sent_again_once_it_may_have_run() -> None:
-    # A ticket is entered, its answer is lost, and it is sent again: the merchant is paid twice.
-    async with scripted(lambda head: [None]) as one, scripted(lambda head: [None]) as two:
-        async with forwarder_to(one, two) as forwarder:
-            got = await forwarder.forward(REQUEST, PAY)
+    # An endpoint runs a payment and its response is lost. A second attempt would pay twice.
+    async with scripted(lambda head: [None]) as first, scripted(lambda head: [None]) as second:
+        async with forwarder_to(first, second) as forwarder:
+            result = await forwarder.forward(REQUEST, PAYMENT_ROUTE)
 
-            assert isinstance(got, Refusal)
-            assert not got.not_run
-            assert len(one.heads) + len(two.heads) == 1
+            assert isinstance(result, Refusal)
+            assert not result.not_run
+            assert len(first.heads) + len(second.heads) == 1
 
 
 async def test_a_request_that_may_run_once_goes_elsewhere_where_it_was_turned_away() -> None:
-    turned = answer(b"", 503, "Id: r1\r\nTurned-Away: 1\r\n")
-    async with scripted(lambda head: [turned]) as one, scripted(lambda head: [answer()]) as two:
-        async with forwarder_to(one, two) as forwarder:
+    rejected = response_bytes(b"", 503, "Id: r1\r\nTurned-Away: 1\r\n")
+    async with (
+        scripted(lambda head: [rejected]) as first,
+        scripted(lambda head: [response_bytes()]) as second,
+    ):
+        async with forwarder_to(first, second) as forwarder:
             for _ in range(4):
-                got = await forwarder.forward(REQUEST, PAY)
-                assert got.status == 200
+                result = await forwarder.forward(REQUEST, PAYMENT_ROUTE)
+                assert result.status == 200
 
 
-async def test_a_slow_endpoint_is_helped_by_another_one() -> None:
-    # One of three archive endpoints turned slow; a third of all lookups would miss their target.
-    async with scripted(lambda head: [0.8, answer(b"slow")]) as slow:
-        async with scripted(lambda head: [answer(b"quick")]) as quick:
+async def test_slow_request_is_hedged_at_another_endpoint() -> None:
+    # Without a hedged attempt, a slow endpoint among three would make a third of all requests miss
+    # their target time.
+    async with scripted(lambda head: [0.8, response_bytes(b"slow")]) as slow:
+        async with scripted(lambda head: [response_bytes(b"quick")]) as quick:
             async with forwarder_to(slow, quick) as forwarder:
-                got = [(await forwarder.forward(REQUEST, LOOKUP)).body for _ in range(4)]
+                bodies = [(await forwarder.forward(REQUEST, LOOKUP_ROUTE)).body for _ in range(4)]
 
-    assert got == [b"quick"] * 4
+    assert bodies == [b"quick"] * 4
 
 
-async def test_without_an_endpoint_it_is_refused_at_once_and_truly_not_run() -> None:
+async def test_request_without_any_endpoint_is_refused_as_not_run() -> None:
     async with forwarder_to() as forwarder:
-        got = await forwarder.forward(REQUEST, LOOKUP)
+        result = await forwarder.forward(REQUEST, LOOKUP_ROUTE)
 
-    assert got.reason is Reason.NO_ENDPOINT
-    assert got.not_run
-    assert got.retry_after_s
+    assert result.reason is Reason.NO_ENDPOINT
+    assert result.not_run
+    assert result.retry_after_s
 
 
 async def test_no_more_endpoints_are_tried_than_the_route_allows() -> None:
-    failing = [answer(b"sorry", 500)]
-    async with scripted(lambda head: failing) as one, scripted(lambda head: failing) as two:
-        async with scripted(lambda head: failing) as three:
-            async with forwarder_to(one, two, three) as forwarder:
-                got = await forwarder.forward(REQUEST, LOOKUP)
+    failing = [response_bytes(b"sorry", 500)]
+    async with scripted(lambda head: failing) as first, scripted(lambda head: failing) as second:
+        async with scripted(lambda head: failing) as third:
+            async with forwarder_to(first, second, third) as forwarder:
+                result = await forwarder.forward(REQUEST, LOOKUP_ROUTE)
 
-            assert got.status == 500
-            assert sum(len(each.heads) for each in (one, two, three)) == 2
+            assert result.status == 500
+            assert sum(len(endpoint.heads) for endpoint in (first, second, third)) == 2
 
 
-async def test_what_comes_after_the_routes_timeout_is_not_waited_for() -> None:
-    async with scripted(lambda head: [5.0, answer()]) as one, forwarder_to(one) as forwarder:
+async def test_response_after_the_route_timeout_is_not_awaited() -> None:
+    async with (
+        scripted(lambda head: [5.0, response_bytes()]) as endpoint,
+        forwarder_to(endpoint) as forwarder,
+    ):
         async with asyncio.timeout(3.0):
-            got = await forwarder.forward(REQUEST, LOOKUP)
+            result = await forwarder.forward(REQUEST, LOOKUP_ROUTE)
 
-    assert got.reason is Reason.TIMEOUT
-    assert not got.not_run
+    assert result.reason is Reason.TIMEOUT
+    assert not result.not_run
--- a/tests/unit/gateway/test_item_run.py
+++ b/tests/unit/gateway/test_item_run.py
@@ -7,15 +7,15 @@
 from ibisspring_core.kernel import Kernel
 from ibisspring_core.messages.jobs import Assignment, JobItem
 from ibisspring_gateway import item_run
-from ibisspring_gateway.item_run import RunText, run_item
+from ibisspring_gateway.item_run import RunProgress, run_item
 from ibisspring_gateway.wire import Event, Verdict
 
 HEAD = b"HTTP/1.1 200 OK\r\nVersion: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
-END = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 class _Wire:
-    """Stand-in: an event is `number data` or `number data version`."""
+    """Fake adapter: an event is `number data` or `number data version`."""
 
     def run_headers(self, assignment):
         return (("After", str(assignment.resume_after)),)
@@ -26,8 +26,8 @@
         return Verdict.TURNED_AWAY if status == 503 else Verdict.ANSWERED
 
     def run_version(self, headers):
-        known = {name.lower(): value for name, value in headers}
-        return int(known["version"]) if "version" in known else None
+        value_by_name = {name.lower(): value for name, value in headers}
+        return int(value_by_name["version"]) if "version" in value_by_name else None
 
     def read_event(self, block):
         fields = block.decode().split()
@@ -48,13 +48,15 @@
             assignment = Assignment(
                 5, "j", item, "a", "h", "s", "e", 1, endpoint.address, 4, resume_after, 30.0
             )
-            return await run_item(assignment, connections, _Wire(), RunText())
+            return await run_item(assignment, connections, _Wire(), RunProgress())
     finally:
         await connections.stop()
 
 
-async def test_a_whole_stream_is_done() -> None:
-    outcome = await run([HEAD, chunk(b"1 a\n\n2 b"), chunk(b"\n\n"), chunk(b"3 c 5\n\n"), END])
+async def test_complete_stream_is_done() -> None:
+    outcome = await run(
+        [HEAD, chunk(b"1 a\n\n2 b"), chunk(b"\n\n"), chunk(b"3 c 5\n\n"), LAST_CHUNK]
+    )
 
     assert (outcome.kind, outcome.output, outcome.events) == ("done", "a\nb\nc", 3)
     assert outcome.versions == (4, 5)
@@ -64,33 +66,33 @@
     "steps",
     [
         [HEAD, chunk(b"1 a\n\n2 b\n\n"), None],
-        [HEAD, chunk(b"1 a\n\n2 b\n\n3 c"), END],
-        [HEAD, chunk(b"1 a\n\n2 b\n\n4 d\n\n"), END],
-        [HEAD, chunk(b"1 a\n\n2 b\n\n2 b\n\n"), END],
+        [HEAD, chunk(b"1 a\n\n2 b\n\n3 c"), LAST_CHUNK],
+        [HEAD, chunk(b"1 a\n\n2 b\n\n4 d\n\n"), LAST_CHUNK],
+        [HEAD, chunk(b"1 a\n\n2 b\n\n2 b\n\n"), LAST_CHUNK],
     ],
-    ids=["reset", "half an event", "a gap", "twice"],
+    ids=["reset", "incomplete event", "missing event", "repeated event"],
 )
 async def test_a_stream_that_breaks_keeps_the_events_before_it(steps) -> None:
-    # An engine dies in the middle of an event, or loses one. A text with a gap or with half an
-    # event would be learned from as if it were whole.
+    # An engine stops in the middle of an event, or omits or repeats one. Without these checks, a
+    # trainer would learn from an incomplete text as if it were complete.
     outcome = await run(steps)
 
     assert (outcome.kind, outcome.output, outcome.events) == ("broken", "a\nb", 2)
 
 
 async def test_a_run_that_goes_on_begins_with_the_next_event() -> None:
-    outcome = await run([HEAD, chunk(b"3 c\n\n"), END], resume_after=2)
+    outcome = await run([HEAD, chunk(b"3 c\n\n"), LAST_CHUNK], resume_after=2)
     assert (outcome.kind, outcome.output) == ("done", "c")
 
-    again = await run([HEAD, chunk(b"1 a\n\n"), END], resume_after=2)
-    assert (again.kind, again.events) == ("broken", 0)
+    unexpected = await run([HEAD, chunk(b"1 a\n\n"), LAST_CHUNK], resume_after=2)
+    assert (unexpected.kind, unexpected.events) == ("broken", 0)
 
 
 async def test_a_text_without_a_version_is_thrown_away() -> None:
-    # No label is guessed: a sample without one may have been made by weights of any age.
+    # The weight version is never guessed: weights of any age may have made the text.
     head = HEAD.replace(b"Version: 4\r\n", b"")
 
-    outcome = await run([head, chunk(b"1 a\n\n"), END])
+    outcome = await run([head, chunk(b"1 a\n\n"), LAST_CHUNK])
 
     assert (outcome.kind, outcome.events) == ("broken", 0)
 
@@ -99,39 +101,44 @@
     ("status", "kind"),
     [(503, "turned_away"), (421, "stale"), (422, "impossible"), (500, "failed"), (504, "failed")],
 )
-async def test_what_the_engine_says_decides_what_comes_next(status, kind) -> None:
+async def test_response_status_determines_the_kind_of_outcome(status, kind) -> None:
     steps = [b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % status]
 
     assert (await run(steps)).kind == kind
 
 
-async def test_an_engine_that_goes_silent_is_left(monkeypatch) -> None:
-    # The connection goes silent for good while new ones work: without a bound of its own the item
-    # would be waited for until its step has run out of time.
-    monkeypatch.setattr(item_run, "SILENCE_S", 0.2)
+async def test_run_breaks_if_the_engine_stops_sending(monkeypatch) -> None:
+    # The engine sends nothing more on this connection, although it answers on new ones. Without a
+    # time limit for each event, the run would last until the step's deadline.
+    monkeypatch.setattr(item_run, "EVENT_TIMEOUT_S", 0.2)
 
     outcome = await run([HEAD, chunk(b"1 a\n\n"), 5.0])
 
     assert (outcome.kind, outcome.output) == ("broken", "a")
 
 
-async def test_an_endpoint_that_nobody_listens_at_breaks_the_run() -> None:
+async def test_run_breaks_if_the_connection_is_refused() -> None:
     connections = Connections()
     await connections.start(Kernel())
     item = JobItem("i1", "/score/1", (), b"body", 900)
     assignment = Assignment(5, "j", item, "a", "h", "s", "e", 1, "127.0.0.1:1", 4, 0, 30.0)
 
-    assert (await run_item(assignment, connections, _Wire(), RunText())).kind == "broken"
+    assert (await run_item(assignment, connections, _Wire(), RunProgress())).kind == "broken"
     await connections.stop()
 
 
-def test_what_was_handed_over_in_parts_is_not_told_again() -> None:
-    text = RunText(data=["a", "b"], versions=[4, 4])
-    first = text.outcome(5, "part")
-    text.data += ["c", "d"]
-    text.versions += [4, 5]
+def test_events_reported_in_parts_are_not_reported_again() -> None:
+    progress = RunProgress(data=["a", "b"], versions=[4, 4])
+    first = progress.outcome(5, "part")
+    progress.data += ["c", "d"]
+    progress.versions += [4, 5]
 
-    rest = text.outcome(5, "done")
+    last = progress.outcome(5, "done")
 
     assert (first.output, first.events, first.versions, first.after) == ("a\nb", 2, (4,), 0)
-    assert (rest.output, rest.events, rest.versions, rest.after) == ("c\nd", 2, (4, 5), 2)
+    assert (last.output, last.events, last.versions, last.after) == (
+        "c\nd",
+        2,
+        (4, 5),
+        2,
+    )
--- a/tests/unit/gateway/test_reward_calls.py
+++ b/tests/unit/gateway/test_reward_calls.py
@@ -3,18 +3,18 @@
 import asyncio
 from contextlib import asynccontextmanager
 
-from unit.gateway.test_forward import _Wire, answer, forwarder_to
+from unit.gateway.test_forward import _Wire, forwarder_to, response_bytes
 
 from fakes.scripted_endpoint import scripted
 from ibisspring_core.clock import boot_now
 from ibisspring_core.messages.jobs import RewardCall
 from ibisspring_core.routes import RepeatRule, Route, RouteTable, ServiceTerms, Share
 from ibisspring_core.routes.index import RouteIndex
-from ibisspring_gateway.reward_calls import RewardCalls, Unscored
+from ibisspring_gateway.reward_calls import RewardCalls, ScoringFailure
 from ibisspring_gateway.wire import CallerRequest
 
-CALL = RewardCall("r1", "ledger", "/sync/7", b"body")
-LEDGER = Route(
+REWARD_CALL = RewardCall("r1", "ledger", "/sync/7", b"body")
+LEDGER_ROUTE = Route(
     name="ledger-sync",
     host="ledger",
     prefix="/sync/",
@@ -24,9 +24,9 @@
     target_s=0.2,
     max_attempts=2,
 )
-GOOD = answer(head="Id: r1\r\nScore: 0.7\r\n")
-FAILS = answer(status=500, head="Id: r1\r\nScore: 0.7\r\n")
-FULL = answer(status=503, head="Id: r1\r\nTurned-Away: yes\r\n")
+SCORED_RESPONSE = response_bytes(head="Id: r1\r\nScore: 0.7\r\n")
+FAILED_RESPONSE = response_bytes(status=500, head="Id: r1\r\nScore: 0.7\r\n")
+REJECTED_RESPONSE = response_bytes(status=503, head="Id: r1\r\nTurned-Away: yes\r\n")
 
 
 class _RewardWire(_Wire):
@@ -38,106 +38,120 @@
         return {name.lower(): value for name, value in headers}.get("score", "")
 
 
-def table(*routes: Route) -> RouteIndex:
+def route_index_of(*routes: Route) -> RouteIndex:
     return RouteIndex(RouteTable(1, routes, (ServiceTerms("archive", 100),)))
 
 
 @asynccontextmanager
 async def calls_to(*endpoints, index=None):
     calls = RewardCalls()
-    known = index if index is not None else table(LEDGER)
+    route_index = index if index is not None else route_index_of(LEDGER_ROUTE)
     wire = _RewardWire()
-    async with forwarder_to(*endpoints, index=known, wire=wire, users=(calls,)) as forwarder:
+    async with forwarder_to(*endpoints, index=route_index, wire=wire, users=(calls,)) as forwarder:
         calls.view = forwarder.view
         yield calls
 
 
 async def test_the_score_is_that_of_a_whole_answer() -> None:
-    async with scripted(lambda head: [GOOD]) as endpoint, calls_to(endpoint) as calls:
-        assert await calls.score(CALL, 3, boot_now() + 30.0) == "0.7"
+    async with scripted(lambda head: [SCORED_RESPONSE]) as endpoint, calls_to(endpoint) as calls:
+        assert await calls.score(REWARD_CALL, 3, boot_now() + 30.0) == "0.7"
 
     assert "POST /sync/7" in endpoint.heads[0]
     assert "To: e0" in endpoint.heads[0]
 
 
 async def test_an_answer_that_was_cut_short_brings_no_score() -> None:
-    # The endpoint's connection is reset in the middle of its answer: its head bears a stamp all
-    # the same, and a result with it would name a score that nobody may rely on.
-    answers = iter([[GOOD[:-3], None], [GOOD]])
-    async with scripted(lambda head: next(answers)) as endpoint, calls_to(endpoint) as calls:
-        assert await calls.score(CALL, 3, boot_now() + 30.0) == "0.7"
+    # The connection is reset in the middle of the response body. The response headers already
+    # contain a score, but a score counts only with the complete response.
+    responses = iter([[SCORED_RESPONSE[:-3], None], [SCORED_RESPONSE]])
+    async with scripted(lambda head: next(responses)) as endpoint, calls_to(endpoint) as calls:
+        assert await calls.score(REWARD_CALL, 3, boot_now() + 30.0) == "0.7"
 
     assert len(endpoint.heads) == 2
 
 
 async def test_a_call_that_always_fails_ends_after_its_last_try() -> None:
-    # Two endpoints for a send, three failures allowed: the third failure ends it, neither the
-    # second nor a fourth.
+    # Each send tries two endpoints, and three failures are allowed: the call must not end after the
+    # second failure, nor start another send after the third.
     async with (
-        scripted(lambda head: [FAILS]) as one,
-        scripted(lambda head: [FAILS]) as other,
-        calls_to(one, other) as calls,
+        scripted(lambda head: [FAILED_RESPONSE]) as first,
+        scripted(lambda head: [FAILED_RESPONSE]) as second,
+        calls_to(first, second) as calls,
     ):
-        scored = await calls.score(CALL, 3, boot_now() + 30.0)
+        scored = await calls.score(REWARD_CALL, 3, boot_now() + 30.0)
 
-    assert isinstance(scored, Unscored)
+    assert isinstance(scored, ScoringFailure)
     assert scored.kind == "unscored"
     assert 3 <= scored.failures <= 4
-    assert len(one.heads) + len(other.heads) == scored.failures
+    assert len(first.heads) + len(second.heads) == scored.failures
 
 
 async def test_refusals_and_lost_answers_are_no_failures() -> None:
-    # A full endpoint refuses and another one loses its answers. Counted as failures, a good text
-    # would be given up because the service was busy for a second.
-    answers = iter([[FULL], [None], [FULL], [None], [FULL], [FULL], [GOOD]])
-    async with scripted(lambda head: next(answers)) as endpoint, calls_to(endpoint) as calls:
-        assert await calls.score(CALL, 1, boot_now() + 30.0) == "0.7"
+    # The endpoint rejects some calls because it is full, and resets the connection of others. If
+    # these counted as failures, a good text would be abandoned when its service is overloaded for
+    # a second.
+    responses = iter(
+        [
+            [REJECTED_RESPONSE],
+            [None],
+            [REJECTED_RESPONSE],
+            [None],
+            [REJECTED_RESPONSE],
+            [REJECTED_RESPONSE],
+            [SCORED_RESPONSE],
+        ]
+    )
+    async with scripted(lambda head: next(responses)) as endpoint, calls_to(endpoint) as calls:
+        assert await calls.score(REWARD_CALL, 1, boot_now() + 30.0) == "0.7"
 
     assert len(endpoint.heads) == 7
 
 
-async def test_a_call_waits_for_its_route_to_come_back() -> None:
-    # An operator moves the route away and back while a text waits for its score.
+async def test_call_waits_until_its_route_is_restored() -> None:
+    # An operator removes the route and restores it while a text waits for its score.
     async with (
-        scripted(lambda head: [GOOD]) as endpoint,
-        calls_to(endpoint, index=table()) as calls,
+        scripted(lambda head: [SCORED_RESPONSE]) as endpoint,
+        calls_to(endpoint, index=route_index_of()) as calls,
     ):
-        scoring = asyncio.create_task(calls.score(CALL, 3, boot_now() + 30.0))
+        scoring = asyncio.create_task(calls.score(REWARD_CALL, 3, boot_now() + 30.0))
         while not calls._counters.count_by_name.get("reward_call.no_route"):
             await asyncio.sleep(0.01)
         assert not endpoint.heads
-        calls.view.index = table(LEDGER)
+        calls.view.index = route_index_of(LEDGER_ROUTE)
 
         assert await scoring == "0.7"
 
 
-async def test_the_end_of_the_item_ends_its_call() -> None:
-    async with scripted(lambda head: [FULL]) as endpoint, calls_to(endpoint) as calls:
-        scored = await calls.score(CALL, 3, boot_now() + 0.3)
+async def test_call_ends_at_the_deadline_of_its_item() -> None:
+    async with scripted(lambda head: [REJECTED_RESPONSE]) as endpoint, calls_to(endpoint) as calls:
+        scored = await calls.score(REWARD_CALL, 3, boot_now() + 0.3)
 
-    assert scored == Unscored("broken", 0)
+    assert scored == ScoringFailure("broken", 0)
 
 
 async def test_endpoints_are_told_one_end_at_each_sending() -> None:
-    # Told a fresh span each time, an endpoint would work on a call for longer than its item lives.
-    async with scripted(lambda head: [FULL]) as endpoint, calls_to(endpoint) as calls:
-        await calls.score(CALL, 3, boot_now() + 0.5)
+    # If each send gave the endpoint the full time limit again, the endpoint would go on with a call
+    # after the deadline of its item.
+    async with scripted(lambda head: [REJECTED_RESPONSE]) as endpoint, calls_to(endpoint) as calls:
+        await calls.score(REWARD_CALL, 3, boot_now() + 0.5)
 
-    told = [
+    remaining_s = [
         float(line.partition(":")[2])
         for head in endpoint.heads
         for line in head.split("\r\n")
         if line.startswith("Left:")
     ]
-    assert len(told) > 2
-    assert told == sorted(told, reverse=True)
+    assert len(remaining_s) > 2
+    assert remaining_s == sorted(remaining_s, reverse=True)
 
 
-async def test_a_call_that_is_stopped_gives_its_room_to_the_next() -> None:
-    # A job ends while its calls wait for room. Kept by calls that nobody waits for, the window
-    # would be closed to all later ones.
+async def test_cancelled_calls_free_their_slots() -> None:
+    # A job ends while its calls hold or wait for slots. If the cancelled calls kept their slots, no
+    # later call of the route could start.
     async with scripted(lambda head: [30.0]) as endpoint, calls_to(endpoint) as calls:
-        tasks = [asyncio.create_task(calls.score(CALL, 3, boot_now() + 30.0)) for _ in range(20)]
+        tasks = [
+            asyncio.create_task(calls.score(REWARD_CALL, 3, boot_now() + 30.0)) for _ in range(20)
+        ]
         window = None
         while window is None or window.under_way < int(window.limit):
             await asyncio.sleep(0.01)
@@ -147,4 +161,4 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     assert window.under_way == 0
-    assert not calls._waiting_by_route["ledger-sync"]
+    assert not calls._queue_by_route["ledger-sync"]
--- a/tests/unit/gateway/test_runner.py
+++ b/tests/unit/gateway/test_runner.py
@@ -13,9 +13,9 @@
     return Member(f"10.0.2.{name}:1", name, "derby", "disk", empty)
 
 
-def test_spare_stores_are_not_asked_for_work() -> None:
-    # After the loss of the jobs' leader a runner asks one store after the other, and those without
-    # a replica cannot tell who leads.
+def test_stores_without_a_replica_are_not_asked_for_work() -> None:
+    # After the loss of the leader of the jobs log, a runner calls one store after another. Calls to
+    # stores without a replica are wasted, because these do not know the leader.
     founders = (store("1", True), store("2", True))
     stores = (store("1", False), *(store(str(number), True) for number in range(5, 25)))
     runner = Runner.from_config(SETTINGS)
