--- a/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
@@ -17,8 +17,8 @@
 MAX_WINDOWS = 24
 
 
-# Pause after a report that the directory's leader did not acknowledge with a pause of its own.
-# Until the next report, the counts are sent with the renewals only.
+# Pause after a report that the directory's leader did not acknowledge; an acknowledgement gives the
+# pause itself. During the pause, the counts are sent with the renewals only.
 DEFAULT_PAUSE_S = 1.0
 
 
