--- a/tests/unit/platform/conftest.py
+++ b/tests/unit/platform/conftest.py
@@ -1,4 +1,4 @@
-"""Puts the folder of the platform's adapter on the path; it is no installed package."""
+"""Adds the folder of the platform's adapter to `sys.path`, since it is not an installed package."""
 
 from __future__ import annotations
 
--- a/tests/unit/platform/test_batch_jobs.py
+++ b/tests/unit/platform/test_batch_jobs.py
@@ -27,7 +27,7 @@
 }
 
 
-def read(*scorers: object) -> Job | tuple:
+def read_scored_job(*scorers: object) -> Job | tuple:
     items = [
         {"id": f"i{n}", "path": "/notes/1", "body": "", "scorer": scorer}
         for n, scorer in enumerate(scorers)
@@ -35,16 +35,16 @@
     return read_job("j", "forge", "scorer", ROUTE, json.dumps({"items": items}).encode())
 
 
-def test_an_item_may_name_its_reward_call() -> None:
-    job = read(SCORER, None)
+def test_reward_call_of_an_item_is_optional() -> None:
+    job = read_scored_job(SCORER, None)
 
     assert job.items[0].reward == RewardCall("r1", "ledger.example", "/sync/1", b"note")
     assert job.items[1].reward is None
 
 
-def test_a_bad_reward_call_refuses_the_whole_job_and_names_its_place() -> None:
-    # All faults are told at once, so that a trainer's author mends them in one go.
-    findings = read(
+def test_invalid_reward_call_rejects_the_complete_job_and_names_the_field() -> None:
+    # All faults are reported together, so that a trainer's author can fix them at the same time.
+    findings = read_scored_job(
         SCORER, {**SCORER, "path": "sync"}, {**SCORER, "body": "%"}, {**SCORER, "id": ""}
     )
     assert [finding.place for finding in findings] == [
@@ -53,21 +53,21 @@
         "items[3].scorer",
     ]
 
-    (finding,) = read({"id": "r1", "host": "ledger.example"})
+    (finding,) = read_scored_job({"id": "r1", "host": "ledger.example"})
     assert "items[0].scorer" in finding.message
 
 
 def test_a_reward_call_carries_neither_key_nor_account() -> None:
-    wire = EngineWire()
-    request = wire.reward_request(read(SCORER).items[0].reward, 7.0)
+    engine_wire = EngineWire()
+    request = engine_wire.reward_request(read_scored_job(SCORER).items[0].reward, 7.0)
 
     assert (request.method, request.target, request.body) == ("POST", "/sync/1", b"note")
     assert request.headers == (("Host", "ledger.example"), ("Attempt-Id", "r1"))
     assert request.client_account == ""
-    assert wire.score((("Server-Stamp", "3e1b"),)) == "3e1b"
+    assert engine_wire.score((("Server-Stamp", "3e1b"),)) == "3e1b"
 
 
-def test_a_score_stands_with_its_result_alone() -> None:
+def test_only_scored_results_are_written_with_a_score() -> None:
     results = (
         ItemResult("i0", COMPLETED, "text", (1,), "3e1b"),
         ItemResult("i1", COMPLETED, "text", (1,)),
--- a/tests/unit/platform/test_configuration.py
+++ b/tests/unit/platform/test_configuration.py
@@ -59,12 +59,12 @@
 }
 
 
-def read(**changes):
+def read_changed(**changes):
     return read_configuration(json.dumps({**DOCUMENT, **changes}).encode())
 
 
-def test_a_document_becomes_a_route_table() -> None:
-    table = read()
+def test_configuration_is_translated_into_a_route_table() -> None:
+    table = read_changed()
 
     lookup, score, pay = table.routes
     assert table.version == 7
@@ -82,12 +82,12 @@
 
 
 def test_what_the_operator_may_not_send_is_refused() -> None:
-    # An operator's file is cut short on its way, or names a service that was renamed. Taken over,
-    # it would drop the routes of half of the callers.
+    # A configuration is truncated in transit, or refers to a service that was renamed. If it were
+    # accepted, the routes of half of the callers would be missing.
     route = DOCUMENT["routes"][0]
-    whole = json.dumps(DOCUMENT).encode()
-    refused = [
-        whole[: len(whole) // 2],
+    complete = json.dumps(DOCUMENT).encode()
+    invalid_documents = [
+        complete[: len(complete) // 2],
         b"",
         json.dumps({**DOCUMENT, "version": "7"}).encode(),
         json.dumps({**DOCUMENT, "routes": [{**route, "timeout_ms": 0}]}).encode(),
@@ -97,5 +97,5 @@
             {**DOCUMENT, "tenants": [*DOCUMENT["tenants"], {"name": "x", "api_keys": ["k1"]}]}
         ).encode(),
     ]
-    for document in refused:
+    for document in invalid_documents:
         assert not isinstance(read_configuration(document), RouteTable), document[:80]
--- a/tests/unit/platform/test_day_reports.py
+++ b/tests/unit/platform/test_day_reports.py
@@ -31,7 +31,7 @@
     return path
 
 
-def test_what_a_day_lost_adds_up(report) -> None:
+def test_losses_add_up_to_the_parts_and_prices(report) -> None:
     lost = losses(read_report(report))
 
     assert lost["part: worst windows"] == pytest.approx(0.15)
@@ -40,14 +40,14 @@
     assert sum(lost.values()) == pytest.approx(0.15 + 0.07 + 0.08 + 0.0003)
 
 
-def test_a_window_names_the_disturbances_that_stood_then(report) -> None:
+def test_window_lists_the_disturbances_that_overlap_it(report) -> None:
     day = read_report(report)
 
-    assert [one.kind for one in day.during(day.windows[1])] == ["kill_all"]
-    assert [one.kind for one in day.during(day.windows[0])] == []
+    assert [event.kind for event in day.during(day.windows[1])] == ["kill_all"]
+    assert [event.kind for event in day.during(day.windows[0])] == []
 
 
-def test_the_tables_are_printed(report, capsys, monkeypatch, tmp_path) -> None:
+def test_main_prints_the_tables_and_draws_the_losses(report, capsys, monkeypatch, tmp_path) -> None:
     monkeypatch.setattr("bench._report.PLOTS", tmp_path)
     main((str(report),))
 
--- a/tests/unit/platform/test_deploy.py
+++ b/tests/unit/platform/test_deploy.py
@@ -9,37 +9,38 @@
 DEPLOY = Path(__file__).resolve().parents[3] / "deploy" / "system.toml"
 
 
-def roles() -> dict:
+def read_roles() -> dict:
     return tomllib.loads(DEPLOY.read_text())["roles"]
 
 
 @pytest.mark.parametrize("machines", [(2, 2, 1), (2, 1, 1, 1)])
 def test_control_outlives_as_many_lost_disks_as_the_largest_sites_name(machines) -> None:
-    # Two machines of control lose their disks at the same moment, right after a configuration was
-    # acknowledged. Where one machine in each of three data centres serves control, the third one
-    # is no majority: the configuration is gone, and no change is acknowledged any more.
+    # Two machines with control daemons lose their disks at the same moment, right after a
+    # configuration was acknowledged. If one machine in each of three data centres runs a control
+    # daemon, the remaining one is no majority: the configuration is permanently lost, and no
+    # further change is acknowledged.
     losses = 2
-    count = roles()["control"]["count"]
+    count = read_roles()["control"]["count"]
 
-    assert sum(min(count, there) for there in machines) >= 2 * losses + 1
+    assert sum(min(count, machine_count) for machine_count in machines) >= 2 * losses + 1
 
 
-def stores_used(machines: tuple[int, ...]) -> int:
-    """Stores that run the role, by the machines of each data centre."""
-    share = roles()["store"]["share"]
-    return sum(math.ceil(share * there) for there in machines)
+def count_stores(machines: tuple[int, ...]) -> int:
+    """Return the number of store daemons, given the number of machines in each data centre."""
+    share = read_roles()["store"]["share"]
+    return sum(math.ceil(share * machine_count) for machine_count in machines)
 
 
 @pytest.mark.parametrize(
     ("losses", "machines"),
     [(1, (1, 1, 1)), (2, (4, 5, 4)), (2, (4, 4, 3, 3)), (2, (6, 6, 6, 6, 6))],
 )
-def test_stores_outlive_the_losses_while_one_is_emptied(losses, machines) -> None:
-    # One store is taken away, and as many others lose their disks as are to be borne at once.
-    assert stores_used(machines) >= min(2 * losses + 2, sum(machines))
+def test_store_majority_survives_disk_losses_while_one_store_is_retired(losses, machines) -> None:
+    # One store is retired while as many others as the site must tolerate lose their disks.
+    assert count_stores(machines) >= min(2 * losses + 2, sum(machines))
 
 
-def test_a_store_that_is_added_takes_the_place_of_an_emptied_one() -> None:
-    # With one store in each data centre the log has no spare: it leaves one that is taken away
-    # only for one that came for it.
-    assert stores_used((2, 1, 1)) > stores_used((1, 1, 1))
+def test_added_store_can_replace_a_retired_one() -> None:
+    # With one store in each data centre the log has no spare member: a store that is retired leaves
+    # the log only after an added store has replaced it.
+    assert count_stores((2, 1, 1)) > count_stores((1, 1, 1))
--- a/tests/unit/platform/test_hostile_bodies.py
+++ b/tests/unit/platform/test_hostile_bodies.py
@@ -1,11 +1,11 @@
 """
-Bodies that no peer should send are refused, not failed on.
+Malformed and deeply nested request bodies are rejected and raise no unexpected exception.
 
-A body of a few kilobytes that nests an unknown field deeper than the interpreter's limit raised
-RecursionError where only DecodeError was expected. The operator's interface answered 500 to such a
-configuration, where an invalid one must be refused with 400, and the operator sent it again and
-again; a job or a heartbeat ended the same way. Evidence: each reader below raised RecursionError
-for 5,000 levels, none for 900.
+A body of a few kilobytes that nests an unknown field deeper than the interpreter's recursion limit
+raised RecursionError where only DecodeError was expected. The control API answered such a
+configuration with 500, while an invalid one must be rejected with 400, and the operator sent it
+again and again; jobs and heartbeats failed in the same way. Each reader below raised RecursionError
+at 5,000 levels and none did at 900.
 """
 
 from __future__ import annotations
@@ -41,24 +41,26 @@
 
 DEPTHS = (900, 5_000, 200_000)
 HEARTBEAT = {"service": "a", "address": "10.0.0.1:1", "state": "ready", "sequence": 1, "born": 1}
-# Processor time of one body; a deadline by the wall clock would also count waiting for a core.
-READ_WITHIN_S = 0.2
-SPOILED = st.binary(max_size=3) | st.sampled_from([b"-1", b"1e999", b"{"])
+# Limit on the CPU time for one body; a wall-clock limit would include the time waiting for a core.
+MAX_READ_CPU_S = 0.2
+CORRUPT_BYTES = st.binary(max_size=3) | st.sampled_from([b"-1", b"1e999", b"{"])
 
 
-def _route():
-    return next(one for one in read_configuration(_bytes(configuration(1))).routes if one.job)
+def _job_route():
+    return next(
+        route for route in read_configuration(_encode(configuration(1))).routes if route.job
+    )
 
 
-def _bytes(document: object) -> bytes:
+def _encode(document: object) -> bytes:
     return json.dumps(document).encode()
 
 
-def _job(data: bytes) -> object:
-    return read_job("j", "forge", "scorer", _route(), data)
+def _read_job(data: bytes) -> object:
+    return read_job("j", "forge", "scorer", _job_route(), data)
 
 
-def _version(data: bytes) -> object:
+def _read_version(data: bytes) -> object:
     try:
         return decode_json(data, VersionPut)
     except msgspec.DecodeError:
@@ -66,11 +68,11 @@
 
 
 READERS = {
-    "configuration": (read_configuration, _bytes(configuration(1)), (RouteTable, tuple)),
-    "job": (_job, _bytes(job(4, scored=True)), (Job, tuple)),
-    "heartbeat": (lambda data: read_heartbeat("i", data), _bytes(HEARTBEAT), (EndpointRecord,)),
-    "departure": (lambda data: read_departure("i", data), _bytes({"born": 1}), (Depart,)),
-    "version": (_version, _bytes({"model": "m", "version": 2}), (VersionPut,)),
+    "configuration": (read_configuration, _encode(configuration(1)), (RouteTable, tuple)),
+    "job": (_read_job, _encode(job(4, scored=True)), (Job, tuple)),
+    "heartbeat": (lambda data: read_heartbeat("i", data), _encode(HEARTBEAT), (EndpointRecord,)),
+    "departure": (lambda data: read_departure("i", data), _encode({"born": 1}), (Depart,)),
+    "version": (_read_version, _encode({"model": "m", "version": 2}), (VersionPut,)),
     "announcement": (parse_announcement, b"{}", (EndpointRecord, tuple)),
     "body": (lambda data: parse_body(data, VersionPut), b"{}", (VersionPut, Refusal)),
     "line": (parse_line, b"{}", (EngineLine,)),
@@ -79,23 +81,23 @@
 }
 
 
-def assert_read(name: str, data: bytes) -> None:
-    """A reader answers with a value or with what is wrong."""
-    reader, _, kinds = READERS[name]
+def assert_value_or_findings(name: str, data: bytes) -> None:
+    """Check that a reader returns a value of its types, None, or a non-empty tuple of findings."""
+    reader, _, types = READERS[name]
     value = reader(data)
-    assert value is None or isinstance(value, kinds)
+    assert value is None or isinstance(value, types)
     if isinstance(value, tuple):
         assert value
-        assert all(isinstance(one, Finding) for one in value)
+        assert all(isinstance(finding, Finding) for finding in value)
 
 
 @pytest.mark.parametrize("depth", DEPTHS)
 @pytest.mark.parametrize("name", READERS)
 def test_a_body_that_nests_deeply_is_refused(name, depth) -> None:
     nested = b"[" * depth + b"]" * depth
-    assert_read(name, nested)
-    assert_read(name, b'{"unknown":' + nested + b"}")
-    assert_read(name, b'{"unknown":' + b'{"a":' * depth + b"1" + b"}" * depth + b"}")
+    assert_value_or_findings(name, nested)
+    assert_value_or_findings(name, b'{"unknown":' + nested + b"}")
+    assert_value_or_findings(name, b'{"unknown":' + b'{"a":' * depth + b"1" + b"}" * depth + b"}")
 
 
 @pytest.mark.parametrize("name", READERS)
@@ -106,7 +108,7 @@
     for _ in range(data.draw(st.integers(1, 4))):
         begin = data.draw(st.integers(0, len(body)))
         end = min(len(body), begin + data.draw(st.integers(0, 3)))
-        body[begin:end] = data.draw(SPOILED)
-    began_s = time.thread_time()
-    assert_read(name, bytes(body))
-    assert time.thread_time() - began_s < READ_WITHIN_S
+        body[begin:end] = data.draw(CORRUPT_BYTES)
+    started_s = time.thread_time()
+    assert_value_or_findings(name, bytes(body))
+    assert time.thread_time() - started_s < MAX_READ_CPU_S
--- a/tests/unit/platform/test_settings.py
+++ b/tests/unit/platform/test_settings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ibisspring_platform.settings import VARIABLE, read_settings
+from ibisspring_platform.settings import SETTINGS_FILE_VARIABLE, read_settings
 
 REPOSITORY = Path(__file__).resolve().parents[3]
 BOOT = {
@@ -30,16 +30,16 @@
 
 @pytest.fixture
 def read(tmp_path, monkeypatch):
-    def with_file(boot: object):
+    def read_boot(boot: object):
         path = tmp_path / "boot.json"
         path.write_text(boot if isinstance(boot, str) else json.dumps(boot))
-        monkeypatch.setenv(VARIABLE, str(path))
+        monkeypatch.setenv(SETTINGS_FILE_VARIABLE, str(path))
         return read_settings()
 
-    return with_file
+    return read_boot
 
 
-def test_a_file_becomes_settings(read) -> None:
+def test_settings_file_is_translated_into_settings(read) -> None:
     settings = read(BOOT)
 
     assert settings.daemon == "core-derby-1"
@@ -62,16 +62,16 @@
     assert all("boot.json" in str(finding) for finding in findings)
 
 
-def test_a_file_that_cannot_be_read_is_told_with_its_place(read, monkeypatch) -> None:
+def test_unreadable_settings_file_is_reported_with_its_location(read, monkeypatch) -> None:
     assert "seeds" in str(read({**BOOT, "seeds": "10.1.0.40:8169"})[0])
     assert len(read("{")) == 1
-    monkeypatch.setenv(VARIABLE, "/nowhere/boot.json")
+    monkeypatch.setenv(SETTINGS_FILE_VARIABLE, "/nowhere/boot.json")
     assert "cannot be read" in str(read_settings()[0])
-    monkeypatch.delenv(VARIABLE)
-    assert VARIABLE in str(read_settings()[0])
+    monkeypatch.delenv(SETTINGS_FILE_VARIABLE)
+    assert SETTINGS_FILE_VARIABLE in str(read_settings()[0])
 
 
-def test_a_daemon_that_serves_callers_needs_their_addresses(read) -> None:
+def test_entry_requires_frontend_and_readiness_addresses(read) -> None:
     findings = read({**BOOT, "serves": ["edge"], "data_dir": None, "listen": {}})
 
     assert [finding.message.split()[0] for finding in findings] == [
@@ -80,20 +80,20 @@
     ]
 
 
-def test_control_and_a_store_on_one_vm_share_no_port_and_no_folder(read) -> None:
-    # Both processes get the same address, ports and disk; the second one would find its port taken
-    # or write into the first one's log.
-    store = {**BOOT, "role": "store", "serves": ["storage"], "listen": {}}
+def test_control_and_store_on_one_vm_use_different_ports_and_folders(read) -> None:
+    # Both processes get the same IP, ports and disk. Without different ports and folders, the
+    # second one could not listen, or would write to the log of the first.
+    store_boot = {**BOOT, "role": "store", "serves": ["storage"], "listen": {}}
 
-    one, other = read(BOOT), read(store)
+    control, store = read(BOOT), read(store_boot)
 
-    assert other.peer_address == "10.1.0.40:7641"
-    assert other.seeds == one.seeds
-    assert one.metrics_listen != other.metrics_listen
-    assert one.data_folder != other.data_folder
+    assert store.peer_address == "10.1.0.40:7641"
+    assert store.seeds == control.seeds
+    assert control.metrics_listen != store.metrics_listen
+    assert control.data_folder != store.data_folder
 
 
-def test_the_deploy_file_names_the_ports_at_which_metrics_are_served(read) -> None:
+def test_deploy_file_gives_the_ports_at_which_metrics_are_served(read) -> None:
     deploy = tomllib.loads((REPOSITORY / "deploy" / "system.toml").read_text())
     boot = {**BOOT, "listen": {**BOOT["listen"], "frontend": "10.1.0.40:1", "readiness": "x:2"}}
 
@@ -103,12 +103,13 @@
         assert role["metrics"] == f"{port}/metrics"
 
 
-def test_control_stands_on_no_vm_that_an_operator_may_empty() -> None:
+def test_control_runs_on_no_vm_that_an_operator_may_retire() -> None:
     """
-    An operator empties a store; its VM goes, and other stores lose their disks right after.
+    An operator retires a store, whose VM is removed; then other stores lose their disks.
 
-    With a control replica on each of these VMs a majority of that log was lost too: the newest
-    configuration, acknowledged, could not be read back, and callers were refused to the end.
+    When a control replica ran on each of these VMs, the majority of the control log was lost too:
+    the newest acknowledged configuration could not be read back, and all later requests of callers
+    were refused.
     """
     deploy = tomllib.loads((REPOSITORY / "deploy" / "system.toml").read_text())
     class_by_served = {
