--- a/packages/ibisspring-consensus/src/ibisspring_consensus/__init__.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/__init__.py
@@ -1,4 +1,4 @@
-"""Our own consensus: a replicated log of commands, in the manner of Raft."""
+"""Consensus: a replicated log of commands, based on Raft."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
@@ -1,4 +1,4 @@
-"""What one replica is told about itself and its surroundings."""
+"""Configuration of one replica."""
 
 from __future__ import annotations
 
@@ -21,17 +21,18 @@
 @dataclass(frozen=True)
 class ReplicaConfig:
     """
-    One replica of one replicated log.
+    Configuration of one replica of one replicated log.
 
     :param daemon: the daemon's id.
-    :param folder: where the replica keeps its files; made at the first use.
+    :param folder: folder of the replica's files; created at its first use.
     :param core: times and sizes.
-    :param address_of: IP:port by daemon id; None for a daemon that cannot be reached.
-    :param founders: daemons that found the cluster together when an operator asks for it.
-    :param snapshot_every: log entries between snapshots.
+    :param address_of: returns IP:port for a daemon id; None for a daemon without a known address.
+    :param founders: ids of the daemons that form the cluster when an operator bootstraps it.
+    :param snapshot_every: number of log entries between snapshots.
     :param state: name of the service that is the state machine.
-    :param process_started_s: when this process started, on the lease clock; None for now. Whatever
-        the process before it promised was promised by then.
+    :param process_started_s: start of this process on the lease clock; None for the time at which
+        the service starts. The vote-withholding time after a restart counts from it, since the
+        previous process cannot have acknowledged a heartbeat later.
     """
 
     daemon: str
@@ -46,7 +47,7 @@
     @classmethod
     def from_config(cls, settings: Settings) -> ReplicaConfig:
         """
-        Take a control daemon's part of its settings.
+        Build the configuration of a control daemon from its settings.
 
         :param settings: checked settings of a daemon with the control role.
         :return: the replica's configuration.
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
@@ -1,9 +1,9 @@
 """
-The consensus core: a pure state machine of one replica.
+The consensus core: the Raft state machine of one replica, without input or output.
 
-It has no network, clock, disk or task of its own: an event goes in with the time at which it
-happened, effects come out and are carried out in their order. What must last is asked for by
-`Persist`; whatever promises it is sent only after `Persisted` came back.
+The core uses no network, clock, disk or task. `Core.step` receives an event with its time and
+returns effects, which the caller carries out in order. `Persist` asks the caller to sync state to
+disk; messages that depend on that state are sent only after the event `Persisted` reports the sync.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     SnapshotTaken,
     Tick,
 )
-from ibisspring_consensus.lease import begin_read, lease_until, settle_reads
+from ibisspring_consensus.lease import begin_read, complete_reads, lease_until
 from ibisspring_consensus.log import Log
 from ibisspring_consensus.messages import (
     AppendReply,
@@ -49,7 +49,7 @@
 if TYPE_CHECKING:
     import random
 
-_ON_MESSAGE = {
+_HANDLER_BY_MESSAGE_TYPE = {
     VoteRequest: election.on_vote_request,
     VoteReply: election.on_vote_reply,
     TimeoutNow: election.on_timeout_now,
@@ -63,9 +63,13 @@
 @dataclass(frozen=True)
 class StoredState:
     """
-    What a disk gives back at the start.
+    The state of a replica as read from disk when its process starts.
 
-    :param base_index: entries begin after it.
+    :param hard: term and vote.
+    :param snapshot: newest snapshot.
+    :param base_index: index before the first stored entry.
+    :param base_term: term of the entry at `base_index`.
+    :param entries: entries after `base_index`, without gaps.
     """
 
     hard: HardState
@@ -76,7 +80,7 @@
 
 
 class Core:
-    """The state of one replica and the one way to change it."""
+    """The state of one replica; `step` is the only way to change it."""
 
     def __init__(self, state: CoreState) -> None:
         self.state = state
@@ -91,10 +95,14 @@
         now: float,
     ) -> Core:
         """
-        Start a replica from what its disk holds.
-
-        :param now: when the process started, in seconds on the lease clock; counted from later,
-            a whole system that starts again would elect its leader by as much later.
+        Restore a replica from the state on its disk.
+
+        :param replica: id of this replica.
+        :param config: times and sizes.
+        :param stored: state as read from disk.
+        :param randomness: source of the random election timeouts.
+        :param now: start of the process, in seconds on the lease clock. With a later time, a
+            cluster whose processes all restart would elect its leader later by the difference.
         :return: the core, as a follower.
         """
         log = Log.from_entries(stored.snapshot, stored.base_index, stored.base_term, stored.entries)
@@ -107,7 +115,7 @@
             commit_index=stored.snapshot.index,
             now=now,
             started_at=now,
-            election_at=now,
+            election_due_at=now,
             synced_index=log.last_index,
         )
         reset_election(state)
@@ -115,17 +123,18 @@
 
     def step(self, event: Event, now: float) -> tuple[Effect, ...]:
         """
-        Take in one event.
+        Process one event.
 
-        :param event: what happened.
-        :param now: when, in seconds on the lease clock; never runs backwards.
+        :param event: the event.
+        :param now: time of the event in seconds on the lease clock; an earlier time than that of
+            the previous event is replaced by the latter.
         :return: effects, to be carried out in this order.
         """
         state = self.state
         state.now = max(state.now, now)
         self._handle(event)
         replication.commit(state)
-        settle_reads(state)
+        complete_reads(state)
         effects = tuple(state.effects)
         state.effects.clear()
         return effects
@@ -138,17 +147,17 @@
                 replication.on_tick(state)
                 membership.on_tick(state)
             case Received():
-                self._receive(event)
+                self._on_received(event)
             case Persisted():
-                self._persisted(event.sequence)
+                self._on_persisted(event.sequence)
             case Propose():
                 replication.on_propose(state, event)
             case ConfirmRead():
                 if begin_read(state, event):
                     replication.broadcast(state)
             case SnapshotTaken():
-                # One that the leader sent may have overtaken it; an older one in its place would
-                # put older members in force.
+                # While this snapshot was being written, a newer one from the leader may have been
+                # installed. Going back to the older snapshot would put its older members in force.
                 if event.meta.index > state.log.snapshot.index:
                     state.log.compact(event.meta, event.keep_from)
             case ReplicaSeen():
@@ -160,27 +169,28 @@
             case Resign():
                 replication.on_resign(state)
 
-    def _receive(self, event: Received) -> None:
-        # A message to an earlier disk of this daemon is not for this replica: answered, it would
-        # let a wiped voter vote a second time in a term, or count for entries that it lost.
+    def _on_received(self, event: Received) -> None:
+        # Ignore messages addressed to a previous disk of this daemon. If this replica answered
+        # them, a wiped voter could vote twice in one term, or acknowledge entries that it lost with
+        # the disk.
         if event.target != self.state.replica:
             return
-        self._deliver(event.sender, event.message)
+        self._handle_message(event.sender, event.message)
 
-    def _deliver(self, sender: ReplicaId, message: Message) -> None:
+    def _handle_message(self, sender: ReplicaId, message: Message) -> None:
         was_leader = self.state.role == LEADER
-        _ON_MESSAGE[type(message)](self.state, sender, message)
+        _HANDLER_BY_MESSAGE_TYPE[type(message)](self.state, sender, message)
         if self.state.role == LEADER and not was_leader:
             replication.broadcast(self.state)
 
-    def _persisted(self, sequence: int) -> None:
+    def _on_persisted(self, sequence: int) -> None:
         state = self.state
         while state.pending and state.pending[0].sequence <= sequence:
             pending = state.pending.pop(0)
             state.synced_index = max(state.synced_index, pending.last_index)
             for target, message in pending.messages:
                 if target == state.replica:
-                    self._deliver(target, message)
+                    self._handle_message(target, message)
                     continue
                 state.effects.append(Send(target, message))
 
@@ -202,17 +212,17 @@
 
     @property
     def cluster(self) -> str:
-        """Id of the cluster whose log this replica holds; empty for none."""
+        """Id of the cluster whose log this replica holds; empty if it belongs to none."""
         return self.state.log.members.cluster
 
     @property
     def is_empty(self) -> bool:
-        """Whether this replica never took part in a cluster."""
+        """Whether this replica has never taken part in a cluster."""
         return not self.state.hard.term and not self.state.log.last_index
 
     def lease_until(self) -> float:
         """
-        Find the end of this replica's lease as leader.
+        Return the end of this replica's leader lease.
 
         :return: seconds on the lease clock; 0.0 without a lease.
         """
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/election.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes and who may give them."""
+"""Elections: pre-votes, votes and the rules for granting them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     VoteReply,
     VoteRequest,
 )
-from ibisspring_consensus.quorum import counts, is_quorum
+from ibisspring_consensus.quorum import is_quorum, is_voter
 from ibisspring_consensus.state import (
     CANDIDATE,
     FOLLOWER,
@@ -21,7 +21,7 @@
     CoreState,
     Progress,
     become_follower,
-    others,
+    other_replicas,
     persist,
     reset_election,
     send,
@@ -30,11 +30,11 @@
 
 
 def on_tick(state: CoreState) -> None:
-    """Campaign where the leader was silent for too long."""
-    if state.role == LEADER or state.now < state.election_at:
+    """Start a pre-vote when the election timeout has passed without contact from a leader."""
+    if state.role == LEADER or state.now < state.election_due_at:
         return
     reset_election(state)
-    if not counts(state.log.members, state.replica):
+    if not is_voter(state.log.members, state.replica):
         return
     if state.role == CANDIDATE:
         become_follower(state, state.hard.term, None, "no majority")
@@ -44,23 +44,23 @@
 
 def begin_pre_vote(state: CoreState) -> None:
     """
-    Ask whether a candidacy would succeed, without a new term.
+    Ask the voters whether an election would succeed, without starting a new term.
 
-    A VM that comes back from a long cut would otherwise bring a term that rose with each vain
-    candidacy, and the healthy leader would have to step down for it.
+    A VM that reconnects after a long partition would otherwise bring a term that rose with each
+    failed candidacy, and the healthy leader would have to step down because of it.
     """
     state.pre_votes = {state.replica}
     if is_quorum(state.log.members, state.pre_votes):
         campaign(state, transferred=False)
         return
-    _ask(state, state.hard.term + 1, pre=True)
+    _request_votes(state, state.hard.term + 1, pre=True)
 
 
 def campaign(state: CoreState, transferred: bool) -> None:
     """
-    Become a candidate in a new term.
+    Become a candidate in a new term and request votes.
 
-    :param transferred: the old leader gave up its lease in favour of this replica.
+    :param transferred: whether the previous leader resigned its lease in favour of this replica.
     """
     state.role = CANDIDATE
     state.leader = None
@@ -69,56 +69,63 @@
     reset_election(state)
     term = state.hard.term + 1
     persist(state, HardState(term=term, voted_for=state.replica))
-    # The own vote counts once it is synced, like any other.
+    # Like any other vote, the candidate's own vote is counted only after it is synced.
     own = VoteReply(term=term, request_term=term, granted=True)
     send_after_sync(state, state.replica, own)
-    _ask(state, term, pre=False, transferred=transferred)
+    _request_votes(state, term, pre=False, transferred=transferred)
 
 
-def _ask(state: CoreState, term: int, pre: bool, transferred: bool = False) -> None:
+def _request_votes(state: CoreState, term: int, pre: bool, transferred: bool = False) -> None:
     request = VoteRequest(term, state.log.last_index, state.log.last_term, pre, transferred)
-    for voter in others(state.log.members, state.replica):
-        if not counts(state.log.members, voter):
+    for voter in other_replicas(state.log.members, state.replica):
+        if not is_voter(state.log.members, voter):
             continue
         send_after_sync(state, voter, request)
 
 
-def heard_lately(state: CoreState) -> bool:
+def must_withhold_vote(state: CoreState) -> bool:
     """
-    Tell whether this replica's answer to a leader may still carry that leader's lease.
+    Return whether this replica must not vote because it may still support a leader's lease.
 
-    A follower that answered a heartbeat helps no other candidate for one election timeout, which is
-    longer than the lease. A replica that restarted forgot whether it answered one, so it waits the
-    same time from its start.
+    A follower that acknowledged a heartbeat grants no vote to other candidates for one election
+    timeout, which is longer than the lease. A restarted replica does not know whether it
+    acknowledged a heartbeat, so it waits for the same time after its start.
     """
     if state.role == LEADER:
         return True
     timeout = state.config.election_timeout_s
     if state.now < state.started_at + timeout:
         return True
-    return state.heard_leader_at is not None and state.now < state.heard_leader_at + timeout
+    return state.leader_contact_at is not None and state.now < state.leader_contact_at + timeout
 
 
 def log_is_current(state: CoreState, request: VoteRequest) -> bool:
-    """Tell whether the candidate's log holds all that this replica's may have committed."""
+    """
+    Return whether the candidate's log is at least as up to date as this replica's log.
+
+    The candidate then holds every entry of this replica that may be committed.
+    """
     return (request.last_term, request.last_index) >= (state.log.last_term, state.log.last_index)
 
 
 def on_vote_request(state: CoreState, sender: ReplicaId, request: VoteRequest) -> None:
-    """Answer a request for a vote or a pre-vote."""
-    sticky = heard_lately(state) and not request.transfer
+    """Answer a vote request or a pre-vote request."""
+    must_withhold = must_withhold_vote(state) and not request.transfer
     if request.pre:
-        granted = not sticky and request.term > state.hard.term and log_is_current(state, request)
+        granted = (
+            not must_withhold and request.term > state.hard.term and log_is_current(state, request)
+        )
         send(state, sender, VoteReply(state.hard.term, request.term, granted, pre=True))
         return
-    # The term is left alone as well: taking it over would end the leader's term in mid-lease.
-    if sticky or request.term < state.hard.term:
+    # A withheld vote must not adopt the newer term either: that would end the current leader's term
+    # while its lease is valid.
+    if must_withhold or request.term < state.hard.term:
         send(state, sender, VoteReply(state.hard.term, request.term, granted=False))
         return
     if request.term > state.hard.term:
         become_follower(state, request.term, None, "a newer term")
-    free = state.hard.voted_for in (None, sender)
-    granted = free and state.role == FOLLOWER and log_is_current(state, request)
+    vote_available = state.hard.voted_for in (None, sender)
+    granted = vote_available and state.role == FOLLOWER and log_is_current(state, request)
     if granted and state.hard.voted_for is None:
         persist(state, HardState(state.hard.term, sender))
         reset_election(state)
@@ -126,11 +133,11 @@
 
 
 def on_vote_reply(state: CoreState, sender: ReplicaId, reply: VoteReply) -> None:
-    """Count a vote or a pre-vote."""
+    """Count a granted vote or pre-vote; with a majority, campaign or become leader."""
     if reply.term > state.hard.term and not reply.granted:
         become_follower(state, reply.term, None, "a newer term")
         return
-    if not reply.granted or not counts(state.log.members, sender):
+    if not reply.granted or not is_voter(state.log.members, sender):
         return
     if reply.pre:
         _count_pre_vote(state, sender, reply)
@@ -139,22 +146,22 @@
         return
     state.votes.add(sender)
     if is_quorum(state.log.members, state.votes):
-        _lead(state)
+        _become_leader(state)
 
 
 def _count_pre_vote(state: CoreState, sender: ReplicaId, reply: VoteReply) -> None:
-    waiting = state.role == FOLLOWER and bool(state.pre_votes)
-    if not waiting or reply.request_term != state.hard.term + 1:
+    pre_vote_pending = state.role == FOLLOWER and bool(state.pre_votes)
+    if not pre_vote_pending or reply.request_term != state.hard.term + 1:
         return
     state.pre_votes.add(sender)
     if is_quorum(state.log.members, state.pre_votes):
         campaign(state, transferred=False)
 
 
-def _lead(state: CoreState) -> None:
+def _become_leader(state: CoreState) -> None:
     state.role = LEADER
     state.leader = state.replica
-    state.led_since = state.now
+    state.leader_since = state.now
     state.round = 0
     state.round_sent_at = {}
     state.reads = []
@@ -162,18 +169,21 @@
     next_index = state.log.last_index + 1
     state.progress_by_replica = {
         other: Progress(match_index=0, next_index=next_index)
-        for other in others(state.log.members, state.replica)
+        for other in other_replicas(state.log.members, state.replica)
     }
-    # Entries of earlier terms commit only under one of its own, so a leader appends one at once.
+    # A leader can commit entries of earlier terms only together with an entry of its own term, so
+    # it appends a no-op entry at once.
     state.noop_index = next_index
     persist(state, entries=(Entry(next_index, state.hard.term, NOOP),))
     begin_round(state)
 
 
 def on_timeout_now(state: CoreState, sender: ReplicaId, message: TimeoutNow) -> None:
-    """Campaign at once: the leader of this term gave up its lease."""
+    """
+    Campaign without waiting for the election timeout, because the leader of this term resigned.
+    """
     current = message.term == state.hard.term and sender == state.leader
-    if not current or not counts(state.log.members, state.replica):
+    if not current or not is_voter(state.log.members, state.replica):
         return
     campaign(state, transferred=True)
 
@@ -181,7 +191,7 @@
 __all__ = [
     "begin_pre_vote",
     "campaign",
-    "heard_lately",
+    "must_withhold_vote",
     "log_is_current",
     "on_tick",
     "on_timeout_now",
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/events.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/events.py
@@ -1,4 +1,4 @@
-"""What goes into the consensus core (events) and what comes out of it (effects)."""
+"""The events that the consensus core processes and the effects that it returns."""
 
 from __future__ import annotations
 
@@ -18,15 +18,18 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """Time went on."""
+    """The tick interval has passed; checks time-outs and sends due heartbeats."""
 
 
 @dataclass(frozen=True)
 class Received:
     """
-    A message came in.
+    A message arrived.
 
-    :param target: the replica it was meant for; another disk under the same daemon ignores it.
+    :param sender: the replica that sent it.
+    :param target: the replica to which it is addressed; the same daemon with another disk ignores
+        it.
+    :param message: the message.
     """
 
     sender: ReplicaId
@@ -46,7 +49,7 @@
     """
     Append commands to the log.
 
-    :param commands: pairs of a number that the caller chose and the command.
+    :param commands: pairs of a number assigned by the caller and the command.
     """
 
     commands: tuple[tuple[int, bytes], ...]
@@ -54,14 +57,23 @@
 
 @dataclass(frozen=True)
 class ConfirmRead:
-    """Ask a quorum whether this replica still leads."""
+    """
+    Confirm with a quorum that this replica is still the leader.
+
+    :param read: number assigned by the caller.
+    """
 
     read: int
 
 
 @dataclass(frozen=True)
 class SnapshotTaken:
-    """A snapshot of the state machine is synced; entries up to `keep_from` may go."""
+    """
+    A snapshot of the state machine is synced.
+
+    :param meta: the snapshot.
+    :param keep_from: index of the first entry to keep; earlier ones may be removed.
+    """
 
     meta: SnapshotMeta
     keep_from: int
@@ -70,8 +82,9 @@
 @dataclass(frozen=True)
 class ReplicaSeen:
     """
-    A daemon answered under this disk.
+    A daemon answered with this disk id.
 
+    :param replica: the daemon with its disk.
     :param cluster: the cluster that the disk belongs to; empty for none.
     """
 
@@ -81,7 +94,12 @@
 
 @dataclass(frozen=True)
 class Replace:
-    """An operator asks that `new` takes the place of `old`; None only adds."""
+    """
+    Replace a voter, requested by an operator or by the automatic repair.
+
+    :param new: the replica to add.
+    :param old: the voter to remove; None only adds `new`.
+    """
 
     new: ReplicaId
     old: ReplicaId | None
@@ -89,14 +107,14 @@
 
 @dataclass(frozen=True)
 class Bootstrap:
-    """Found a cluster of these voters; only on a replica without any state."""
+    """Bootstrap a cluster with these voters; ignored by a replica that already holds state."""
 
     members: Members
 
 
 @dataclass(frozen=True)
 class Resign:
-    """Give up leadership, to the best follower if there is one."""
+    """Step down as leader and ask the voter with the highest match index to campaign."""
 
 
 Event = (
@@ -116,10 +134,11 @@
 @dataclass(frozen=True)
 class Persist:
     """
-    Make this last, in the order of the sequence numbers, then answer `Persisted`.
+    Sync this change to disk, in the order of the sequence numbers, then report `Persisted`.
 
-    :param hard_state: to be replaced first; None leaves it.
-    :param truncate_from: entries from this index on are dropped; 0 drops none.
+    :param hard_state: term and vote to write before the log; None leaves them.
+    :param truncate_from: index of the first entry to remove; 0 removes none.
+    :param entries: entries to append after that.
     """
 
     sequence: int
@@ -131,9 +150,11 @@
 @dataclass(frozen=True)
 class InstallSnapshot:
     """
-    Make a received snapshot last, restore the state machine from it, then answer `Persisted`.
+    Sync a received snapshot, restore the state machine from it, then report `Persisted`.
 
-    :param entries: what the log holds after the snapshot.
+    :param meta: the snapshot.
+    :param data: the state machine's bytes.
+    :param entries: the log's entries after the snapshot.
     """
 
     sequence: int
@@ -144,7 +165,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send a message; losing it is allowed."""
+    """Send a message; it may be lost."""
 
     target: ReplicaId
     message: Message
@@ -152,14 +173,18 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """Committed entries, in order, each once."""
+    """Apply committed entries; each entry is passed once, in log order."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True)
 class Proposed:
-    """The command stands in the leader's log and may commit."""
+    """
+    The command was appended to the leader's log and may be committed.
+
+    :param number: number of the proposal.
+    """
 
     number: int
     index: int
@@ -168,14 +193,14 @@
 
 @dataclass(frozen=True)
 class ProposalRefused:
-    """The command never entered a log: this replica does not lead."""
+    """The command was not appended to any log, because this replica is not the leader."""
 
     number: int
 
 
 @dataclass(frozen=True)
 class ReadConfirmed:
-    """State up to `index`, which is applied, was current after the read began."""
+    """The state up to `index` was current after the read was requested; `index` is applied."""
 
     read: int
     index: int
@@ -183,21 +208,26 @@
 
 @dataclass(frozen=True)
 class ReadRefused:
-    """This replica does not lead any more."""
+    """The read was not confirmed, because this replica is not the leader."""
 
     read: int
 
 
 @dataclass(frozen=True)
 class BecameLeader:
-    """This replica leads from here on."""
+    """This replica became the leader of `term`."""
 
     term: int
 
 
 @dataclass(frozen=True)
 class SteppedDown:
-    """This replica leads no more."""
+    """
+    This replica is no longer the leader.
+
+    :param term: its term when it stepped down.
+    :param cause: reason, for the log.
+    """
 
     term: int
     cause: str
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
@@ -139,13 +139,13 @@
     :param descriptor: an open file.
     """
     left = memoryview(data)
-    with refusals():
+    with as_write_refused():
         while left:
             left = left[os.write(descriptor, left) :]
 
 
 @contextmanager
-def refusals() -> Iterator[None]:
+def as_write_refused() -> Iterator[None]:
     """Raise `WriteRefused` where what is done within is refused for now."""
     try:
         yield
@@ -162,7 +162,7 @@
 
     Raises `WriteRefused` where the folder can't be opened now; a sync that fails is another matter.
     """
-    with refusals():
+    with as_write_refused():
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -181,7 +181,7 @@
     """
     named = {path, path.parent}
     named.update(folder for folder in path.parents if not folder.exists())
-    with refusals():
+    with as_write_refused():
         path.mkdir(parents=True, exist_ok=True)
         for holder in {folder.parent for folder in named}:
             # Nothing of ours can have been made in a folder that is not ours to write to.
@@ -202,7 +202,7 @@
     temporary = path.with_name(path.name + ".tmp")
     # A full disk refuses the new name as well, or says so at the sync: the old file stands, and the
     # next try writes the new one whole.
-    with refusals():
+    with as_write_refused():
         with temporary.open("wb", buffering=0) as file:
             for piece in pieces:
                 write_all(file.fileno(), piece)
@@ -222,7 +222,7 @@
     "header_of",
     "make_folder",
     "read_records",
-    "refusals",
+    "as_write_refused",
     "replace_file",
     "sync_folder",
     "write_all",
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/following.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/following.py
@@ -25,30 +25,35 @@
 )
 
 
-def _hear_leader(state: CoreState, sender: ReplicaId, term: int) -> bool:
-    """Note that the leader of this or a newer term was heard; an older one is not."""
+def _accept_leader(state: CoreState, sender: ReplicaId, term: int) -> bool:
+    """
+    Follow the sender as the leader of its term and restart the election timeout.
+
+    :return: False for a term older than this replica's, without any change.
+    """
     if term < state.hard.term:
         return False
     become_follower(state, term, sender, "another leader")
-    state.heard_leader_at = state.now
+    state.leader_contact_at = state.now
     reset_election(state)
     return True
 
 
 def on_append_request(state: CoreState, sender: ReplicaId, request: AppendRequest) -> None:
-    """Take in a heartbeat and the entries with it."""
+    """Process a heartbeat and the entries in it."""
     previous = request.previous_index
-    if not _hear_leader(state, sender, request.term):
+    if not _accept_leader(state, sender, request.term):
         send(state, sender, AppendReply(state.hard.term, False, 0, previous, request.round))
         return
     if previous > state.log.base_index and state.log.term_at(previous) != request.previous_term:
         hint = _last_possible_match(state, previous)
         send(state, sender, AppendReply(request.term, False, hint, previous, request.round))
         return
-    _store(state, request)
+    _append_missing(state, request)
     match = previous + len(request.entries)
     commit_to(state, min(request.commit_index, match))
-    # The heartbeat itself is answered at once: behind a slow sync the leader's lease would lapse.
+    # Acknowledge the heartbeat before the new entries are synced: if the reply waited for a slow
+    # sync, the leader's lease would expire.
     synced = min(match, state.synced_index)
     send(state, sender, AppendReply(request.term, True, synced, previous, request.round))
     if match > synced:
@@ -57,7 +62,11 @@
 
 
 def _last_possible_match(state: CoreState, previous: int) -> int:
-    """Skip a whole term that differs, so that a long wrong tail costs few messages."""
+    """
+    Return the last index at or before `previous` that may match the leader's log.
+
+    A term that conflicts is skipped as a whole, so that a long conflicting tail costs few messages.
+    """
     if previous > state.log.last_index:
         return state.log.last_index
     wrong = state.log.term_at(previous)
@@ -67,8 +76,8 @@
     return index
 
 
-def _store(state: CoreState, request: AppendRequest) -> None:
-    """Append what is new; drop the own tail only where it differs from the leader's."""
+def _append_missing(state: CoreState, request: AppendRequest) -> None:
+    """Append the entries that this log lacks; truncate it only at an entry whose term conflicts."""
     for position, entry in enumerate(request.entries):
         if entry.index <= state.log.base_index:
             continue
@@ -81,8 +90,8 @@
 
 
 def on_snapshot_chunk(state: CoreState, sender: ReplicaId, chunk: SnapshotChunk) -> None:
-    """Gather a snapshot and put it in force once it is whole."""
-    if not _hear_leader(state, sender, chunk.term):
+    """Collect the chunks of a snapshot and install the snapshot once it is complete."""
+    if not _accept_leader(state, sender, chunk.term):
         send(state, sender, SnapshotReply(state.hard.term, 0, 0, False, chunk.round))
         return
     meta = chunk.meta
@@ -90,12 +99,12 @@
         reply = SnapshotReply(chunk.term, state.commit_index, meta.size, True, chunk.round)
         send_after_sync(state, sender, reply)
         return
-    if state.incoming_index != meta.index or chunk.offset == 0:
-        state.incoming = bytearray()
-        state.incoming_index = meta.index
-    if chunk.offset == len(state.incoming):
-        state.incoming += chunk.data
-    received = len(state.incoming)
+    if state.received_snapshot_index != meta.index or chunk.offset == 0:
+        state.received_snapshot_data = bytearray()
+        state.received_snapshot_index = meta.index
+    if chunk.offset == len(state.received_snapshot_data):
+        state.received_snapshot_data += chunk.data
+    received = len(state.received_snapshot_data)
     if received < meta.size:
         reply = SnapshotReply(chunk.term, meta.index, received, False, chunk.round)
         send(state, sender, reply)
@@ -105,9 +114,9 @@
 
 def _install(state: CoreState, sender: ReplicaId, chunk: SnapshotChunk) -> None:
     meta = chunk.meta
-    data = bytes(state.incoming)
-    state.incoming = bytearray()
-    state.incoming_index = 0
+    data = bytes(state.received_snapshot_data)
+    state.received_snapshot_data = bytearray()
+    state.received_snapshot_index = 0
     if zlib.crc32(data) != meta.checksum:
         send(state, sender, SnapshotReply(chunk.term, meta.index, 0, False, chunk.round))
         return
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/lease.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/lease.py
@@ -1,4 +1,4 @@
-"""Heartbeat rounds, the leader's lease and reads that a quorum confirms."""
+"""Heartbeat rounds, the leader lease and reads confirmed by a quorum (read index)."""
 
 from __future__ import annotations
 
@@ -14,79 +14,83 @@
 
 def begin_round(state: CoreState) -> None:
     """
-    Begin a heartbeat round at the present time.
+    Start a heartbeat round at the current time.
 
-    The time is taken before any message of the round is sent. Counted from the receipt of an
-    answer, a lease would outlast the followers' promise by the time that the answer was on its way:
-    two leaders in charge at once.
+    The start time is recorded before any message of the round is sent. If the lease were counted
+    from the receipt of a reply, it would outlast the time for which the followers withhold their
+    votes by the travel time of the reply: two leaders could hold a lease at once.
     """
     state.round += 1
     state.round_sent_at[state.round] = state.now
-    oldest = quorum_round(state)
+    oldest = quorum_acked_round(state)
     for number in [number for number in state.round_sent_at if number < oldest]:
         del state.round_sent_at[number]
 
 
-def quorum_round(state: CoreState) -> int:
+def quorum_acked_round(state: CoreState) -> int:
     """
-    Find the newest round that a quorum answered.
+    Return the newest heartbeat round that a quorum acknowledged.
 
-    :return: its number; 0 for none.
+    :return: number of the round; 0 if there is none.
     """
 
-    def answered(voter: ReplicaId) -> int:
+    def acked_round_of(voter: ReplicaId) -> int:
         if voter == state.replica:
             return state.round
         progress = state.progress_by_replica.get(voter)
         return progress.acked_round if progress else 0
 
-    return quorum_value(state.log.members, answered)
+    return quorum_value(state.log.members, acked_round_of)
 
 
-def quorum_answered_at(state: CoreState) -> float | None:
+def quorum_acked_at(state: CoreState) -> float | None:
     """
-    Find when the newest round that a quorum answered was begun.
+    Return the start time of the newest heartbeat round that a quorum acknowledged.
 
-    :return: its start; None before the first.
+    :return: seconds on the lease clock; None before the first such round.
     """
     if is_quorum(state.log.members, {state.replica}):
         return state.now
-    return state.round_sent_at.get(quorum_round(state))
+    return state.round_sent_at.get(quorum_acked_round(state))
 
 
 def lease_until(state: CoreState) -> float:
     """
-    Find the end of the leader's lease.
+    Return the end of the leader lease.
 
-    :return: end on the lease clock; 0.0 for a replica that does not lead.
+    :return: seconds on the lease clock; 0.0 if this replica is not the leader or has no lease.
     """
     if state.role != LEADER:
         return 0.0
-    answered = quorum_answered_at(state)
+    answered = quorum_acked_at(state)
     return 0.0 if answered is None else answered + state.config.leader_lease_s
 
 
 def begin_read(state: CoreState, event: ConfirmRead) -> bool:
     """
-    Begin a confirmed read.
+    Register a read and start the heartbeat round that has to confirm it.
 
-    :return: whether a round was begun and has to be sent.
+    :param event: the read; refused at once if this replica is not the leader.
+    :return: whether a round was started, which the caller then has to send.
     """
     if state.role != LEADER:
         state.effects.append(ReadRefused(event.read))
         return False
     begin_round(state)
-    # Before the first entry of its own term commits, a leader may not know all that is committed.
+    # A new leader knows the commit index of earlier terms only once an entry of its own term is
+    # committed.
     index = max(state.commit_index, state.noop_index)
     state.reads.append(PendingRead(event.read, state.round, index))
     return True
 
 
-def settle_reads(state: CoreState) -> None:
-    """Answer the reads whose round a quorum answered and whose index is applied."""
+def complete_reads(state: CoreState) -> None:
+    """
+    Confirm the reads whose round a quorum acknowledged and whose index is committed and applied.
+    """
     if not state.reads:
         return
-    confirmed = quorum_round(state)
+    confirmed = quorum_acked_round(state)
     waiting = []
     for read in state.reads:
         if read.round > confirmed or read.index > state.commit_index:
@@ -100,7 +104,7 @@
     "begin_read",
     "begin_round",
     "lease_until",
-    "quorum_answered_at",
-    "quorum_round",
-    "settle_reads",
+    "quorum_acked_at",
+    "quorum_acked_round",
+    "complete_reads",
 ]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/log.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of one replica in memory, after its snapshot."""
+"""The in-memory log of one replica, without the entries removed by log compaction."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 class Log:
     """
-    Entries after a base index, with the members that each entry puts in force.
+    Entries after a base index, and the members that their `members` entries put in force.
 
-    `snapshot` may stand later than the base: a tail of entries is kept for followers that lag a
-    little.
+    `snapshot.index` may be greater than `base_index`: some entries before the snapshot are kept for
+    followers that are only slightly behind.
     """
 
     def __init__(self, snapshot: SnapshotMeta, base_index: int, base_term: int) -> None:
@@ -26,8 +26,11 @@
         cls, snapshot: SnapshotMeta, base_index: int, base_term: int, entries: tuple[Entry, ...]
     ) -> Log:
         """
-        Build a log from what a disk holds.
+        Build a log from the state on disk.
 
+        :param snapshot: newest snapshot.
+        :param base_index: index before the first entry.
+        :param base_term: term of the entry at `base_index`.
         :param entries: all entries after `base_index`, without gaps.
         :return: the log.
         """
@@ -45,7 +48,7 @@
 
     @property
     def members(self) -> Members:
-        """Members in force, also when their entry is not committed yet."""
+        """Members in force, including those of an uncommitted entry."""
         return self._members[-1][1] if self._members else self.snapshot.members
 
     @property
@@ -54,24 +57,24 @@
 
     def members_at(self, index: int) -> Members:
         """
-        Find the members that were in force at an index.
+        Return the members that were in force at an index.
 
-        :param index: an index from the snapshot's on.
+        :param index: an index not before the snapshot's.
         :return: the members.
         """
         members = self.snapshot.members
-        for at, changed in self._members:
-            if at > index:
+        for changed_at, changed in self._members:
+            if changed_at > index:
                 break
             members = changed
         return members
 
     def term_at(self, index: int) -> int | None:
         """
-        Find the term of an entry.
+        Return the term of an entry.
 
-        :param index: position in the log.
-        :return: its term; None where the log does not hold it.
+        :param index: index of the entry.
+        :return: its term; None if the log does not hold the entry.
         """
         if index == self.base_index:
             return self.base_term
@@ -81,11 +84,12 @@
 
     def slice(self, first: int, last: int, max_bytes: int | None = None) -> tuple[Entry, ...]:
         """
-        Copy entries.
+        Return entries of the log.
 
         :param first: first index, after the base.
-        :param last: last index.
-        :param max_bytes: stop after this many bytes of data, but not before the first entry.
+        :param last: last index, included.
+        :param max_bytes: limit for the total size of the entries' data; the first entry is returned
+            even if it exceeds the limit. None means no limit.
         :return: the entries.
         """
         start = first - self.base_index - 1
@@ -101,21 +105,21 @@
 
     def append(self, entries: tuple[Entry, ...]) -> None:
         """
-        Append entries; a members entry is in force at once.
+        Append entries; the members of a `members` entry are in force at once.
 
         :param entries: the next entries, without gaps.
         """
         for entry in entries:
             self._entries.append(entry)
-            # Members up to the snapshot are in the snapshot already.
+            # The snapshot already contains the members of entries up to its index.
             if entry.kind == MEMBERS and entry.index > self.snapshot.index:
                 self._members.append((entry.index, decode(entry.data, Members)))
 
     def truncate(self, first: int) -> None:
         """
-        Drop entries; members that they put in force are undone.
+        Remove entries from the end; the members that they put in force are reverted.
 
-        :param first: first index that goes.
+        :param first: index of the first entry to remove.
         """
         del self._entries[first - self.base_index - 1 :]
         while self._members and self._members[-1][0] >= first:
@@ -123,10 +127,10 @@
 
     def compact(self, snapshot: SnapshotMeta, keep_from: int) -> None:
         """
-        Take over a snapshot and drop entries that it covers.
+        Record a snapshot taken by this replica and remove entries that it covers.
 
         :param snapshot: a snapshot at an index that the log holds.
-        :param keep_from: first index that stays.
+        :param keep_from: index of the first entry to keep.
         """
         base = max(min(keep_from - 1, snapshot.index), self.base_index)
         base_term = self.term_at(base)
@@ -136,9 +140,12 @@
 
     def install(self, snapshot: SnapshotMeta) -> None:
         """
-        Take over a snapshot from the leader; entries after it stay where they agree with it.
+        Record a snapshot received from the leader.
 
-        :param snapshot: a snapshot later than the commit index.
+        Entries after the snapshot are kept only if the log's entry at the snapshot's index has the
+        snapshot's term.
+
+        :param snapshot: a snapshot with an index after the commit index.
         """
         agrees = self.term_at(snapshot.index) == snapshot.term
         entries = self.slice(snapshot.index + 1, self.last_index) if agrees else ()
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
@@ -20,8 +20,8 @@
     from ibisspring_consensus.node import ConsensusNode
 
 IDENTIFY_TIMEOUT_S = 2.0
-BOOTSTRAP_BOUND_S = 30.0
-REPLACE_BOUND_S = 120.0
+BOOTSTRAP_TIMEOUT_S = 30.0
+REPLACE_TIMEOUT_S = 120.0
 POLL_S = 0.05
 
 
@@ -135,7 +135,7 @@
     first = min(config.founders)
     if config.daemon != first:
         return Managed(False, leader_hint=first, detail=f"ask {first}, which founds the cluster")
-    found = [Identity(node.replica, node.core.is_empty)]
+    identities = [Identity(node.replica, node.core.is_empty)]
     for daemon in sorted(config.founders):
         if daemon == config.daemon:
             continue
@@ -143,15 +143,15 @@
         identity = await identify(address)
         if identity is None or identity.replica.daemon != daemon:
             return Managed(False, detail=f"{daemon} does not answer at {address}; nothing was done")
-        found.append(identity)
-    taken = [identity.replica.daemon for identity in found if not identity.empty]
-    if taken or not node.core.is_empty:
-        names = ", ".join(taken) or config.daemon
+        identities.append(identity)
+    non_empty = [identity.replica.daemon for identity in identities if not identity.empty]
+    if non_empty or not node.core.is_empty:
+        names = ", ".join(non_empty) or config.daemon
         return Managed(False, detail=f"{names} already holds state; nothing was done")
-    voters = tuple(sorted(identity.replica for identity in found))
+    voters = tuple(sorted(identity.replica for identity in identities))
     node.dispatch(events.Bootstrap(Members(voters, cluster=secrets.token_hex(8))))
-    led = await _wait(lambda: bool(node.leader_hint), BOOTSTRAP_BOUND_S)
-    if not led:
+    leader_elected = await _wait_until(lambda: bool(node.leader_hint), BOOTSTRAP_TIMEOUT_S)
+    if not leader_elected:
         return Managed(False, detail="founded, but no leader was elected yet; see control status")
     return _answer(status(node))
 
@@ -185,18 +185,20 @@
         now = node.core.members
         return new in now.voters and (old == new or old not in now.voters) and not now.outgoing
 
-    ended = await _wait(lambda: not node.is_leader or _settled(node, replaced), REPLACE_BOUND_S)
+    ended = await _wait_until(
+        lambda: not node.is_leader or _is_replacement_committed(node, replaced), REPLACE_TIMEOUT_S
+    )
     if ended and node.is_leader:
         return _answer(status(node))
     return Managed(False, leader_hint=node.leader_hint, detail="not finished; see control status")
 
 
-def _settled(node: ConsensusNode, replaced: Any) -> bool:
+def _is_replacement_committed(node: ConsensusNode, replaced: Any) -> bool:
     return replaced() and node.core.state.commit_index >= node.core.state.log.members_index
 
 
-async def _wait(condition: Any, bound_s: float) -> bool:
-    for _ in range(int(bound_s / POLL_S)):
+async def _wait_until(condition: Any, timeout_s: float) -> bool:
+    for _ in range(int(timeout_s / POLL_S)):
         if condition():
             return True
         await asyncio.sleep(POLL_S)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/membership.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/membership.py
@@ -1,4 +1,4 @@
-"""Changes of the members, one at a time."""
+"""Membership changes by joint consensus, one at a time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     Members,
     ReplicaId,
 )
-from ibisspring_consensus.quorum import everyone
+from ibisspring_consensus.quorum import all_replicas
 from ibisspring_consensus.replication import append
 from ibisspring_consensus.state import (
     LEADER,
@@ -27,7 +27,11 @@
 
 
 def on_bootstrap(state: CoreState, event: Bootstrap) -> None:
-    """Found a cluster: the members entry is the first of the log, under the first term."""
+    """
+    Bootstrap a cluster: the first log entry holds its members, under term 1.
+
+    No-op on a replica that already holds state.
+    """
     if state.hard.term or state.log.last_index:
         return
     entry = Entry(1, 1, MEMBERS, encode(event.members))
@@ -36,26 +40,27 @@
 
 def on_replica_seen(state: CoreState, event: ReplicaSeen) -> None:
     """
-    Remember a daemon of the members that answered under another disk.
+    Record a replica whose daemon is known but whose disk is not a member.
 
-    A disk of another cluster is not taken in: its log holds other commands at the same places. One
-    of this cluster is, also when it holds a part of the log: a learner whose entry was overwritten
-    by the next leader would otherwise stay outside until somebody empties its disk again.
+    A disk of another cluster is ignored, because its log holds other commands at the same indexes.
+    A disk of this cluster is recorded even if it holds a part of the log: if the entry that made a
+    replica a learner is overwritten by the next leader, the replica would otherwise stay excluded
+    until an operator empties its disk again.
     """
-    if event.replica in everyone(state.log.members):
-        state.seen_by_daemon.pop(event.replica.daemon, None)
+    if event.replica in all_replicas(state.log.members):
+        state.non_member_by_daemon.pop(event.replica.daemon, None)
         return
     if event.cluster in ("", state.log.members.cluster):
-        state.seen_by_daemon[event.replica.daemon] = event.replica
+        state.non_member_by_daemon[event.replica.daemon] = event.replica
 
 
 def may_change(state: CoreState) -> bool:
     """
-    Tell whether the members may change now.
+    Return whether a membership change may start now.
 
-    The change before must be committed, and an entry of this leader's term as well: two leaders
-    that each changed the members on top of a different uncommitted change could each find a
-    majority of its own.
+    The previous change and an entry of this leader's term must be committed: if two leaders each
+    changed the members on top of different uncommitted changes, each could find a majority of its
+    own.
     """
     return (
         state.role == LEADER
@@ -65,7 +70,7 @@
 
 
 def on_tick(state: CoreState) -> None:
-    """Take the next step of a replacement that is under way, or begin one."""
+    """Advance the membership change in progress by one step, or start a pending one."""
     if not may_change(state):
         return
     members = state.log.members
@@ -73,12 +78,12 @@
         _change(state, replace(members, outgoing=()))
         return
     for learner in members.learners:
-        if not caught_up(state, learner.replica):
+        if not is_caught_up(state, learner.replica):
             continue
         _change(state, promote(members, learner))
         return
     for voter in members.voters:
-        seen = state.seen_by_daemon.pop(voter.daemon, None)
+        seen = state.non_member_by_daemon.pop(voter.daemon, None)
         if seen is None or seen.disk_id == voter.disk_id:
             continue
         _change(state, with_learner(members, Learner(seen, replaces=voter)))
@@ -87,12 +92,12 @@
 
 def on_replace(state: CoreState, event: Replace) -> bool:
     """
-    Begin a replacement that an operator asked for.
+    Start a replacement of a voter, or the addition of one.
 
-    :return: whether it was begun.
+    :return: whether the replacement was started.
     """
     members = state.log.members
-    if not may_change(state) or event.new in everyone(members):
+    if not may_change(state) or event.new in all_replicas(members):
         return False
     if event.old is not None and event.old not in members.voters:
         return False
@@ -100,21 +105,21 @@
     return True
 
 
-def caught_up(state: CoreState, replica: ReplicaId) -> bool:
+def is_caught_up(state: CoreState, replica: ReplicaId) -> bool:
     """
-    Tell whether a learner holds all that is committed, synced, and answers.
+    Return whether a learner has synced all committed entries and replied recently.
 
-    Promoted earlier, it would count in a majority that does not hold an accepted write: a second VM
-    lost right after the repair would take that write with it.
+    If a learner were promoted earlier, it would count towards majorities without holding all
+    accepted writes: the loss of a second VM right after the repair could lose such a write.
     """
     progress = state.progress_by_replica.get(replica)
     if progress is None or progress.match_index < state.commit_index:
         return False
-    return state.now < progress.answered_at + state.config.election_timeout_s
+    return state.now < progress.replied_at + state.config.election_timeout_s
 
 
 def with_learner(members: Members, learner: Learner) -> Members:
-    """Add a learner in place of any other for the same daemon."""
+    """Add a learner; it replaces any other learner of the same daemon."""
     kept = tuple(
         other for other in members.learners if other.replica.daemon != learner.replica.daemon
     )
@@ -123,12 +128,13 @@
 
 def promote(members: Members, learner: Learner) -> Members:
     """
-    Turn a learner into a voter, in the place of the one that it replaces.
+    Turn a learner into a voter that replaces `learner.replaces`.
 
-    Old and new voters decide together until this is committed. Adding first and removing later
-    would count a lost disk and its replacement at once: with three VMs, one disk lost twice in a
-    row left two of four, for ever. Exchanged in one step, two majorities without a common member
-    could decide where the lost disk turns up after all.
+    Until this change is committed, decisions need majorities of both the old and the new voters
+    (joint consensus). If the new voter were added first and the old one removed later, a lost disk
+    and its replacement would both count: with three VMs, one disk lost twice in a row would leave
+    two of four voters, permanently without a quorum. If they were exchanged in one step, two
+    majorities without a common member could decide when the lost disk reappears.
     """
     kept = tuple(other for other in members.learners if other != learner)
     stay = tuple(voter for voter in members.voters if voter != learner.replaces)
@@ -142,7 +148,7 @@
 
 
 __all__ = [
-    "caught_up",
+    "is_caught_up",
     "may_change",
     "on_bootstrap",
     "on_replace",
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/messages.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between the replicas of the replicated log."""
+"""Messages between the replicas of the replicated log, and the log entries that they carry."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 @dataclass(frozen=True, order=True)
 class ReplicaId:
     """
-    A replica is a daemon together with its disk.
+    A replica: a daemon together with its disk.
 
     :param daemon: id of the daemon.
-    :param disk_id: random id made when its empty folder was first used; a wiped disk has another.
+    :param disk_id: random id created at the first use of an empty folder; a wiped disk gets
+        another.
     """
 
     daemon: str
@@ -29,10 +30,10 @@
     """
     One entry of the log.
 
-    :param index: position from 1.
+    :param index: log index, starting at 1.
     :param term: term of the leader that appended it.
     :param kind: `noop`, `command` or `members`.
-    :param data: what the state machine applies, or the encoded `Members`.
+    :param data: command for the state machine, or the encoded `Members`; empty for `noop`.
     """
 
     index: int
@@ -44,9 +45,10 @@
 @dataclass(frozen=True)
 class Learner:
     """
-    A replica that receives the log and does not count.
+    A replica that receives the log and is not counted in a quorum.
 
-    :param replaces: the voter that leaves once this one counts.
+    :param replica: the learner.
+    :param replaces: the voter that is removed when the learner is promoted; None only adds a voter.
     """
 
     replica: ReplicaId
@@ -56,13 +58,13 @@
 @dataclass(frozen=True)
 class Members:
     """
-    The replicas of the cluster, in force from the moment at which their entry is appended.
+    The replicas of the cluster, in force as soon as their entry is appended to the log.
 
-    :param voters: replicas that count in every quorum.
-    :param learners: replicas that are being caught up.
-    :param outgoing: the voters before, while they are being changed: a quorum then is a majority of
-        these and a majority of `voters`.
-    :param cluster: random id made when the cluster was founded.
+    :param voters: replicas that are counted in every quorum.
+    :param learners: replicas that receive the log before they become voters.
+    :param outgoing: the previous voters during a change (joint consensus): a quorum then needs a
+        majority of these and a majority of `voters`.
+    :param cluster: random id created when the cluster was bootstrapped.
     """
 
     voters: tuple[ReplicaId, ...] = ()
@@ -74,10 +76,10 @@
 @dataclass(frozen=True)
 class HardState:
     """
-    What a replica must not forget.
+    Durable state besides the log: term and vote.
 
-    :param term: newest term that it took part in.
-    :param voted_for: whom it gave its vote in that term.
+    :param term: newest term in which the replica took part.
+    :param voted_for: the candidate for which it voted in that term.
     """
 
     term: int = 0
@@ -87,12 +89,12 @@
 @dataclass(frozen=True)
 class SnapshotMeta:
     """
-    What a snapshot stands for.
+    Metadata of a snapshot.
 
-    :param index: last log index that is in it.
+    :param index: index of the last log entry that the snapshot includes.
     :param term: term of that entry.
     :param members: members in force at that index.
-    :param size: bytes of the state machine's snapshot.
+    :param size: size of the state machine's data in bytes.
     :param checksum: CRC-32 of these bytes.
     """
 
@@ -106,11 +108,13 @@
 @dataclass(frozen=True)
 class VoteRequest:
     """
-    A candidate asks for a vote.
+    A candidate requests a vote.
 
-    :param term: the term that it would lead.
-    :param pre: only asks whether a vote would be given; nothing is promised or persisted.
-    :param transfer: the old leader gave up its lease in favour of this candidate.
+    :param term: the candidate's term; for a pre-vote the term that it would start.
+    :param last_index: index of the last entry in the candidate's log.
+    :param last_term: term of that entry.
+    :param pre: pre-vote: asks whether a vote would be granted; the receiver persists nothing.
+    :param transfer: the previous leader resigned its lease in favour of this candidate.
     """
 
     term: int
@@ -123,7 +127,7 @@
 @dataclass(frozen=True)
 class VoteReply:
     """
-    Answer to a `VoteRequest`.
+    Reply to a `VoteRequest`.
 
     :param term: the voter's own term.
     :param request_term: term of the request.
@@ -138,9 +142,11 @@
 @dataclass(frozen=True)
 class AppendRequest:
     """
-    The leader's heartbeat, with entries where the follower lacks some.
+    The leader's heartbeat, with the entries that the follower lacks.
 
-    :param round: heartbeat round; its answers prove leadership at the time it was begun.
+    :param previous_index: index before the first entry.
+    :param previous_term: term of the entry at `previous_index`.
+    :param round: heartbeat round; replies from a quorum prove leadership at the start of the round.
     """
 
     term: int
@@ -154,11 +160,12 @@
 @dataclass(frozen=True)
 class AppendReply:
     """
-    Answer to an `AppendRequest`.
+    Reply to an `AppendRequest`.
 
-    :param match_index: the log is synced and equal to the leader's up to here; on a failure the
-        last index that may match.
-    :param previous_index: echoed, to tell a late failure from a new one.
+    :param match_index: on success, the log is synced and equal to the leader's up to this index; on
+        failure, the last index that may match.
+    :param previous_index: copied from the request, to distinguish a delayed failure from a new one.
+    :param round: copied from the request.
     """
 
     term: int
@@ -171,9 +178,9 @@
 @dataclass(frozen=True)
 class SnapshotChunk:
     """
-    A piece of a snapshot, for a follower that is behind the log.
+    A part of a snapshot, for a follower that lacks entries which the leader's log no longer holds.
 
-    :param offset: where `data` belongs, in bytes.
+    :param offset: position of `data` in the snapshot, in bytes.
     """
 
     term: int
@@ -186,11 +193,11 @@
 @dataclass(frozen=True)
 class SnapshotReply:
     """
-    Answer to a `SnapshotChunk`.
+    Reply to a `SnapshotChunk`.
 
-    :param index: last index of the snapshot.
+    :param index: index of the snapshot.
     :param offset: bytes received so far.
-    :param installed: the whole snapshot is synced and in force.
+    :param installed: whether the complete snapshot is synced and installed.
     """
 
     term: int
@@ -202,7 +209,7 @@
 
 @dataclass(frozen=True)
 class TimeoutNow:
-    """The leader gave up its lease and asks the receiver to campaign at once."""
+    """The leader resigned its lease and asks the receiver to campaign at once."""
 
     term: int
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
@@ -17,10 +17,10 @@
 from ibisspring_consensus.files import Damage
 from ibisspring_consensus.messages import COMMAND, Entry, ReplicaId
 from ibisspring_consensus.peers import Peers
-from ibisspring_consensus.proposals import Committed, Waiting, copy_result
+from ibisspring_consensus.proposals import Committed, PendingResults, copy_result
 from ibisspring_consensus.snapshots import snapshot_job
 from ibisspring_consensus.storage import Storage
-from ibisspring_consensus.writer import Writer, with_room
+from ibisspring_consensus.writer import Writer, retry_while_refused
 from ibisspring_core.clock import boot_now
 
 if TYPE_CHECKING:
@@ -43,9 +43,9 @@
         self.applied_index = 0
         self.failed = False
         self.group_commit = True
-        self.waiting = Waiting(retry_after_s=replica.core.election_timeout_s)
-        self._snapshot_under_way = False
-        self._leads = False
+        self.pending_results = PendingResults(retry_after_s=replica.core.election_timeout_s)
+        self._snapshot_in_progress = False
+        self._is_serving_leader = False
         self._commands: list[tuple[int, bytes]] = []
         self._reads: list[asyncio.Future[int | Refusal]] = []
         self._unsynced: deque[tuple[int, float]] = deque()
@@ -81,10 +81,10 @@
             random.Random(),
             boot_now() if started_s is None else started_s,
         )
-        self.writer = Writer(storage, self._synced, self._fail)
+        self.writer = Writer(storage, self._on_persist_synced, self._fail)
         self.writer.start()
         self._peers = Peers.from_config(
-            config, self.replica, self._read_chunk, self._identified, self._counters
+            config, self.replica, self._read_chunk, self._on_peer_identity, self._counters
         )
         self._ticks = timer.subscribe("consensus", self.config.tick_s, self._tick)
 
@@ -92,7 +92,7 @@
         """Open the disk, which may have no room for a new folder; end where the daemon stops."""
         folder = self.replica_config.folder
         opening = asyncio.create_task(
-            with_room(lambda: asyncio.to_thread(Storage.from_folder, folder))
+            retry_while_refused(lambda: asyncio.to_thread(Storage.from_folder, folder))
         )
         stopped = asyncio.create_task(stopping.wait())
         await asyncio.wait((opening, stopped), return_when=asyncio.FIRST_COMPLETED)
@@ -112,7 +112,7 @@
         """Hand over leadership, answer what waits, and close the disk."""
         self._ticks.cancel()
         self.dispatch(events.Resign())
-        self.waiting.stop()
+        self.pending_results.stop()
         await self._peers.stop()
         await self.writer.stop()
         if self.failed:
@@ -122,7 +122,7 @@
     @property
     def is_leader(self) -> bool:
         """Whether this replica leads and has applied all that was committed before its term."""
-        return self._leads and not self.failed
+        return self._is_serving_leader and not self.failed
 
     @property
     def term(self) -> int:
@@ -157,16 +157,16 @@
         :return: its place and result; NO_LEADER with `not_run` where it entered no log,
             MAY_HAVE_RUN where the leader changed before it was committed.
         """
-        number, future = self.waiting.add_proposal()
+        number, future = self.pending_results.add_proposal()
         self._commands.append((number, data))
-        began_s = boot_now()
+        begun_s = boot_now()
         if not self.group_commit:
             self._flush_commands()
         elif len(self._commands) == 1:
             asyncio.get_running_loop().call_soon(self._flush_commands)
         committed = await future
         outcome = "committed" if isinstance(committed, Committed) else committed.reason.value
-        self._counters.observe("commit_seconds", boot_now() - began_s, outcome)
+        self._counters.observe("commit_seconds", boot_now() - begun_s, outcome)
         return committed
 
     def _flush_commands(self) -> None:
@@ -195,7 +195,7 @@
         """One heartbeat round confirms all the reads that began before it."""
         futures = tuple(self._reads)
         self._reads.clear()
-        number, confirmed = self.waiting.add_read()
+        number, confirmed = self.pending_results.add_read()
         confirmed.add_done_callback(lambda done: copy_result(done, futures))
         self.dispatch(events.ConfirmRead(number))
 
@@ -206,19 +206,19 @@
         :param event: what happened just now.
         """
         if self.failed:
-            self.waiting.stop()
+            self.pending_results.stop()
             return
         try:
             for effect in self.core.step(event, boot_now()):
-                self._carry_out(effect)
-            self._note_leadership()
+                self._run_effect(effect)
+            self._update_leadership()
         except Exception as error:
             # Effects that were not carried out are promises that are not kept: entries that were
             # never written, or applied by half. A restart begins again from what is synced.
             eliot.log_message("consensus:failed", event=type(event).__name__, error=repr(error))
             self._fail()
 
-    def _carry_out(self, effect: events.Effect) -> None:
+    def _run_effect(self, effect: events.Effect) -> None:
         match effect:
             case events.Persist() | events.InstallSnapshot():
                 if isinstance(effect, events.InstallSnapshot):
@@ -231,20 +231,20 @@
             case events.Apply(entries):
                 self._apply(entries)
             case events.Proposed(number, index, term):
-                self.waiting.proposed(number, index, term)
+                self.pending_results.proposed(number, index, term)
             case events.ProposalRefused(number):
-                self.waiting.refused(number)
+                self.pending_results.refused(number)
             case events.ReadConfirmed(read, index):
-                self.waiting.read_confirmed(read, index)
+                self.pending_results.read_confirmed(read, index)
             case events.ReadRefused(read):
-                self.waiting.read_refused(read)
+                self.pending_results.read_refused(read)
             case events.BecameLeader(term):
                 self._counters.add("consensus.elected")
                 eliot.log_message("consensus:elected", daemon=self.replica.daemon, term=term)
             case events.SteppedDown(term, cause):
                 self._counters.add("consensus.stepped_down")
                 eliot.log_message("consensus:stepped_down", term=term, cause=cause)
-                self.waiting.stepped_down()
+                self.pending_results.stepped_down()
 
     def _apply(self, entries: tuple[Entry, ...]) -> None:
         for entry in entries:
@@ -252,13 +252,15 @@
             if entry.kind == COMMAND:
                 result = self._state.apply(entry.index, entry.data)
             self.applied_index = entry.index
-            self.waiting.applied(entry.index, entry.term, result)
+            self.pending_results.applied(entry.index, entry.term, result)
         if self.applied_index - self.core.snapshot.index >= self.replica_config.snapshot_every:
             self.take_snapshot()
 
-    def _note_leadership(self) -> None:
+    def _update_leadership(self) -> None:
         """Lead only once the state machine holds all of earlier terms."""
-        self._leads = self.core.is_leader and self.applied_index >= self.core.state.noop_index
+        self._is_serving_leader = (
+            self.core.is_leader and self.applied_index >= self.core.state.noop_index
+        )
 
     def take_snapshot(self) -> bool:
         """
@@ -267,38 +269,38 @@
         :return: False where one is under way or nothing is new.
         """
         index = self.applied_index
-        if self._snapshot_under_way or index <= self.core.snapshot.index:
+        if self._snapshot_in_progress or index <= self.core.snapshot.index:
             return False
-        self._snapshot_under_way = True
+        self._snapshot_in_progress = True
         data = self._state.snapshot()
         self.writer.add(snapshot_job(self.core.state.log, index, data, self._snapshot_done))
         return True
 
     def _snapshot_done(self, meta: SnapshotMeta, keep_from: int) -> None:
-        self._snapshot_under_way = False
+        self._snapshot_in_progress = False
         self._counters.add("consensus.snapshots")
         self.dispatch(events.SnapshotTaken(meta, keep_from))
 
     async def _tick(self, now: float) -> None:
         self.dispatch(events.Tick())
 
-    def _synced(self, sequence: int) -> None:
+    def _on_persist_synced(self, sequence: int) -> None:
         now = boot_now()
         while self._unsynced and self._unsynced[0][0] <= sequence:
-            _, began_s = self._unsynced.popleft()
-            self._counters.observe("sync_seconds", now - began_s, "synced")
+            _, begun_s = self._unsynced.popleft()
+            self._counters.observe("sync_seconds", now - begun_s, "synced")
         self.dispatch(events.Persisted(sequence))
 
     def _fail(self) -> None:
         """Take no further part and end the daemon."""
         self.failed = True
-        self.waiting.stop()
+        self.pending_results.stop()
         os.kill(os.getpid(), signal.SIGTERM)
 
     async def _read_chunk(self, index: int, offset: int) -> bytes | None:
         return await self.writer.read_snapshot(index, offset, self.config.chunk_bytes)
 
-    def _identified(self, identity: Identity) -> None:
+    def _on_peer_identity(self, identity: Identity) -> None:
         self.dispatch(events.ReplicaSeen(identity.replica, identity.cluster))
 
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/peer.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/peer.py
@@ -21,7 +21,7 @@
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 MAX_BATCH_BYTES = 4 * 1024 * 1024
 # Older messages go first where a peer does not answer; the core sends again what still matters.
-MAX_WAITING = 512
+MAX_OUTBOX_MESSAGES = 512
 # Two lost packets on a healthy path are sent again within this time; a dead path is left by then.
 TCP_USER_TIMEOUT_MS = 1000
 CHANNEL_OPTIONS = (
@@ -87,7 +87,7 @@
         self._read_chunk = read_chunk
         self._on_identity = on_identity
         self._counters = counters
-        self._outbox: deque[tuple[ReplicaId, Message]] = deque(maxlen=MAX_WAITING)
+        self._outbox: deque[tuple[ReplicaId, Message]] = deque(maxlen=MAX_OUTBOX_MESSAGES)
         self._wake = asyncio.Event()
         self._stopping = False
         self._channel: grpc.aio.Channel | None = None
@@ -121,7 +121,7 @@
                 await self._send_batch()
 
     async def _send_batch(self) -> None:
-        request = await self._take_batch()
+        request = await self._build_batch()
         if self._channel is None:
             self._channel = open_channel(self._address)
         stub = consensus_pb2_grpc.ConsensusStub(self._channel)
@@ -132,12 +132,12 @@
             reply = await stub.Deliver(request, timeout=self._deadline_s, compression=compression)
         except grpc.aio.AioRpcError as error:
             self._counters.add(f"consensus.deliver_failed.{error.code().name.lower()}")
-            await self._reopen()
+            await self._discard_channel()
             return
         replica = ReplicaId(self.daemon, reply.disk_id)
         self._on_identity(Identity(replica, reply.empty, reply.cluster))
 
-    async def _reopen(self) -> None:
+    async def _discard_channel(self) -> None:
         """
         Leave the connection after a failure.
 
@@ -148,7 +148,7 @@
         self._channel = None
         await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _take_batch(self) -> consensus_pb2.DeliverRequest:
+    async def _build_batch(self) -> consensus_pb2.DeliverRequest:
         target = self._outbox[0][0]
         messages = []
         size = 0
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/proposals.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals and reads that wait for their answer."""
+"""Proposals and reads that wait for their result."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
     """
     A command was committed and applied.
 
-    :param index: its place in the log.
-    :param result: what the state machine answered.
+    :param index: its log index.
+    :param result: the state machine's result.
     """
 
     index: int
     result: bytes
 
 
-class Waiting:
-    """Futures of proposals and reads, by what they wait for."""
+class PendingResults:
+    """Futures of pending proposals and reads, by number or by log position."""
 
     def __init__(self, retry_after_s: float) -> None:
         self._retry_after_s = retry_after_s
-        self._numbers = 0
+        self._last_number = 0
         self._proposal_by_number: dict[int, asyncio.Future[Committed | Refusal]] = {}
-        self._proposal_by_place: dict[tuple[int, int], asyncio.Future[Committed | Refusal]] = {}
+        self._proposal_by_position: dict[tuple[int, int], asyncio.Future[Committed | Refusal]] = {}
         self._read_by_number: dict[int, asyncio.Future[int | Refusal]] = {}
 
     def add_proposal(self) -> tuple[int, asyncio.Future[Committed | Refusal]]:
@@ -37,10 +37,10 @@
 
         :return: its number and its future.
         """
-        self._numbers += 1
+        self._last_number += 1
         future = asyncio.get_running_loop().create_future()
-        self._proposal_by_number[self._numbers] = future
-        return self._numbers, future
+        self._proposal_by_number[self._last_number] = future
+        return self._last_number, future
 
     def add_read(self) -> tuple[int, asyncio.Future[int | Refusal]]:
         """
@@ -48,31 +48,31 @@
 
         :return: its number and its future.
         """
-        self._numbers += 1
+        self._last_number += 1
         future = asyncio.get_running_loop().create_future()
-        self._read_by_number[self._numbers] = future
-        return self._numbers, future
+        self._read_by_number[self._last_number] = future
+        return self._last_number, future
 
     def proposed(self, number: int, index: int, term: int) -> None:
-        """The proposal stands in the log at (index, term)."""
-        self._proposal_by_place[(index, term)] = self._proposal_by_number.pop(number)
+        """Record that the proposal was appended to the log at (index, term)."""
+        self._proposal_by_position[(index, term)] = self._proposal_by_number.pop(number)
 
     def refused(self, number: int) -> None:
-        """The proposal never entered a log."""
-        _settle(self._proposal_by_number.pop(number), self.no_leader())
+        """Complete a proposal that was not appended to any log with a refusal."""
+        _set_result(self._proposal_by_number.pop(number), self.no_leader())
 
     def applied(self, index: int, term: int, result: bytes) -> None:
-        """The entry at (index, term) was committed and applied."""
-        future = self._proposal_by_place.pop((index, term), None)
+        """Complete the proposal at (index, term) with the state machine's result."""
+        future = self._proposal_by_position.pop((index, term), None)
         if future is not None:
-            _settle(future, Committed(index, result))
+            _set_result(future, Committed(index, result))
 
     def stepped_down(self) -> None:
         """
-        Answer all proposals that stand in the log uncommitted.
+        Refuse all proposals that were appended to the log and are not committed.
 
-        The next leader may hold them and commit them, or overwrite them; here nobody will know in
-        time.
+        The next leader may commit or overwrite them, and this replica does not learn in time which
+        of both happens.
         """
         refusal = Refusal(
             Reason.MAY_HAVE_RUN,
@@ -80,23 +80,23 @@
             retry_after_s=self._retry_after_s,
             detail="the leader changed before the commit; ask again under the same request id",
         )
-        for future in self._proposal_by_place.values():
-            _settle(future, refusal)
-        self._proposal_by_place.clear()
+        for future in self._proposal_by_position.values():
+            _set_result(future, refusal)
+        self._proposal_by_position.clear()
 
     def read_confirmed(self, number: int, index: int) -> None:
-        """State up to `index` was current."""
-        _settle(self._read_by_number.pop(number), index)
+        """Complete a read: the state up to `index` was current."""
+        _set_result(self._read_by_number.pop(number), index)
 
     def read_refused(self, number: int) -> None:
-        """This replica could not show that it leads."""
-        _settle(self._read_by_number.pop(number), self.no_leader())
+        """Refuse a read: this replica could not confirm that it is the leader."""
+        _set_result(self._read_by_number.pop(number), self.no_leader())
 
     def no_leader(self) -> Refusal:
         """
-        Build the refusal of a replica that does not lead.
+        Build the refusal for a replica that is not the leader.
 
-        :return: the refusal; the command entered no log.
+        :return: the refusal; it says that the command was not appended to any log.
         """
         return Refusal(
             Reason.NO_LEADER,
@@ -106,23 +106,23 @@
         )
 
     def stop(self) -> None:
-        """Answer all that waits."""
+        """Refuse all pending proposals and reads."""
         self.stepped_down()
         for future in (*self._proposal_by_number.values(), *self._read_by_number.values()):
-            _settle(future, self.no_leader())
+            _set_result(future, self.no_leader())
         self._proposal_by_number.clear()
         self._read_by_number.clear()
 
 
 def copy_result(done: asyncio.Future, futures: tuple[asyncio.Future, ...]) -> None:
-    """Give all futures the result of one."""
+    """Copy the result of a finished future to other futures."""
     for future in futures:
-        _settle(future, done.result())
+        _set_result(future, done.result())
 
 
-def _settle(future: asyncio.Future, value: object) -> None:
+def _set_result(future: asyncio.Future, value: object) -> None:
     if not future.done():
         future.set_result(value)
 
 
-__all__ = ["Committed", "Waiting", "copy_result"]
+__all__ = ["Committed", "PendingResults", "copy_result"]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/quorum.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/quorum.py
@@ -1,4 +1,6 @@
-"""Who decides: majorities of the voters, of the old and the new ones while they change."""
+"""
+Quorums: majorities of the voters; under joint consensus, majorities of both old and new voters.
+"""
 
 from __future__ import annotations
 
@@ -10,60 +12,61 @@
     from ibisspring_consensus.messages import Members, ReplicaId
 
 
-def groups(members: Members) -> tuple[tuple[ReplicaId, ...], ...]:
+def voter_groups(members: Members) -> tuple[tuple[ReplicaId, ...], ...]:
     """
-    List the groups of voters that each must give a majority.
+    List the groups of voters of which each must give a majority.
 
     :param members: members in force.
-    :return: the voters, and those that they replace while the change is under way.
+    :return: the voters and, under joint consensus, the outgoing voters as a second group.
     """
     if members.outgoing:
         return (members.voters, members.outgoing)
     return (members.voters,)
 
 
-def counts(members: Members, replica: ReplicaId) -> bool:
+def is_voter(members: Members, replica: ReplicaId) -> bool:
     """
-    Tell whether a replica counts in a quorum.
+    Return whether a replica is a voter.
 
     :param members: members in force.
-    :param replica: the disk is part of it: a wiped one does not count as its old self.
-    :return: whether it is a voter.
+    :param replica: daemon and disk; the same daemon with a wiped disk is another replica.
+    :return: whether the replica is a current or an outgoing voter.
     """
     return replica in members.voters or replica in members.outgoing
 
 
 def is_quorum(members: Members, replicas: set[ReplicaId]) -> bool:
     """
-    Tell whether replicas are a quorum.
+    Return whether a set of replicas is a quorum.
 
     :param members: members in force.
-    :param replicas: those that agree.
-    :return: whether they are a majority of each group.
+    :param replicas: the replicas that agreed.
+    :return: whether they include a majority of each group of voters.
     """
     return all(
-        sum(voter in replicas for voter in group) > len(group) // 2 for group in groups(members)
+        sum(voter in replicas for voter in group) > len(group) // 2
+        for group in voter_groups(members)
     )
 
 
 def quorum_value(members: Members, value_of: Callable[[ReplicaId], int]) -> int:
     """
-    Find the highest value that a quorum has reached.
+    Return the highest value that a quorum has reached.
 
     :param members: members in force.
-    :param value_of: a rising number of each voter, such as a log position.
+    :param value_of: returns a non-decreasing number of a voter, such as its match index.
     :return: the value; 0 without voters.
     """
     if not members.voters:
         return 0
     reached = []
-    for group in groups(members):
+    for group in voter_groups(members):
         values = sorted((value_of(voter) for voter in group), reverse=True)
         reached.append(values[len(group) // 2])
     return min(reached)
 
 
-def everyone(members: Members) -> tuple[ReplicaId, ...]:
+def all_replicas(members: Members) -> tuple[ReplicaId, ...]:
     """
     List all replicas that receive the log.
 
@@ -74,4 +77,4 @@
     return tuple(dict.fromkeys(members.voters + members.outgoing + learners))
 
 
-__all__ = ["counts", "everyone", "groups", "is_quorum", "quorum_value"]
+__all__ = ["is_voter", "all_replicas", "voter_groups", "is_quorum", "quorum_value"]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
@@ -14,7 +14,7 @@
 
 from ibisspring_consensus.events import Replace
 from ibisspring_consensus.membership import may_change
-from ibisspring_consensus.quorum import everyone
+from ibisspring_consensus.quorum import all_replicas
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -24,7 +24,7 @@
 
 # Longer than the silence of a VM that is only killed and started again or frozen for a moment;
 # copying the log to another one costs more than waiting for it.
-SILENT_S = 3.0
+REPLACE_AFTER_SILENCE_S = 3.0
 
 
 @dataclass(frozen=True)
@@ -58,7 +58,7 @@
     # One at a time: a learner that was begun is caught up before the next one.
     if not may_change(state) or members.learners or members.outgoing:
         return None
-    known = {replica.daemon for replica in everyone(members)}
+    known = {replica.daemon for replica in all_replicas(members)}
     free = [
         one
         for one in candidates
@@ -67,17 +67,17 @@
     if not free:
         return None
     if len(members.voters) < wanted_voters:
-        return Replace(_least_crowded(free, members.voters, candidates), None)
+        return Replace(_from_least_used_data_centre(free, members.voters, candidates), None)
     for voter in members.voters:
         if voter == state.replica and voter.daemon not in leaving:
             continue
-        if voter.daemon in leaving or silent_s(state, voter) > SILENT_S:
+        if voter.daemon in leaving or time_since_reply_s(state, voter) > REPLACE_AFTER_SILENCE_S:
             stay = [one for one in members.voters if one != voter]
-            return Replace(_least_crowded(free, stay, candidates), voter)
+            return Replace(_from_least_used_data_centre(free, stay, candidates), voter)
     return None
 
 
-def _least_crowded(
+def _from_least_used_data_centre(
     free: Sequence[Candidate], voters: Sequence[ReplicaId], candidates: Sequence[Candidate]
 ) -> ReplicaId:
     """
@@ -86,12 +86,12 @@
     Taken in their order alone, one replacement after the other would bring a majority into one data
     centre, whose loss ends the log.
     """
-    centre_by_daemon = {one.replica.daemon: one.data_centre for one in candidates}
-    used = Counter(centre_by_daemon.get(voter.daemon) for voter in voters)
-    return min(free, key=lambda one: used[one.data_centre]).replica
+    data_centre_by_daemon = {one.replica.daemon: one.data_centre for one in candidates}
+    voters_by_data_centre = Counter(data_centre_by_daemon.get(voter.daemon) for voter in voters)
+    return min(free, key=lambda one: voters_by_data_centre[one.data_centre]).replica
 
 
-def silent_s(state: CoreState, replica: ReplicaId) -> float:
+def time_since_reply_s(state: CoreState, replica: ReplicaId) -> float:
     """
     Tell for how long a replica has not answered its leader.
 
@@ -100,8 +100,8 @@
     if replica == state.replica:
         return 0.0
     progress = state.progress_by_replica.get(replica)
-    answered_at = progress.answered_at if progress is not None else 0.0
-    return state.now - max(answered_at, state.led_since)
+    replied_at = progress.replied_at if progress is not None else 0.0
+    return state.now - max(replied_at, state.leader_since)
 
 
-__all__ = ["SILENT_S", "Candidate", "next_change", "silent_s"]
+__all__ = ["REPLACE_AFTER_SILENCE_S", "Candidate", "next_change", "time_since_reply_s"]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/replication.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/replication.py
@@ -1,12 +1,12 @@
-"""The leader's side of replication: what is sent to whom, and what is committed."""
+"""The leader's side of replication: sending entries and snapshots, and committing entries."""
 
 from __future__ import annotations
 
 from ibisspring_consensus.events import ProposalRefused, Propose, Proposed
 from ibisspring_consensus.lease import (
     begin_round,
-    quorum_answered_at,
-    settle_reads,
+    complete_reads,
+    quorum_acked_at,
 )
 from ibisspring_consensus.messages import (
     COMMAND,
@@ -18,44 +18,50 @@
     SnapshotReply,
     TimeoutNow,
 )
-from ibisspring_consensus.quorum import counts, quorum_value
+from ibisspring_consensus.quorum import is_voter, quorum_value
 from ibisspring_consensus.state import (
     LEADER,
     CoreState,
     Progress,
     become_follower,
     commit_to,
-    others,
+    other_replicas,
     persist,
     send,
 )
 
 
 def on_tick(state: CoreState) -> None:
-    """Send a heartbeat round, or step down where no quorum answers any more."""
+    """Send a heartbeat round when due, or step down if no quorum replies any more."""
     if state.role != LEADER:
         return
-    answered = quorum_answered_at(state)
-    silent_since = state.led_since if answered is None else answered
-    # Two election timeouts: by then the others may have a new leader, and callers should look for
-    # it.
+    acked_at = quorum_acked_at(state)
+    silent_since = state.leader_since if acked_at is None else acked_at
+    # After two election timeouts the other replicas may have elected a new leader. Stepping down
+    # makes callers look for that leader.
     if state.now > silent_since + 2 * state.config.election_timeout_s:
         become_follower(state, state.hard.term, None, "no quorum answers")
         return
-    started = state.round_sent_at.get(state.round)
-    if started is None or state.now >= started + state.config.heartbeat_s:
+    round_started_at = state.round_sent_at.get(state.round)
+    if round_started_at is None or state.now >= round_started_at + state.config.heartbeat_s:
         begin_round(state)
         broadcast(state)
 
 
 def broadcast(state: CoreState) -> None:
-    """Send the present round to all others, with the entries that they lack."""
-    for other in others(state.log.members, state.replica):
+    """
+    Send a heartbeat of the current round to all other replicas, with the entries that they lack.
+    """
+    for other in other_replicas(state.log.members, state.replica):
         send_next(state, other, progress_of(state, other), heartbeat=True)
 
 
 def progress_of(state: CoreState, other: ReplicaId) -> Progress:
-    """Find the progress of another replica; a new one is first probed at the end of the log."""
+    """
+    Return the progress of another replica.
+
+    A replica without progress is first probed at the end of the log.
+    """
     progress = state.progress_by_replica.get(other)
     if progress is None:
         progress = Progress(match_index=0, next_index=state.log.last_index + 1)
@@ -66,7 +72,11 @@
 def send_next(
     state: CoreState, other: ReplicaId, progress: Progress, heartbeat: bool = False
 ) -> None:
-    """Send what the other replica lacks, and a heartbeat in any case where one is due."""
+    """
+    Send the entries or the snapshot that a replica lacks.
+
+    :param heartbeat: send an empty append request if nothing else was sent.
+    """
     if progress.next_index <= state.log.base_index:
         _send_snapshot(state, other, progress, heartbeat)
         return
@@ -79,7 +89,8 @@
         next_index += len(entries)
         progress.in_flight += 1
         sent = True
-    # A probe that fails is answered with where to go on, so nothing is sent past it before.
+    # The reply to a failed probe says at which index to continue, so nothing is sent beyond the
+    # probe before its reply.
     if not progress.probing:
         progress.next_index = next_index
     if heartbeat and not sent:
@@ -102,20 +113,21 @@
 
 def _send_snapshot(state: CoreState, other: ReplicaId, progress: Progress, heartbeat: bool) -> None:
     meta = state.log.snapshot
-    lost = state.now >= progress.sent_at + state.config.election_timeout_s
+    chunk_timed_out = state.now >= progress.chunk_sent_at + state.config.election_timeout_s
     if progress.snapshot_index != meta.index:
         progress.snapshot_index = meta.index
         progress.snapshot_offset = 0
         _send_chunk(state, other, progress)
-    elif heartbeat and lost:
+    elif heartbeat and chunk_timed_out:
         _send_chunk(state, other, progress)
     elif heartbeat:
-        # Keeps the follower from an election while a chunk is under way; its failure is ignored.
+        # This heartbeat keeps the follower from starting an election while a chunk is in transit.
+        # The follower's reply may report a log mismatch, which is ignored.
         _send_append(state, other, state.log.base_index, ())
 
 
 def _send_chunk(state: CoreState, other: ReplicaId, progress: Progress) -> None:
-    progress.sent_at = state.now
+    progress.chunk_sent_at = state.now
     chunk = SnapshotChunk(
         state.hard.term, state.log.snapshot, progress.snapshot_offset, state.round
     )
@@ -123,7 +135,7 @@
 
 
 def on_propose(state: CoreState, event: Propose) -> None:
-    """Append commands and send them on."""
+    """Append proposed commands to the log and send them; refuse them if not the leader."""
     if state.role != LEADER:
         state.effects.extend(ProposalRefused(number) for number, _ in event.commands)
         return
@@ -137,31 +149,35 @@
 
 
 def append(state: CoreState, entries: tuple[Entry, ...]) -> None:
-    """Append entries to the leader's own log and send them to all others."""
-    for other in others(state.log.members, state.replica):
+    """Append entries to the leader's log and send them to all other replicas."""
+    for other in other_replicas(state.log.members, state.replica):
         progress_of(state, other)
     persist(state, entries=entries)
-    for other in others(state.log.members, state.replica):
+    for other in other_replicas(state.log.members, state.replica):
         send_next(state, other, progress_of(state, other))
 
 
 def on_append_reply(state: CoreState, sender: ReplicaId, reply: AppendReply) -> None:
-    """Take in a follower's answer."""
-    progress = _answering(state, sender, reply)
+    """Process a follower's reply to an append request."""
+    progress = _record_reply(state, sender, reply)
     if progress is None:
         return
     if reply.success:
-        _advance(progress, reply.match_index)
+        _advance_match(progress, reply.match_index)
     elif progress.match_index < reply.previous_index:
-        _go_back(progress, reply)
+        _probe_earlier(progress, reply)
     commit(state)
-    settle_reads(state)
+    complete_reads(state)
     if state.role == LEADER:
         send_next(state, sender, progress)
 
 
-def _go_back(progress: Progress, reply: AppendReply) -> None:
-    """Probe further back; late failures of messages sent before the present probe are ignored."""
+def _probe_earlier(progress: Progress, reply: AppendReply) -> None:
+    """
+    Continue probing at an earlier index.
+
+    A failure of a message sent before the current probe is ignored.
+    """
     if progress.probing and reply.previous_index != progress.next_index - 1:
         return
     progress.probing = True
@@ -169,25 +185,31 @@
     progress.next_index = max(reply.match_index, progress.match_index) + 1
 
 
-def _answering(
+def _record_reply(
     state: CoreState, sender: ReplicaId, reply: AppendReply | SnapshotReply
 ) -> Progress | None:
-    """Take in what every answer tells; None where it counts for nothing here."""
+    """
+    Record the reply's term, time and round.
+
+    :return: progress of the sender; None if the reply is of another term, this replica is not the
+        leader or the sender is not a known replica.
+    """
     if reply.term > state.hard.term:
         become_follower(state, reply.term, None, "a newer term")
         return None
     if state.role != LEADER or reply.term != state.hard.term:
         return None
-    # The key is the disk as well: answers of a wiped disk under an old name count for nothing.
+    # The key includes the disk id, so replies from a wiped disk under a known daemon id are
+    # ignored.
     progress = state.progress_by_replica.get(sender)
     if progress is None:
         return None
-    progress.answered_at = state.now
+    progress.replied_at = state.now
     progress.acked_round = max(progress.acked_round, reply.round)
     return progress
 
 
-def _advance(progress: Progress, match_index: int) -> None:
+def _advance_match(progress: Progress, match_index: int) -> None:
     if match_index > progress.match_index:
         progress.match_index = match_index
         progress.in_flight = max(progress.in_flight - 1, 0)
@@ -199,8 +221,8 @@
 
 
 def on_snapshot_reply(state: CoreState, sender: ReplicaId, reply: SnapshotReply) -> None:
-    """Send the next chunk, or go on with entries once the snapshot is in force there."""
-    progress = _answering(state, sender, reply)
+    """Send the next chunk, or continue with entries once the snapshot is installed."""
+    progress = _record_reply(state, sender, reply)
     if progress is None:
         return
     if reply.installed:
@@ -212,7 +234,7 @@
         progress.snapshot_offset = reply.offset
         _send_chunk(state, sender, progress)
     commit(state)
-    settle_reads(state)
+    complete_reads(state)
 
 
 def _is_next_offset(state: CoreState, progress: Progress, reply: SnapshotReply) -> bool:
@@ -222,36 +244,36 @@
 
 def commit(state: CoreState) -> None:
     """
-    Commit what a quorum has synced.
+    Commit the entries that a quorum has synced.
 
-    Only an entry of the leader's own term is counted. An older one on a majority can still be
-    overwritten by a leader of a term in between, so it commits together with a later one of this
-    term.
+    Only entries of the leader's own term are committed by counting replicas. An entry of an earlier
+    term on a majority can still be overwritten by a leader of a term in between, so it is committed
+    together with a later entry of this term.
     """
     if state.role != LEADER:
         return
 
-    def synced(voter: ReplicaId) -> int:
+    def synced_index_of(voter: ReplicaId) -> int:
         if voter == state.replica:
             return state.synced_index
         progress = state.progress_by_replica.get(voter)
         return progress.match_index if progress else 0
 
     members = state.log.members
-    index = quorum_value(members, synced)
+    index = quorum_value(members, synced_index_of)
     if index <= state.commit_index or state.log.term_at(index) != state.hard.term:
         return
     commit_to(state, index)
-    if not counts(members, state.replica) and state.log.members_index <= index:
+    if not is_voter(members, state.replica) and state.log.members_index <= index:
         become_follower(state, state.hard.term, None, "removed from the members")
 
 
 def on_resign(state: CoreState) -> None:
     """
-    Give up leadership and name a successor.
+    Step down and ask the voter with the highest match index to campaign.
 
-    The lease is gone before the successor is asked, so its election may pass over the followers'
-    promise.
+    The lease ends before that voter is asked, so the followers may vote for it although they
+    acknowledged a heartbeat within the last election timeout.
     """
     if state.role != LEADER:
         return
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
@@ -1,4 +1,4 @@
-"""What a replica's consensus core knows, and the helpers that its parts share."""
+"""The state of a replica's consensus core, and functions that its modules share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     SteppedDown,
 )
 from ibisspring_consensus.messages import Entry, HardState, Members, Message, ReplicaId
-from ibisspring_consensus.quorum import everyone
+from ibisspring_consensus.quorum import all_replicas
 
 if TYPE_CHECKING:
     import random
@@ -34,13 +34,15 @@
     Times and sizes of the core.
 
     :param heartbeat_s: seconds between heartbeat rounds.
-    :param election_timeout_s: least silence before an election.
-    :param election_spread: most that is drawn on top of it, as a share of it; candidates that come
-        closer together than a vote takes on its way tie.
-    :param leader_lease_s: lease from the start of a round; under the election timeout, the
-        difference covers clocks that run at different rates.
-    :param max_append_bytes: most bytes of entries in one message.
-    :param max_in_flight: messages with entries that may be unanswered per follower.
+    :param election_timeout_s: minimum time without contact from a leader before an election, in
+        seconds.
+    :param election_spread: maximum random addition to the election timeout, as a share of it.
+        Candidates whose timeouts differ by less than the delivery time of a vote split the votes.
+    :param leader_lease_s: duration of the lease in seconds, from the start of a heartbeat round;
+        less than the election timeout, so that the difference covers clocks that run at different
+        rates.
+    :param max_append_bytes: maximum bytes of entries in one message.
+    :param max_in_flight: maximum number of unacknowledged messages with entries per follower.
     :param chunk_bytes: size of a snapshot chunk.
     """
 
@@ -55,10 +57,10 @@
     @classmethod
     def from_config(cls, control: ControlSettings) -> CoreConfig:
         """
-        Take the times from the settings.
+        Build the configuration with the times from the settings.
 
         :param control: checked settings of the control role.
-        :return: the configuration.
+        :return: the configuration; sizes and the election spread keep their defaults.
         """
         return cls(
             heartbeat_s=control.heartbeat_s,
@@ -68,13 +70,13 @@
 
     @property
     def tick_s(self) -> float:
-        """Seconds between looks at the clock."""
+        """Seconds between `Tick` events."""
         return self.heartbeat_s / TICKS_PER_HEARTBEAT
 
 
-# For logs whose VMs stand about a millisecond apart: a dead leader is followed by the next one, and
-# a system that was started again serves, 0.5 s sooner than with the figures above.
-# The spread is 0.28 s, many times what a vote takes.
+# For logs whose VMs are about a millisecond apart. With these times a failed leader is replaced,
+# and a restarted system serves, 0.5 s sooner than with the defaults above. The random spread of
+# election timeouts is 0.28 s, many times the delivery time of a vote.
 QUICK = CoreConfig(
     heartbeat_s=0.15, election_timeout_s=0.7, leader_lease_s=0.55, election_spread=0.4
 )
@@ -83,17 +85,17 @@
 @dataclass
 class Progress:
     """
-    What the leader knows of one other replica.
-
-    :param match_index: synced there and equal to the leader's log.
-    :param next_index: first index to send next.
-    :param in_flight: messages with entries sent since the last answer.
-    :param probing: where the logs agree is not known yet, so one message is sent at a time.
-    :param acked_round: newest heartbeat round that it answered.
-    :param answered_at: when it last answered.
-    :param sent_at: when a snapshot chunk was last sent to it.
-    :param snapshot_index: snapshot that is being sent to it; 0 for none.
-    :param snapshot_offset: bytes of it that arrived.
+    The leader's record of another replica.
+
+    :param match_index: the replica's log is synced and equal to the leader's up to this index.
+    :param next_index: index of the next entry to send.
+    :param in_flight: messages with entries that were sent and not acknowledged.
+    :param probing: the match index is not known, so one message with entries is sent at a time.
+    :param acked_round: newest heartbeat round that the replica acknowledged.
+    :param replied_at: time of the last reply.
+    :param chunk_sent_at: time at which the last snapshot chunk was sent.
+    :param snapshot_index: index of the snapshot that is being sent; 0 for none.
+    :param snapshot_offset: bytes of the snapshot that the replica received.
     """
 
     match_index: int
@@ -101,15 +103,21 @@
     in_flight: int = 0
     probing: bool = True
     acked_round: int = 0
-    answered_at: float = 0.0
-    sent_at: float = 0.0
+    replied_at: float = 0.0
+    chunk_sent_at: float = 0.0
     snapshot_index: int = 0
     snapshot_offset: int = 0
 
 
 @dataclass
 class PendingRead:
-    """A read that waits for a quorum's answers to a round begun after it."""
+    """
+    A read that waits for a quorum to acknowledge a heartbeat round started after the read.
+
+    :param read: number of the read.
+    :param round: heartbeat round that has to be acknowledged.
+    :param index: log index that has to be committed first.
+    """
 
     read: int
     round: int
@@ -118,7 +126,13 @@
 
 @dataclass
 class PendingPersist:
-    """What is released once a persist effect is synced."""
+    """
+    What becomes valid once a persist effect is synced.
+
+    :param sequence: sequence number of the effect.
+    :param last_index: the log is synced up to this index after the effect.
+    :param messages: messages to send after the sync.
+    """
 
     sequence: int
     last_index: int
@@ -128,15 +142,22 @@
 @dataclass
 class CoreState:
     """
-    State of the core; `now` is the time of the event that is being handled.
-
-    :param started_at: when this process started.
-    :param synced_index: the log is synced up to here.
-    :param heard_leader_at: when the leader of this term was last heard; None for never.
+    State of the core.
+
+    :param hard: term and vote, as they were last passed to `persist`.
+    :param now: time of the event that is being processed, on the lease clock.
+    :param started_at: start time of this process.
+    :param election_due_at: time of the next election unless a leader contacts this replica earlier.
+    :param synced_index: the log is synced up to this index.
+    :param leader_contact_at: when a leader last contacted this replica; None for never.
+    :param round: number of the current heartbeat round.
     :param round_sent_at: start time by heartbeat round.
+    :param leader_since: when this replica became leader.
     :param noop_index: first index of this leader's own term.
-    :param seen_by_daemon: disk under which a daemon last answered that is not a member.
-    :param incoming: snapshot that is being received.
+    :param sequence: sequence number of the last persist effect.
+    :param non_member_by_daemon: replica that last answered for a daemon and is not a member.
+    :param received_snapshot_data: bytes received so far of a snapshot from the leader.
+    :param received_snapshot_index: index of that snapshot.
     """
 
     replica: ReplicaId
@@ -147,50 +168,50 @@
     commit_index: int
     now: float
     started_at: float
-    election_at: float
+    election_due_at: float
     synced_index: int
     role: str = FOLLOWER
     leader: ReplicaId | None = None
-    heard_leader_at: float | None = None
+    leader_contact_at: float | None = None
     pre_votes: set[ReplicaId] = field(default_factory=set)
     votes: set[ReplicaId] = field(default_factory=set)
     transferred: bool = False
     progress_by_replica: dict[ReplicaId, Progress] = field(default_factory=dict)
     round: int = 0
     round_sent_at: dict[int, float] = field(default_factory=dict)
-    led_since: float = 0.0
+    leader_since: float = 0.0
     noop_index: int = 0
     reads: list[PendingRead] = field(default_factory=list)
     sequence: int = 0
     pending: list[PendingPersist] = field(default_factory=list)
-    seen_by_daemon: dict[str, ReplicaId] = field(default_factory=dict)
-    incoming: bytearray = field(default_factory=bytearray)
-    incoming_index: int = 0
+    non_member_by_daemon: dict[str, ReplicaId] = field(default_factory=dict)
+    received_snapshot_data: bytearray = field(default_factory=bytearray)
+    received_snapshot_index: int = 0
     effects: list[Effect] = field(default_factory=list)
 
 
-def others(members: Members, replica: ReplicaId) -> tuple[ReplicaId, ...]:
+def other_replicas(members: Members, replica: ReplicaId) -> tuple[ReplicaId, ...]:
     """
-    List whom a leader sends the log to.
+    List the replicas to which a leader sends the log.
 
     :param members: members in force.
     :param replica: the leader.
-    :return: voters and learners but itself.
+    :return: all voters and learners except the leader.
     """
-    return tuple(other for other in everyone(members) if other != replica)
+    return tuple(other for other in all_replicas(members) if other != replica)
 
 
 def send(state: CoreState, target: ReplicaId, message: Message) -> None:
-    """Send a message that promises nothing that is not synced yet."""
+    """Send a message that depends on no unsynced state."""
     state.effects.append(Send(target, message))
 
 
 def send_after_sync(state: CoreState, target: ReplicaId, message: Message) -> None:
     """
-    Send a message once all that was persisted so far is synced.
+    Send a message once everything persisted so far is synced.
 
-    A vote or an acknowledgement that leaves before the sync would be forgotten in a crash: two
-    votes in one term, or a committed entry that a majority does not hold.
+    If a vote or an acknowledgement were sent before the sync, a crash could lose the state behind
+    it: two votes in one term, or a committed entry that a majority does not hold.
     """
     if not state.pending:
         send(state, target, message)
@@ -204,7 +225,13 @@
     truncate_from: int = 0,
     entries: tuple[Entry, ...] = (),
 ) -> None:
-    """Change what must last and ask for it to be made so."""
+    """
+    Change the durable state in memory and emit the effect that syncs the change to disk.
+
+    :param hard: new term and vote; None leaves them.
+    :param truncate_from: index of the first entry to remove; 0 removes none.
+    :param entries: entries to append after that.
+    """
     state.sequence += 1
     if hard is not None:
         state.hard = hard
@@ -219,13 +246,18 @@
 
 
 def reset_election(state: CoreState) -> None:
-    """Draw the next election time; drawn, so that candidates seldom tie."""
+    """Set the next election time; it is random, so that votes are seldom split."""
     spread = 1.0 + state.config.election_spread * state.randomness.random()
-    state.election_at = state.now + state.config.election_timeout_s * spread
+    state.election_due_at = state.now + state.config.election_timeout_s * spread
 
 
 def become_follower(state: CoreState, term: int, leader: ReplicaId | None, cause: str) -> None:
-    """Follow, under a newer term or the same."""
+    """
+    Become a follower in the same or a newer term; as leader, refuse pending reads.
+
+    :param leader: the leader to follow; None if it is not known.
+    :param cause: reason for stepping down, for the log.
+    """
     if term > state.hard.term:
         persist(state, HardState(term=term))
     if state.role == LEADER:
@@ -243,7 +275,7 @@
 
 
 def commit_to(state: CoreState, index: int) -> None:
-    """Commit and apply up to an index that the log holds."""
+    """Advance the commit index to an index that the log holds, and apply the entries up to it."""
     if index <= state.commit_index:
         return
     state.effects.append(Apply(state.log.slice(state.commit_index + 1, index)))
@@ -262,7 +294,7 @@
     "Progress",
     "become_follower",
     "commit_to",
-    "others",
+    "other_replicas",
     "persist",
     "reset_election",
     "send",
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
@@ -19,11 +19,11 @@
     Damage,
     DiskFull,
     WriteRefused,
+    as_write_refused,
     frame,
     header_of,
     make_folder,
     read_records,
-    refusals,
     replace_file,
     sync_folder,
     write_all,
@@ -97,7 +97,7 @@
         :return: the storage, or where its files are damaged; raises `WriteRefused` where a file
             can't be opened or written now.
         """
-        with refusals():
+        with as_write_refused():
             if not (folder / _HARD_STATE).exists():
                 make_folder(folder)
             for leftover in folder.glob("*.tmp"):
@@ -147,7 +147,7 @@
         path = self.folder / f"log-{number:020d}"
         record = LogRecord((LogChange(0, entries),))
         replace_file(path, frame(encode(base)) + frame(encode(record)))
-        with refusals():
+        with as_write_refused():
             opened = os.open(path, os.O_WRONLY | os.O_APPEND)
         os.close(self._descriptor)
         self._descriptor = opened
@@ -187,7 +187,7 @@
     if not path.exists():
         if any(folder.glob("snapshot-*")) or len(segments) > 1:
             return Damage(str(path), 0, "term and vote are missing beside a log")
-        return _lay_out(folder)
+        return _create_files(folder)
     records = read_records(path)
     if isinstance(records, Damage):
         return records
@@ -196,7 +196,7 @@
     return decode(records.payloads[0], StoredHardState)
 
 
-def _lay_out(folder: Path) -> StoredHardState | Damage:
+def _create_files(folder: Path) -> StoredHardState | Damage:
     """Lay out an empty folder; the segment comes first, so that term and vote never lack a log."""
     segment = folder / f"log-{1:020d}"
     if segment.exists():
@@ -227,7 +227,7 @@
     start, entries = loaded
     if start.base_index > snapshot.index:
         return Damage(str(segment), 0, f"the snapshot that ends at {start.base_index} is missing")
-    if _agree(snapshot, start, entries):
+    if _segment_matches_snapshot(snapshot, start, entries):
         stored = StoredState(hard.hard, snapshot, start.base_index, start.base_term, entries)
         return cls(folder, hard.disk_id, stored, segment)
     # A crash came between a received snapshot and its segment: what the log holds is older or was
@@ -242,7 +242,9 @@
     return storage
 
 
-def _agree(snapshot: SnapshotMeta, start: SegmentStart, entries: tuple[Entry, ...]) -> bool:
+def _segment_matches_snapshot(
+    snapshot: SnapshotMeta, start: SegmentStart, entries: tuple[Entry, ...]
+) -> bool:
     if snapshot.index == start.base_index:
         return snapshot.term == start.base_term
     position = snapshot.index - start.base_index - 1
@@ -273,7 +275,7 @@
     if not records.payloads:
         return Damage(str(path), 0, "the segment's first record is damaged")
     if records.end < path.stat().st_size:
-        _cut(path, records.end)
+        _truncate_file(path, records.end)
     start = decode(records.payloads[0], SegmentStart)
     entries: list[Entry] = []
     for payload in records.payloads[1:]:
@@ -288,7 +290,7 @@
     return start, tuple(entries)
 
 
-def _cut(path: Path, end: int) -> None:
+def _truncate_file(path: Path, end: int) -> None:
     """Cut off a torn last record; it was never synced, so nothing was promised about it."""
     with path.open("r+b") as file:
         file.truncate(end)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/writer.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/writer.py
@@ -21,7 +21,7 @@
     from ibisspring_consensus.messages import Entry, SnapshotMeta
     from ibisspring_consensus.storage import Storage
 
-FULL_DISK_RETRY_S = 0.25
+WRITE_RETRY_S = 0.25
 _KIND_BY_REFUSAL = {
     DiskFull: "consensus:disk_full",
     NoDescriptors: "consensus:no_descriptors",
@@ -39,11 +39,11 @@
     done: Callable[[], None]
 
 
-Job = Persist | InstallSnapshot | StoreSnapshot
-Written = TypeVar("Written")
+WriteJob = Persist | InstallSnapshot | StoreSnapshot
+Result = TypeVar("Result")
 
 
-async def with_room(write: Callable[[], Awaitable[Written]]) -> Written:
+async def retry_while_refused(write: Callable[[], Awaitable[Result]]) -> Result:
     """
     Write, and wait where the disk is full or there is no descriptor for a file.
 
@@ -62,7 +62,7 @@
             if not refused:
                 eliot.log_message(_KIND_BY_REFUSAL[type(error)], error=repr(error))
             refused = True
-            await asyncio.sleep(FULL_DISK_RETRY_S)
+            await asyncio.sleep(WRITE_RETRY_S)
 
 
 class Writer:
@@ -75,7 +75,7 @@
         self.group_commit = True
         self._on_synced = on_synced
         self._on_failed = on_failed
-        self._jobs: deque[Job] = deque()
+        self._jobs: deque[WriteJob] = deque()
         self._wake = asyncio.Event()
         self._executor = ThreadPoolExecutor(max_workers=1, thread_name_prefix="consensus-disk")
         self._task: asyncio.Task[None] | None = None
@@ -91,7 +91,7 @@
         await asyncio.to_thread(self._executor.shutdown)
         self.storage.close()
 
-    def add(self, job: Job) -> None:
+    def add(self, job: WriteJob) -> None:
         """Queue a job; jobs are done in order."""
         self._jobs.append(job)
         self._wake.set()
@@ -112,10 +112,10 @@
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(self._executor, function, *arguments)
 
-    async def _in_thread_with_room(
+    async def _in_thread_with_retries(
         self, function: Callable[..., object], *arguments: object
     ) -> None:
-        await with_room(lambda: self._in_thread(function, *arguments))
+        await retry_while_refused(lambda: self._in_thread(function, *arguments))
 
     async def _run(self) -> None:
         try:
@@ -123,7 +123,7 @@
                 await self._wake.wait()
                 self._wake.clear()
                 while self._jobs:
-                    await self._do_next()
+                    await self._run_next_job()
         except Exception as error:
             # After a failed sync nobody knows what the disk holds, and a second sync may say that
             # all is well. The replica takes no further part, so that it promises nothing more.
@@ -132,16 +132,16 @@
             eliot.log_message("consensus:disk_failed", error=repr(error), at=at)
             self._on_failed()
 
-    async def _do_next(self) -> None:
+    async def _run_next_job(self) -> None:
         job = self._jobs.popleft()
         if isinstance(job, Persist):
             batch = [job]
             while self.group_commit and self._jobs and isinstance(self._jobs[0], Persist):
                 batch.append(self._jobs.popleft())
-            await self._in_thread_with_room(self._write, tuple(batch))
+            await self._in_thread_with_retries(self._write, tuple(batch))
             self._on_synced(batch[-1].sequence)
             return
-        await self._in_thread_with_room(self._store_snapshot, job)
+        await self._in_thread_with_retries(self._store_snapshot, job)
         if isinstance(job, InstallSnapshot):
             self._on_synced(job.sequence)
             return
@@ -171,4 +171,4 @@
     return SegmentStart(meta.index, meta.term)
 
 
-__all__ = ["StoreSnapshot", "Writer", "with_room"]
+__all__ = ["StoreSnapshot", "Writer", "retry_while_refused"]
--- a/tests/unit/consensus/guards.py
+++ b/tests/unit/consensus/guards.py
@@ -18,7 +18,7 @@
         patch.setattr(module, "send_after_sync", send)
 
 
-def count_own_unsynced(patch: pytest.MonkeyPatch) -> None:
+def commit_leader_unsynced(patch: pytest.MonkeyPatch) -> None:
     """The leader counts its own entries before they are synced."""
     plain = replication.commit
 
@@ -29,22 +29,22 @@
     patch.setattr(replication, "commit", commit)
 
 
-def forget_the_leader(patch: pytest.MonkeyPatch) -> None:
+def vote_despite_leader_contact(patch: pytest.MonkeyPatch) -> None:
     """A follower that heard a leader a moment ago votes for another."""
-    patch.setattr(election, "heard_lately", lambda state: False)
+    patch.setattr(election, "must_withhold_vote", lambda state: False)
 
 
 def vote_right_after_restart(patch: pytest.MonkeyPatch) -> None:
     """A voter that restarted forgets that it answered a heartbeat and votes at once."""
-    plain = election.heard_lately
+    plain = election.must_withhold_vote
 
-    def heard_lately(state):
+    def must_withhold_vote(state):
         started, state.started_at = state.started_at, -1000.0
-        heard = plain(state)
+        withheld = plain(state)
         state.started_at = started
-        return heard
+        return withheld
 
-    patch.setattr(election, "heard_lately", heard_lately)
+    patch.setattr(election, "must_withhold_vote", must_withhold_vote)
 
 
 def vote_for_any_log(patch: pytest.MonkeyPatch) -> None:
@@ -52,7 +52,7 @@
     patch.setattr(election, "log_is_current", lambda state, request: True)
 
 
-def lease_from_receipt(patch: pytest.MonkeyPatch) -> None:
+def lease_from_reply_receipt(patch: pytest.MonkeyPatch) -> None:
     """The lease is counted from the receipt of the answers."""
     plain = replication.on_append_reply
 
@@ -61,7 +61,7 @@
             state.round_sent_at[reply.round] = state.now
         plain(state, sender, reply)
 
-    patch.setitem(core._ON_MESSAGE, core.AppendReply, on_append_reply)
+    patch.setitem(core._HANDLER_BY_MESSAGE_TYPE, core.AppendReply, on_append_reply)
 
 
 def commit_older_terms(patch: pytest.MonkeyPatch) -> None:
@@ -78,9 +78,9 @@
     patch.setattr(replication, "commit", commit)
 
 
-def answer_for_an_earlier_disk(patch: pytest.MonkeyPatch) -> None:
+def answer_for_previous_disk(patch: pytest.MonkeyPatch) -> None:
     """A wiped replica answers what was meant for its old disk, under the old disk's name."""
-    plain = core.Core._receive
+    plain = core.Core._on_received
 
     def receive(self, event):
         own = self.state.replica
@@ -88,12 +88,12 @@
         plain(self, event)
         self.state.replica = own
 
-    patch.setattr(core.Core, "_receive", receive)
+    patch.setattr(core.Core, "_on_received", receive)
 
 
 def promote_at_once(patch: pytest.MonkeyPatch) -> None:
     """A learner counts before it holds what is committed."""
-    patch.setattr(membership, "caught_up", lambda state, replica: True)
+    patch.setattr(membership, "is_caught_up", lambda state, replica: True)
 
 
 def change_on_uncommitted(patch: pytest.MonkeyPatch) -> None:
@@ -101,7 +101,7 @@
     patch.setattr(membership, "may_change", lambda state: state.role == "leader")
 
 
-def exchange_in_one_step(patch: pytest.MonkeyPatch) -> None:
+def replace_without_joint_consensus(patch: pytest.MonkeyPatch) -> None:
     """The new voter takes the old one's place without a majority of both."""
     plain = membership.promote
 
@@ -112,12 +112,12 @@
     patch.setattr(membership, "promote", promote)
 
 
-def read_without_a_round(patch: pytest.MonkeyPatch) -> None:
+def read_without_quorum_round(patch: pytest.MonkeyPatch) -> None:
     """A read is answered without asking a quorum."""
-    patch.setattr(lease, "quorum_round", lambda state: state.round)
+    patch.setattr(lease, "quorum_acked_round", lambda state: state.round)
 
 
-def append_without_matching(patch: pytest.MonkeyPatch) -> None:
+def append_without_log_match(patch: pytest.MonkeyPatch) -> None:
     """A follower takes entries after a gap or after entries that differ."""
 
     def on_append_request(state, sender, request):
@@ -128,4 +128,4 @@
         following.on_append_request(state, sender, request)
         del state.log.term_at
 
-    patch.setitem(core._ON_MESSAGE, core.AppendRequest, on_append_request)
+    patch.setitem(core._HANDLER_BY_MESSAGE_TYPE, core.AppendRequest, on_append_request)
--- a/tests/unit/consensus/power_loss.py
+++ b/tests/unit/consensus/power_loss.py
@@ -42,7 +42,7 @@
     """Calls of the code under test; `forget` leaves out syncs that it is to be proved to need."""
 
     folder: Path
-    forget: Callable[[str], bool] = lambda name: False
+    skip_sync: Callable[[str], bool] = lambda name: False
     steps: list[Step] = field(default_factory=list)
     _file_by_inode: dict[int, int] = field(default_factory=dict)
     _numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
@@ -66,9 +66,9 @@
         def sync(descriptor: int) -> None:
             path = Path(os.readlink(f"/proc/self/fd/{descriptor}"))
             if path == self.folder:
-                if not self.forget("sync_folder"):
+                if not self.skip_sync("sync_folder"):
                     self.steps.append(Step("sync_folder"))
-            elif self._known(descriptor) and not self.forget(path.name):
+            elif self._known(descriptor) and not self.skip_sync(path.name):
                 self._add("sync", descriptor)
 
         def truncate(descriptor: int, size: int) -> None:
@@ -120,7 +120,7 @@
     names: dict[str, int] = field(default_factory=dict)
     changes: list[Step] = field(default_factory=list)
 
-    def take(self, step: Step) -> None:
+    def apply(self, step: Step) -> None:
         if step.kind in ("write", "truncate"):
             self.pending.setdefault(step.file, []).append(step)
         elif step.kind == "sync":
@@ -131,7 +131,7 @@
                     self.changes.remove(change)
                     self.names[change.name] = change.file
         elif step.kind == "sync_folder":
-            self.names = named(self.names, self.changes)
+            self.names = apply_name_changes(self.names, self.changes)
             self.changes = []
         elif step.kind in ("create", "rename", "unlink"):
             self.changes.append(step)
@@ -155,7 +155,7 @@
         return found
 
 
-def named(names: dict[str, int], changes: list[Step]) -> dict[str, int]:
+def apply_name_changes(names: dict[str, int], changes: list[Step]) -> dict[str, int]:
     """Names after changes, each carried out where it still can be."""
     result = dict(names)
     for change in changes:
@@ -180,7 +180,7 @@
         if step.kind == "promise":
             promised = step.promise
             continue
-        disk.take(step)
+        disk.apply(step)
         for names in _name_states(disk):
             files = sorted(set(names.values()))
             choices = [sorted(disk.contents(file)) for file in files]
@@ -198,7 +198,7 @@
     states = []
     for mask in masks:
         kept = [change for change, keep in zip(changes, mask, strict=True) if keep]
-        state = named(disk.names, kept)
+        state = apply_name_changes(disk.names, kept)
         if state not in states:
             states.append(state)
     return states
--- a/tests/unit/consensus/random_run.py
+++ b/tests/unit/consensus/random_run.py
@@ -37,8 +37,8 @@
         self.random = random.Random(seed)
         self.now = 100.0
         # Runs differ in how fast time goes on against messages, and how long faults last.
-        self.pace_s = self.random.choice((0.05, 0.1, 0.2, 0.4))
-        self.mend = self.random.choice((0.1, 0.2, 0.4))
+        self.max_tick_s = self.random.choice((0.05, 0.1, 0.2, 0.4))
+        self.unblock_probability = self.random.choice((0.1, 0.2, 0.4))
         self.disks = 0
         self.old_disks: list[tuple[str, Disk]] = []
         self.numbers = 0
@@ -49,7 +49,7 @@
         self.members = Members()
         self.members_index = 0
         self.leader_by_term: dict[int, ReplicaId] = {}
-        self.entry_by_place: dict[tuple[int, int], tuple[Entry, int]] = {}
+        self.entry_by_position: dict[tuple[int, int], tuple[Entry, int]] = {}
         self.vote_by_voter: dict[tuple[ReplicaId, int], ReplicaId] = {}
         self.read_floor: dict[int, int] = {}
         self.acknowledged = 0
@@ -126,11 +126,11 @@
         node.disk = self._new_disk()
         self.start(node)
 
-    def mount_old(self, node: Node) -> None:
+    def remount_lost_disk(self, node: Node) -> None:
         """A disk that was taken for lost turns up again under its VM."""
-        olds = [disk for daemon, disk in self.old_disks if daemon == node.daemon]
-        if olds and self.may_lose_disk(node):
-            node.disk = self.random.choice(olds)
+        lost_disks = [disk for daemon, disk in self.old_disks if daemon == node.daemon]
+        if lost_disks and self.may_lose_disk(node):
+            node.disk = self.random.choice(lost_disks)
             self.start(node)
 
     # Events and effects
@@ -139,10 +139,10 @@
         if node.core is None:
             return
         for effect in node.core.step(event, self.local_now(node)):
-            self._carry_out(node, effect)
+            self._run_effect(node, effect)
         self._check_log(node)
 
-    def _carry_out(self, node: Node, effect: events.Effect) -> None:
+    def _run_effect(self, node: Node, effect: events.Effect) -> None:
         match effect:
             case events.Persist():
                 node.jobs.append(effect)
@@ -206,7 +206,7 @@
         first = max(log.base_index, log.last_index - 4) + 1
         for entry in log.slice(first, log.last_index):
             held = (entry, log.term_at(entry.index - 1))
-            known = self.entry_by_place.setdefault((entry.index, entry.term), held)
+            known = self.entry_by_position.setdefault((entry.index, entry.term), held)
             assert known == held, "logs differ at one index and term"
 
     def check_leases(self) -> None:
@@ -219,7 +219,7 @@
 
     # Chance
 
-    def chance(self) -> None:
+    def random_event(self) -> None:
         """One random thing happens."""
         node = self.random.choice(list(self.node_by_daemon.values()))
         draw = self.random.random()
@@ -236,7 +236,7 @@
         self.check_leases()
 
     def tick(self, node: Node) -> None:
-        self.now += self.random.random() * self.pace_s
+        self.now += self.random.random() * self.max_tick_s
         if not node.frozen:
             self.step(node, events.Tick())
 
@@ -298,7 +298,7 @@
             if draw < 0.7:
                 self.start(node)
             return
-        if draw < self.mend:
+        if draw < self.unblock_probability:
             self.blocked.clear()
         elif draw < 0.55:
             self.crash(node)
@@ -307,7 +307,7 @@
         elif draw < 0.72 and self.may_lose_disk(node):
             self.wipe(node)
         elif draw < 0.75:
-            self.mount_old(node)
+            self.remount_lost_disk(node)
         elif draw < 0.90:
             other = self.random.choice(list(self.node_by_daemon))
             self.blocked.add((node.daemon, other))
@@ -327,12 +327,12 @@
             if node.core is None:
                 self.start(node)
         for _ in range(4000):
-            self.calm()
-            if self.is_whole():
+            self.step_without_faults()
+            if self.has_recovered():
                 return
         raise AssertionError("the cluster did not come back after all faults had ended")
 
-    def calm(self) -> None:
+    def step_without_faults(self) -> None:
         """A moment without faults."""
         self.now += 0.02
         for node in self.node_by_daemon.values():
@@ -344,7 +344,7 @@
                     self.step(node, events.SnapshotTaken(job.meta, job.base + 1))
                 else:
                     self.step(node, events.Persisted(job.sequence))
-        for sender, target, message in self.take_messages():
+        for sender, target, message in self.drain_messages():
             node = self.node_by_daemon[target.daemon]
             cluster = node.core.cluster
             self.step(node, events.Received(sender, target, message))
@@ -353,16 +353,16 @@
                 self.step(back, events.ReplicaSeen(node.replica, cluster))
         self.check_leases()
 
-    def take_messages(self) -> list:
+    def drain_messages(self) -> list:
         messages, self.messages = self.messages, []
         return messages
 
-    def is_whole(self) -> bool:
+    def has_recovered(self) -> bool:
         """Every daemon's present disk is a voter and has applied all that is committed."""
         present = {node.replica for node in self.node_by_daemon.values()}
-        whole = bool(self.committed) and set(self.members.voters) == present
-        whole = whole and not self.members.outgoing
-        return whole and all(
+        recovered = bool(self.committed) and set(self.members.voters) == present
+        recovered = recovered and not self.members.outgoing
+        return recovered and all(
             node.applied == len(self.committed) for node in self.node_by_daemon.values()
         )
 
@@ -387,7 +387,7 @@
     try:
         random_run = kind(seed, count)
         for _ in range(steps):
-            random_run.chance()
+            random_run.random_event()
         random_run.heal()
     except AssertionError as error:
         message = f"seed {seed}, {count} nodes, {steps} steps: {error}"
--- a/tests/unit/consensus/refusing.py
+++ b/tests/unit/consensus/refusing.py
@@ -16,17 +16,17 @@
         :param number: of the error.
         :param calls: what holds each call, and its name there.
         """
-        self.room = asyncio.Event()
-        self.tried = asyncio.Event()
+        self.allowed = asyncio.Event()
+        self.attempted = asyncio.Event()
         loop = asyncio.get_running_loop()
 
         def patch(place: object, name: str) -> None:
             plain = getattr(place, name)
 
             def refusing(*arguments, **options):
-                if self.room.is_set():
+                if self.allowed.is_set():
                     return plain(*arguments, **options)
-                loop.call_soon_threadsafe(self.tried.set)
+                loop.call_soon_threadsafe(self.attempted.set)
                 raise OSError(number, os.strerror(number))
 
             monkeypatch.setattr(place, name, refusing)
--- a/tests/unit/consensus/run_nodes.py
+++ b/tests/unit/consensus/run_nodes.py
@@ -39,16 +39,16 @@
                     del self.entries[job.truncate_from - self.base_index - 1 :]
                 self.entries.extend(job.entries)
             case events.InstallSnapshot():
-                self._keep(job.meta, job.data, job.meta.index, job.meta.term, job.entries)
+                self._set_snapshot(job.meta, job.data, job.meta.index, job.meta.term, job.entries)
             case StoreSnapshot():
                 base = max(job.base, self.base_index)
                 kept = self.entries[base - self.base_index :]
                 term = self.base_term
                 if base > self.base_index:
                     term = self.entries[base - self.base_index - 1].term
-                self._keep(job.meta, job.data, base, term, tuple(kept))
+                self._set_snapshot(job.meta, job.data, base, term, tuple(kept))
 
-    def _keep(
+    def _set_snapshot(
         self, meta: SnapshotMeta, data: bytes, base: int, term: int, entries: tuple[Entry, ...]
     ) -> None:
         self.snapshot = meta
--- a/tests/unit/consensus/test_core_fuzz.py
+++ b/tests/unit/consensus/test_core_fuzz.py
@@ -12,14 +12,14 @@
 # Found with each guard taken out; the same runs pass with it.
 SEED_AND_COUNT_BY_GUARD = {
     guards.answer_before_sync: (86, 5),
-    guards.count_own_unsynced: (197, 3),
+    guards.commit_leader_unsynced: (197, 3),
     guards.vote_for_any_log: (0, 3),
-    guards.answer_for_an_earlier_disk: (254, 5),
+    guards.answer_for_previous_disk: (254, 5),
     guards.promote_at_once: (11, 5),
     guards.change_on_uncommitted: (28, 5),
-    guards.exchange_in_one_step: (438, 3),
-    guards.read_without_a_round: (1, 3),
-    guards.append_without_matching: (0, 3),
+    guards.replace_without_joint_consensus: (438, 3),
+    guards.read_without_quorum_round: (1, 3),
+    guards.append_without_log_match: (0, 3),
 }
 LONG = os.environ.get("IBISSPRING_FUZZ") == "1"
 FIRST_LONG_SEED = 1000
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("seed", "count"), [(1277, 5), (2002, 5)])
-def test_a_learner_that_was_forgotten_is_taken_in_again(seed, count) -> None:
+def test_learner_whose_entry_was_overwritten_becomes_a_learner_again(seed, count) -> None:
     """
     A repaired control VM stays outside for ever, although it runs and its disk is new.
 
@@ -60,7 +60,7 @@
     run(seed, count, STEPS)
 
 
-def test_a_snapshot_of_its_own_never_replaces_a_newer_one() -> None:
+def test_local_snapshot_never_replaces_a_newer_one_from_the_leader() -> None:
     """
     A control VM that lagged counts by old members after the leader sent it a snapshot.
 
@@ -70,11 +70,13 @@
     run(826, 3, STEPS)
 
 
-@pytest.mark.parametrize("remove", SEED_AND_COUNT_BY_GUARD, ids=lambda remove: remove.__name__)
-def test_random_run_finds_a_missing_guard(monkeypatch, remove) -> None:
-    seed, count = SEED_AND_COUNT_BY_GUARD[remove]
+@pytest.mark.parametrize(
+    "remove_guard", SEED_AND_COUNT_BY_GUARD, ids=lambda remove_guard: remove_guard.__name__
+)
+def test_random_run_finds_a_missing_guard(monkeypatch, remove_guard) -> None:
+    seed, count = SEED_AND_COUNT_BY_GUARD[remove_guard]
     run(seed, count, STEPS)
-    remove(monkeypatch)
+    remove_guard(monkeypatch)
     with pytest.raises(AssertionError, match=f"seed {seed}"):
         run(seed, count, STEPS)
 
--- a/tests/unit/consensus/test_power_loss.py
+++ b/tests/unit/consensus/test_power_loss.py
@@ -93,9 +93,9 @@
 
 @pytest.fixture
 def record(tmp_path, monkeypatch):
-    def run(forget=lambda name: False) -> Recorder:
+    def run(skip_sync=lambda name: False) -> Recorder:
         folder = tmp_path / "consensus"
-        recorder = Recorder(folder, forget)
+        recorder = Recorder(folder, skip_sync)
         with monkeypatch.context() as patched:
             recorder.patch(patched)
             work(folder, recorder)
@@ -125,7 +125,7 @@
     assert faults(tmp_path, record(lambda synced: synced == name))
 
 
-def test_the_model_sees_a_write_that_was_never_synced(tmp_path, monkeypatch) -> None:
+def test_model_includes_unsynced_writes(tmp_path, monkeypatch) -> None:
     recorder = Recorder(tmp_path)
     with monkeypatch.context() as patched:
         recorder.patch(patched)
--- a/tests/unit/consensus/test_repair.py
+++ b/tests/unit/consensus/test_repair.py
@@ -16,7 +16,7 @@
     ReplicaId,
     SnapshotMeta,
 )
-from ibisspring_consensus.repair import SILENT_S, Candidate, next_change
+from ibisspring_consensus.repair import REPLACE_AFTER_SILENCE_S, Candidate, next_change
 from ibisspring_consensus.state import LEADER, CoreConfig, CoreState, Progress
 from ibisspring_core.messages.codec import encode
 
@@ -36,20 +36,20 @@
         commit_index=1,
         now=NOW,
         started_at=0.0,
-        election_at=0.0,
+        election_due_at=0.0,
         synced_index=1,
         role=LEADER,
     )
     for voter in members.voters[1:]:
-        heard = NOW - SILENT_S - 1 if voter.daemon in silent else NOW
-        state.progress_by_replica[voter] = Progress(1, 2, answered_at=heard)
+        replied_at = NOW - REPLACE_AFTER_SILENCE_S - 1 if voter.daemon in silent else NOW
+        state.progress_by_replica[voter] = Progress(1, 2, replied_at=replied_at)
     return state
 
 
 MEMBERS_OF_THREE = Members(VOTERS, cluster="x")
 
 
-def test_a_vm_that_is_gone_for_good_is_replaced_by_the_one_that_came_for_it() -> None:
+def test_permanently_lost_voter_is_replaced_by_a_spare() -> None:
     # A store is lost for good and an empty one comes at another address. Left outside, the next
     # loss would end the log.
     state = leader(MEMBERS_OF_THREE, silent=("b",))
@@ -70,18 +70,18 @@
     assert next_change(state, [*here, near], (), 3) == Replace(near.replica, VOTERS[2])
 
 
-def test_silence_alone_removes_nobody() -> None:
+def test_silent_voter_stays_while_there_is_no_spare() -> None:
     # A partition leaves two of three voters: taking the third out would let one more loss end it.
     state = leader(MEMBERS_OF_THREE, silent=("b",))
 
     assert next_change(state, [], (), 3) is None
 
 
-def test_a_member_that_answers_stays() -> None:
+def test_responsive_voter_stays() -> None:
     assert next_change(leader(MEMBERS_OF_THREE), [SPARE], (), 3) is None
 
 
-def test_what_an_operator_takes_away_is_replaced_though_it_answers() -> None:
+def test_leaving_voter_is_replaced_although_it_responds() -> None:
     state = leader(MEMBERS_OF_THREE)
 
     assert next_change(state, [SPARE], ("c",), 3) == Replace(SPARE.replica, VOTERS[2])
@@ -89,7 +89,7 @@
     assert next_change(state, [SPARE], ("a",), 3) == Replace(SPARE.replica, VOTERS[0])
 
 
-def test_voters_are_added_until_they_bear_the_losses_asked_for() -> None:
+def test_voters_are_added_up_to_the_wanted_number() -> None:
     state = leader(MEMBERS_OF_THREE)
 
     assert next_change(state, [SPARE], (), 5) == Replace(SPARE.replica, None)
@@ -107,8 +107,8 @@
     assert next_change(leader(members, silent=("b",)), [SPARE], (), 3) is None
 
 
-def test_a_leader_that_was_just_elected_waits_before_it_calls_others_silent() -> None:
+def test_new_leader_waits_before_it_replaces_silent_voters() -> None:
     state = leader(MEMBERS_OF_THREE, silent=("b",))
-    state.led_since = NOW - 1.0
+    state.leader_since = NOW - 1.0
 
     assert next_change(state, [SPARE], (), 3) is None
--- a/tests/unit/consensus/test_start.py
+++ b/tests/unit/consensus/test_start.py
@@ -13,7 +13,7 @@
 from ibisspring_consensus import writer as writer_module
 from ibisspring_consensus.config import ReplicaConfig
 from ibisspring_consensus.core import Core, StoredState
-from ibisspring_consensus.election import heard_lately
+from ibisspring_consensus.election import must_withhold_vote
 from ibisspring_consensus.messages import HardState, ReplicaId, SnapshotMeta
 from ibisspring_consensus.state import QUICK, CoreConfig
 from ibisspring_core.counters import Counters
@@ -40,17 +40,17 @@
     # was before this one began; counted from the end of its imports, the wait kept callers from a
     # leader for a third of a second more than any lease lasts.
     core = core_of_a_process_that_started_earlier()
-    assert heard_lately(core.state)
+    assert must_withhold_vote(core.state)
 
     core.step(events.Tick(), STARTED_S + QUICK.leader_lease_s)
-    assert heard_lately(core.state)
+    assert must_withhold_vote(core.state)
 
     core.step(events.Tick(), STARTED_S + QUICK.election_timeout_s)
-    assert not heard_lately(core.state)
-    assert core.state.election_at <= STARTED_S + 2 * QUICK.election_timeout_s
+    assert not must_withhold_vote(core.state)
+    assert core.state.election_due_at <= STARTED_S + 2 * QUICK.election_timeout_s
 
 
-def test_the_times_are_those_of_the_settings() -> None:
+def test_core_times_come_from_the_settings() -> None:
     # An operator shortens all times. A lease that stayed as long as before would outlast the
     # silence after which another leader is elected, and both would believe to be in charge.
     control = ControlSettings(
@@ -80,15 +80,15 @@
     tmp_path, monkeypatch, refused
 ) -> None:
     # A VM with an empty disk that is full for a while ends at each start.
-    monkeypatch.setattr(writer_module, "FULL_DISK_RETRY_S", 0.01)
+    monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     disk = full_disk(monkeypatch, refused)
     kernel = kernel_of_a_replica(tmp_path / "control" / "consensus")
     async with asyncio.timeout(5.0):
         start = asyncio.create_task(kernel.start())
-        tried = asyncio.create_task(disk.tried.wait())
-        await asyncio.wait((start, tried), return_when=asyncio.FIRST_COMPLETED)
+        attempted = asyncio.create_task(disk.attempted.wait())
+        await asyncio.wait((start, attempted), return_when=asyncio.FIRST_COMPLETED)
         assert not start.done()
-        disk.room.set()
+        disk.allowed.set()
         await start
         await kernel.stop()
 
@@ -107,6 +107,6 @@
 
     async with asyncio.timeout(5.0):
         starting = asyncio.create_task(start())
-        await disk.tried.wait()
+        await disk.attempted.wait()
         kernel.stopping.set()
         assert await starting == 0
--- a/tests/unit/consensus/test_storage.py
+++ b/tests/unit/consensus/test_storage.py
@@ -129,7 +129,7 @@
         assert damage.offset == max(offset for offset in offsets if offset <= position)
 
 
-def test_lost_files_refuse_to_start(folder) -> None:
+def test_missing_files_prevent_the_start(folder) -> None:
     (folder / "hard_state").rename(folder / "elsewhere")
     assert isinstance(Storage.from_folder(folder), Damage)
     (folder / "elsewhere").rename(folder / "hard_state")
@@ -200,7 +200,7 @@
     assert opened(folder).read_snapshot(10) == data
 
 
-def test_a_received_snapshot_without_its_segment_is_taken_up(folder) -> None:
+def test_received_snapshot_without_its_segment_is_loaded(folder) -> None:
     """A follower behind the log crashes between storing the leader's snapshot and its new log."""
     storage = opened(folder)
     storage.write_snapshot(meta(50), b"state")
@@ -231,7 +231,7 @@
     assert {tmp_path, tmp_path / "control"} <= set(synced)
 
 
-def test_a_start_that_is_refused_leaves_no_file_open(folder, monkeypatch) -> None:
+def test_refused_start_leaks_no_descriptor(folder, monkeypatch) -> None:
     # A replica that waits for room at its start loses a descriptor with each try.
     data = b"state"
     storage = opened(folder)
--- a/tests/unit/consensus/test_writer.py
+++ b/tests/unit/consensus/test_writer.py
@@ -28,7 +28,7 @@
     return Storage.from_folder(tmp_path / "consensus")
 
 
-async def test_what_waits_is_synced_together_and_reported_once(storage, monkeypatch) -> None:
+async def test_queued_writes_share_one_sync_and_one_report(storage, monkeypatch) -> None:
     records = []
     plain = storage.write_log
     monkeypatch.setattr(storage, "write_log", lambda changes: records.append(plain(changes)))
@@ -73,18 +73,18 @@
     Cause: a write without room was taken for a failed sync. Nothing of it was promised, and what
     stands of it is cut off, so that the log is read whole after a restart.
     """
-    monkeypatch.setattr(writer_module, "FULL_DISK_RETRY_S", 0.01)
+    monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     storage = Storage.from_folder(tmp_path / "consensus")
-    room = asyncio.Event()
-    tried = asyncio.Event()
+    space_available = asyncio.Event()
+    attempted = asyncio.Event()
     loop = asyncio.get_running_loop()
     plain = files.os.write
 
     def write(descriptor: int, data: bytes) -> int:
-        if room.is_set():
+        if space_available.is_set():
             return plain(descriptor, data)
         plain(descriptor, data[:5])
-        loop.call_soon_threadsafe(tried.set)
+        loop.call_soon_threadsafe(attempted.set)
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(files.os, "write", write)
@@ -92,9 +92,9 @@
     writer = Writer(storage, synced.put_nowait, lambda: None)
     writer.start()
     writer.add(persist(1))
-    await tried.wait()
+    await attempted.wait()
     assert synced.empty()
-    room.set()
+    space_available.set()
     assert await synced.get() == 1
     await writer.stop()
     monkeypatch.undo()
@@ -103,7 +103,7 @@
     assert [entry.index for entry in again.stored.entries] == [1]
 
 
-async def test_an_unwritten_hard_state_leaves_the_one_before(storage, monkeypatch) -> None:
+async def test_refused_hard_state_write_keeps_the_previous_one(storage, monkeypatch) -> None:
     def write(descriptor: int, data: bytes) -> int:
         raise OSError(28, "No space left on device")
 
@@ -119,7 +119,7 @@
 async def test_a_new_term_on_a_full_disk_is_waited_for(storage, monkeypatch, refused) -> None:
     # A leader is elected while the disk of a follower is full: the file of term and vote finds no
     # room for its new name, and the control daemon ends.
-    monkeypatch.setattr(writer_module, "FULL_DISK_RETRY_S", 0.01)
+    monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     place = {"open": Path, "fsync": files.os, "replace": Path}[refused]
     disk = Refusing(monkeypatch, errno.ENOSPC, (place, refused))
     synced, failed = asyncio.Queue(), asyncio.Event()
@@ -127,8 +127,8 @@
     writer.start()
     writer.add(Persist(1, hard_state=HardState(term=9)))
     async with asyncio.timeout(5.0):
-        await disk.tried.wait()
-        disk.room.set()
+        await disk.attempted.wait()
+        disk.allowed.set()
         assert await synced.get() == 1
     await writer.stop()
     monkeypatch.undo()
@@ -139,7 +139,7 @@
 
 async def written_without_descriptors(storage, monkeypatch, job) -> bool:
     """Whether a replica ended over a job for which no file could be opened at first."""
-    monkeypatch.setattr(writer_module, "FULL_DISK_RETRY_S", 0.01)
+    monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     disk = Refusing(monkeypatch, errno.EMFILE, (files.os, "open"), (Path, "open"))
     synced, failed = asyncio.Queue(), asyncio.Event()
     writer = Writer(storage, synced.put_nowait, failed.set)
@@ -148,8 +148,8 @@
     writer.add(persist(1))
     async with asyncio.timeout(5.0):
         ended = asyncio.create_task(failed.wait())
-        await disk.tried.wait()
-        disk.room.set()
+        await disk.attempted.wait()
+        disk.allowed.set()
         written = asyncio.create_task(synced.get())
         await asyncio.wait((ended, written), return_when=asyncio.FIRST_COMPLETED)
     await writer.stop()
@@ -203,7 +203,7 @@
             raise OSError(errno.EMFILE, "Too many open files")
         return plain(path, *arguments)
 
-    monkeypatch.setattr(writer_module, "FULL_DISK_RETRY_S", 0.01)
+    monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     monkeypatch.setattr(files.os, "open", without_descriptors)
     synced, failed = asyncio.Queue(), asyncio.Event()
     writer = Writer(storage, synced.put_nowait, failed.set)
