--- a/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
@@ -132,14 +132,14 @@
         """
         state = self.state
         state.now = max(state.now, now)
-        self._handle(event)
+        self._handle_event(event)
         replication.commit(state)
         complete_reads(state)
         effects = tuple(state.effects)
         state.effects.clear()
         return effects
 
-    def _handle(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         state = self.state
         match event:
             case Tick():
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
@@ -1,4 +1,4 @@
-"""Checksummed records and files that are replaced whole."""
+"""Checksummed records, and files that are replaced atomically."""
 
 from __future__ import annotations
 
@@ -14,26 +14,28 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-# Length of the payload, CRC-32 of the payload, CRC-32 of the eight bytes before.
+# Length of the payload, CRC-32 of the payload, CRC-32 of these first eight bytes.
 HEADER = struct.Struct("<III")
 _LENGTH_AND_SUM = struct.Struct("<II")
 
 
 class WriteRefused(Exception):
-    """The system refuses a write for now, and nothing that was synced before is in doubt."""
+    """
+    The system refused an operation for a cause that can pass; everything synced before is intact.
+    """
 
 
 class DiskFull(WriteRefused):
     """
-    There is no room.
+    The file system has no free space for a write.
 
-    The sync of a log that finds no room is not meant: it may have dropped what was written before,
-    and after it nobody knows what the disk holds.
+    Not used for a log sync that fails with ENOSPC: such a sync may have dropped data written
+    before, and the content of the disk is unknown after it.
     """
 
 
 class NoDescriptors(WriteRefused):
-    """The process or its VM has no descriptor left for a file."""
+    """The process or its VM has reached its limit of open files."""
 
 
 _REFUSAL_BY_ERRNO = {
@@ -46,9 +48,11 @@
 @dataclass(frozen=True)
 class Damage:
     """
-    A place in a file that is not what was written.
+    A part of a file that differs from what was written.
 
+    :param path: the file, or the folder that lacks it.
     :param offset: byte offset of the first bad record.
+    :param message: what is wrong.
     """
 
     path: str
@@ -62,10 +66,10 @@
 @dataclass(frozen=True)
 class Records:
     """
-    Records of a file.
+    The valid records of a file.
 
-    :param payloads: the good records in order.
-    :param end: offset after the last good record.
+    :param payloads: payloads of the valid records, in order.
+    :param end: offset after the last valid record.
     """
 
     payloads: tuple[bytes, ...]
@@ -74,9 +78,9 @@
 
 def frame(payload: bytes) -> bytes:
     """
-    Frame a record.
+    Prepend the header to a record.
 
-    :param payload: its bytes.
+    :param payload: the record's bytes.
     :return: header and payload.
     """
     return header_of(payload) + payload
@@ -84,9 +88,10 @@
 
 def header_of(payload: bytes) -> bytes:
     """
-    Make the header of a record.
+    Build the header of a record.
 
-    :param payload: the record's bytes; a long one is written after its header without a copy.
+    :param payload: the record's bytes. With a separate header, a large payload is written without a
+        copy.
     :return: the header.
     """
     start = _LENGTH_AND_SUM.pack(len(payload), zlib.crc32(payload))
@@ -107,11 +112,11 @@
 
 def read_records(path: Path) -> Records | Damage:
     """
-    Read all records of a file that one record at a time was synced to.
+    Read all records of a file to which one record at a time was appended and synced.
 
-    A crash can only tear the last record, since each is synced before the next is written. A bad
-    record with a good one behind it was good once, and what it promised is lost: the replica must
-    not go on as if it had never been.
+    A crash can tear only the last record, since each record is synced before the next is written. A
+    bad record before a valid one was therefore synced and is lost now. The replica may have sent
+    votes or acknowledgements that depend on it, so it must not continue without it.
 
     :param path: the file.
     :return: the records before a torn end, or the damage.
@@ -127,26 +132,29 @@
         offset += HEADER.size + len(payload)
     for later in range(offset + 1, len(data) - HEADER.size + 1):
         if _record_at(data, later):
-            message = f"a damaged record stands before a good one at offset {later}"
+            message = f"damaged record before a valid record at offset {later}"
             return Damage(str(path), offset, message)
     return Records(tuple(payloads), offset)
 
 
 def write_all(descriptor: int, data: bytes) -> None:
     """
-    Write all bytes; `DiskFull` where there is no room, with a part of them written.
+    Write all bytes; raise `DiskFull` if there is no free space, possibly after a part was written.
 
     :param descriptor: an open file.
+    :param data: the bytes.
     """
-    left = memoryview(data)
+    remaining = memoryview(data)
     with as_write_refused():
-        while left:
-            left = left[os.write(descriptor, left) :]
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
 
 
 @contextmanager
 def as_write_refused() -> Iterator[None]:
-    """Raise `WriteRefused` where what is done within is refused for now."""
+    """
+    Raise `WriteRefused` in place of an `OSError` whose cause can pass: no free space or descriptor.
+    """
     try:
         yield
     except OSError as error:
@@ -158,9 +166,9 @@
 
 def sync_folder(folder: Path) -> None:
     """
-    Make created, renamed and removed names in a folder last.
+    Sync the names that were created, renamed or removed in a folder.
 
-    Raises `WriteRefused` where the folder can't be opened now; a sync that fails is another matter.
+    Raises `WriteRefused` if the folder cannot be opened at present; a failed sync raises `OSError`.
     """
     with as_write_refused():
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
@@ -172,36 +180,37 @@
 
 def make_folder(path: Path) -> None:
     """
-    Make a folder whose name lasts; `WriteRefused` where it can't be made now.
+    Create a folder and sync its name; raise `WriteRefused` if it cannot be created at present.
 
-    Without its name a folder is gone after a power loss, with all that was synced in it. The folder
-    and the data folder that holds it may be left by a process that ended before it synced them.
+    If the name of a folder is not synced, a power loss removes the folder with everything that was
+    synced in it. The names of the folder and its parent are synced even if both exist, because a
+    previous process may have ended after it created them and before it synced their names.
 
     :param path: the folder; it may exist.
     """
-    named = {path, path.parent}
-    named.update(folder for folder in path.parents if not folder.exists())
+    unsynced_names = {path, path.parent}
+    unsynced_names.update(folder for folder in path.parents if not folder.exists())
     with as_write_refused():
         path.mkdir(parents=True, exist_ok=True)
-        for holder in {folder.parent for folder in named}:
-            # Nothing of ours can have been made in a folder that is not ours to write to.
-            if os.access(holder, os.W_OK):
-                sync_folder(holder)
+        for parent in {folder.parent for folder in unsynced_names}:
+            # This process cannot have created anything in a folder that it may not write to.
+            if os.access(parent, os.W_OK):
+                sync_folder(parent)
 
 
 def replace_file(path: Path, *pieces: bytes) -> None:
     """
-    Write a file whole or not at all; `WriteRefused` where it can't be written now.
+    Write a file atomically; raise `WriteRefused` if it cannot be written at present.
 
-    A crash leaves the old file or the new one: the new one is synced under another name before it
-    takes the place, and the folder is synced after.
+    After a crash the old or the new file exists: the new one is synced under a temporary name,
+    renamed, and then the folder is synced.
 
-    :param path: where it stands.
-    :param pieces: its new content, one after the other.
+    :param path: the file.
+    :param pieces: the new content, in order.
     """
     temporary = path.with_name(path.name + ".tmp")
-    # A full disk refuses the new name as well, or says so at the sync: the old file stands, and the
-    # next try writes the new one whole.
+    # A full disk can also refuse to create the temporary file, or report the lack of space at its
+    # sync. The old file is intact then, and the next attempt writes the new file from its start.
     with as_write_refused():
         with temporary.open("wb", buffering=0) as file:
             for piece in pieces:
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
@@ -1,4 +1,4 @@
-"""What operators ask of the replicas: status, bootstrap, replace, snapshot."""
+"""Operators' actions on replicas: identify, status, bootstrap, replace, snapshot."""
 
 from __future__ import annotations
 
@@ -30,8 +30,10 @@
     """
     Answer to an operator.
 
-    :param answer: JSON of what was asked for.
-    :param leader_hint: whom to ask instead.
+    :param ok: whether the action was carried out.
+    :param answer: JSON result of the action.
+    :param leader_hint: daemon to ask instead; empty for none.
+    :param detail: reason for a failure.
     """
 
     ok: bool
@@ -44,8 +46,9 @@
     """
     Carry out an operator's action.
 
-    :param node: the replica that was asked.
+    :param node: the replica that received the request.
     :param action: `identify`, `status`, `bootstrap`, `replace` or `snapshot`.
+    :param arguments: arguments of `replace`.
     :return: the answer.
     """
     if action == "identify":
@@ -76,7 +79,7 @@
     """
     Describe a replica.
 
-    :return: role, term, members and positions, as JSON values.
+    :return: role, term, members and log indexes, as JSON values.
     """
     state = node.core.state
     members = node.core.members
@@ -103,10 +106,10 @@
 
 async def identify(address: str) -> Identity | None:
     """
-    Ask a control daemon who it is.
+    Ask the daemon at an address for its replica, with a limit of `IDENTIFY_TIMEOUT_S`.
 
     :param address: IP:port.
-    :return: the identity; None where it does not answer.
+    :return: the identity; None if the daemon does not answer.
     """
     channel = open_channel(address)
     stub = consensus_pb2_grpc.ConsensusStub(channel)
@@ -125,16 +128,16 @@
 
 async def bootstrap(node: ConsensusNode) -> Managed:
     """
-    Found the cluster of all daemons that its configuration names.
+    Bootstrap the cluster of all daemons in this daemon's configuration.
 
-    Every one of them must answer and be empty. A cluster that lost some of its disks is therefore
-    never founded a second time beside what the others still hold; and only the first daemon by name
-    founds, so that two operators cannot found two.
+    All of them must answer and be empty, so that a cluster which lost some of its disks is never
+    bootstrapped again beside the remaining state. Only the daemon with the first id may bootstrap,
+    so that two operators cannot create two clusters.
     """
     config = node.replica_config
     first = min(config.founders)
     if config.daemon != first:
-        return Managed(False, leader_hint=first, detail=f"ask {first}, which founds the cluster")
+        return Managed(False, leader_hint=first, detail=f"only {first} can bootstrap the cluster")
     identities = [Identity(node.replica, node.core.is_empty)]
     for daemon in sorted(config.founders):
         if daemon == config.daemon:
@@ -142,29 +145,29 @@
         address = config.address_of(daemon)
         identity = await identify(address)
         if identity is None or identity.replica.daemon != daemon:
-            return Managed(False, detail=f"{daemon} does not answer at {address}; nothing was done")
+            return Managed(False, detail=f"{daemon} does not answer at {address}; nothing changed")
         identities.append(identity)
     non_empty = [identity.replica.daemon for identity in identities if not identity.empty]
     if non_empty or not node.core.is_empty:
         names = ", ".join(non_empty) or config.daemon
-        return Managed(False, detail=f"{names} already holds state; nothing was done")
+        return Managed(False, detail=f"{names} already holds state; nothing changed")
     voters = tuple(sorted(identity.replica for identity in identities))
     node.dispatch(events.Bootstrap(Members(voters, cluster=secrets.token_hex(8))))
     leader_elected = await _wait_until(lambda: bool(node.leader_hint), BOOTSTRAP_TIMEOUT_S)
     if not leader_elected:
-        return Managed(False, detail="founded, but no leader was elected yet; see control status")
+        return Managed(False, detail="bootstrapped, but no leader elected yet; see control status")
     return _answer(status(node))
 
 
 async def replace_member(node: ConsensusNode, arguments: dict[str, Any]) -> Managed:
     """
-    Put a replica in the place of another and wait until the old one counts no more.
+    Replace a voter, and wait until the change is committed or the time limit ends.
 
-    :param arguments: `daemon`, whose present member leaves, and `new`, the daemon that takes its
-        place under its present disk; the same one after its disk was lost.
+    :param arguments: `daemon`: the daemon whose current voter is removed; `new`: the daemon whose
+        current disk becomes a voter. Without `new` the same daemon is used, after it lost its disk.
     """
     if not node.is_leader:
-        return Managed(False, leader_hint=node.leader_hint, detail="this replica does not lead")
+        return Managed(False, leader_hint=node.leader_hint, detail="this replica is not the leader")
     new_daemon = arguments.get("new") or arguments["daemon"]
     address = node.replica_config.address_of(new_daemon)
     if address is None:
@@ -185,12 +188,16 @@
         now = node.core.members
         return new in now.voters and (old == new or old not in now.voters) and not now.outgoing
 
-    ended = await _wait_until(
+    finished = await _wait_until(
         lambda: not node.is_leader or _is_replacement_committed(node, replaced), REPLACE_TIMEOUT_S
     )
-    if ended and node.is_leader:
+    if finished and node.is_leader:
         return _answer(status(node))
-    return Managed(False, leader_hint=node.leader_hint, detail="not finished; see control status")
+    return Managed(
+        False,
+        leader_hint=node.leader_hint,
+        detail="the replacement is not finished; see control status",
+    )
 
 
 def _is_replacement_committed(node: ConsensusNode, replaced: Any) -> bool:
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/membership.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/membership.py
@@ -137,8 +137,8 @@
     majorities without a common member could decide when the lost disk reappears.
     """
     kept = tuple(other for other in members.learners if other != learner)
-    stay = tuple(voter for voter in members.voters if voter != learner.replaces)
-    voters = (*stay, learner.replica)
+    remaining_voters = tuple(voter for voter in members.voters if voter != learner.replaces)
+    voters = (*remaining_voters, learner.replica)
     return replace(members, voters=voters, learners=kept, outgoing=members.voters)
 
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
@@ -1,4 +1,4 @@
-"""The service `consensus`: the core with its clock, disk, network and state machine."""
+"""The service `consensus`: connects the core to clock, disk, network and state machine."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ConsensusNode:
-    """One replica as a service."""
+    """One replica as a service of the daemon."""
 
     name = "consensus"
 
@@ -56,12 +56,12 @@
         Build the service.
 
         :param settings: checked settings of a daemon with the control role.
-        :return: the service; files are opened at its start.
+        :return: the service; it opens its files in `start`.
         """
         return cls(ReplicaConfig.from_config(settings))
 
     async def start(self, kernel: Kernel) -> None:
-        """Open the disk, restore the state machine and begin to tick."""
+        """Open the disk, restore the state machine and start the core's ticks."""
         config = self.replica_config
         self._state = kernel.find(config.state)
         self._counters = kernel.find("counters")
@@ -69,7 +69,7 @@
         storage = await self._open_storage(kernel.stopping)
         if isinstance(storage, Damage):
             eliot.log_message("consensus:damaged", damage=str(storage))
-            # The one way out of a start: the daemon ends and its output says why.
+            # `SystemExit` ends the daemon with this message on its output.
             raise SystemExit(f"ibisspringd: refusing to start: {storage}")
         self.replica = ReplicaId(config.daemon, storage.disk_id)
         self._restore(storage)
@@ -89,7 +89,9 @@
         self._ticks = timer.subscribe("consensus", self.config.tick_s, self._tick)
 
     async def _open_storage(self, stopping: asyncio.Event) -> Storage | Damage:
-        """Open the disk, which may have no room for a new folder; end where the daemon stops."""
+        """
+        Open the disk, and retry while it is full; raise `SystemExit` if the daemon stops meanwhile.
+        """
         folder = self.replica_config.folder
         opening = asyncio.create_task(
             retry_while_refused(lambda: asyncio.to_thread(Storage.from_folder, folder))
@@ -109,19 +111,21 @@
             self._state.restore(storage.read_snapshot(snapshot.index))
 
     async def stop(self) -> None:
-        """Hand over leadership, answer what waits, and close the disk."""
+        """Resign leadership, refuse pending proposals and reads, and close the disk."""
         self._ticks.cancel()
         self.dispatch(events.Resign())
         self.pending_results.stop()
         await self._peers.stop()
         await self.writer.stop()
         if self.failed:
-            # Ended like a planned stop, a supervisor would not notice.
+            # A non-zero exit code tells the supervisor that this was not a planned stop.
             raise SystemExit("ibisspringd: ended after a failure; see consensus:* in the log")
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads and has applied all that was committed before its term."""
+        """
+        Whether this replica is the leader and has applied all entries committed in earlier terms.
+        """
         return self._is_serving_leader and not self.failed
 
     @property
@@ -130,20 +134,20 @@
 
     @property
     def fencing(self) -> int:
-        """A number that rises with each leader."""
+        """Fencing number: the leader's term, which is higher for each new leader."""
         return self.core.term
 
     @property
     def leader_hint(self) -> str:
-        """Daemon id of the leader as this replica knows it; empty for none."""
+        """Daemon id of the last known leader; empty if none is known."""
         leader = self.core.state.leader
         return leader.daemon if leader is not None else ""
 
     def lease_left_s(self) -> float:
         """
-        Tell for how long this replica surely stays the only leader.
+        Return for how long no other replica can hold the leader lease.
 
-        :return: seconds; 0.0 without a lease.
+        :return: remaining lease in seconds; 0.0 without a lease.
         """
         if not self.is_leader:
             return 0.0
@@ -153,9 +157,9 @@
         """
         Commit a command and apply it.
 
-        :param data: what the state machine applies.
-        :return: its place and result; NO_LEADER with `not_run` where it entered no log,
-            MAY_HAVE_RUN where the leader changed before it was committed.
+        :param data: the command for the state machine.
+        :return: its log index and result; NO_LEADER with `not_run` if it was not appended to any
+            log; MAY_HAVE_RUN if the leader changed before it was committed.
         """
         number, future = self.pending_results.add_proposal()
         self._commands.append((number, data))
@@ -175,15 +179,20 @@
         self.dispatch(events.Propose(commands))
 
     def set_group_commit(self, on: bool) -> None:
-        """Sync each command alone, for measurements, or what waits together."""
+        """
+        Enable or disable group commit.
+
+        :param on: False syncs each command separately, for measurements.
+        """
         self.group_commit = on
         self.writer.group_commit = on
 
     async def confirm_read(self) -> int | Refusal:
         """
-        Confirm with a quorum that this replica leads, after the call began.
+        Confirm with a quorum that this replica was still the leader after the call began.
 
-        :return: an applied index from which on reads are current, or NO_LEADER.
+        :return: an applied index; reads of the state at this or a later index are current.
+            NO_LEADER if not confirmed.
         """
         future = asyncio.get_running_loop().create_future()
         self._reads.append(future)
@@ -192,7 +201,7 @@
         return await future
 
     def _flush_reads(self) -> None:
-        """One heartbeat round confirms all the reads that began before it."""
+        """Confirm all waiting reads with one heartbeat round."""
         futures = tuple(self._reads)
         self._reads.clear()
         number, confirmed = self.pending_results.add_read()
@@ -201,9 +210,9 @@
 
     def dispatch(self, event: events.Event) -> None:
         """
-        Hand an event to the core and carry out its effects.
+        Pass an event to the core and carry out the effects.
 
-        :param event: what happened just now.
+        :param event: an event that occurred now.
         """
         if self.failed:
             self.pending_results.stop()
@@ -213,8 +222,8 @@
                 self._run_effect(effect)
             self._update_leadership()
         except Exception as error:
-            # Effects that were not carried out are promises that are not kept: entries that were
-            # never written, or applied by half. A restart begins again from what is synced.
+            # Some effects may not have been carried out: entries not written, or applied in part.
+            # The core already counts on them, so only a restart from the synced state is safe.
             eliot.log_message("consensus:failed", event=type(event).__name__, error=repr(error))
             self._fail()
 
@@ -257,16 +266,16 @@
             self.take_snapshot()
 
     def _update_leadership(self) -> None:
-        """Lead only once the state machine holds all of earlier terms."""
+        """Report this replica as leader only once it has applied all entries of earlier terms."""
         self._is_serving_leader = (
             self.core.is_leader and self.applied_index >= self.core.state.noop_index
         )
 
     def take_snapshot(self) -> bool:
         """
-        Begin to store a snapshot of the state machine.
+        Start storing a snapshot of the state machine.
 
-        :return: False where one is under way or nothing is new.
+        :return: False if a snapshot is in progress or no entry was applied since the last one.
         """
         index = self.applied_index
         if self._snapshot_in_progress or index <= self.core.snapshot.index:
@@ -292,7 +301,7 @@
         self.dispatch(events.Persisted(sequence))
 
     def _fail(self) -> None:
-        """Take no further part and end the daemon."""
+        """Stop taking part and end the daemon with SIGTERM."""
         self.failed = True
         self.pending_results.stop()
         os.kill(os.getpid(), signal.SIGTERM)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/own_member.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/own_member.py
@@ -1,4 +1,4 @@
-"""How a daemon describes its own disk to the directory."""
+"""The description of a daemon's disk that is sent to the directory."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 def own_member(settings: VmSettings, consensus: ConsensusNode) -> Member:
     """
-    Describe this daemon's disk.
+    Describe this daemon's disk to the directory.
 
-    :param consensus: its replica.
+    :param settings: address and data centre of the daemon.
+    :param consensus: the daemon's replica.
     :return: the member.
     """
     return Member(
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/peer.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/peer.py
@@ -1,4 +1,4 @@
-"""The connection to one other control daemon: a task that sends what waits in its outbox."""
+"""The connection to one other daemon: a task that sends the messages in its outbox."""
 
 from __future__ import annotations
 
@@ -20,9 +20,11 @@
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 MAX_BATCH_BYTES = 4 * 1024 * 1024
-# Older messages go first where a peer does not answer; the core sends again what still matters.
+# If a peer does not answer, its oldest messages are dropped first; the core resends those that are
+# still needed.
 MAX_OUTBOX_MESSAGES = 512
-# Two lost packets on a healthy path are sent again within this time; a dead path is left by then.
+# On a healthy path, two lost packets are retransmitted within this time; a dead connection is
+# closed after it.
 TCP_USER_TIMEOUT_MS = 1000
 CHANNEL_OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -30,11 +32,12 @@
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", TCP_USER_TIMEOUT_MS),
     ("grpc.keepalive_permit_without_calls", 1),
-    # The library's own backoff grows to two minutes, long after a cut is over.
+    # The library's default backoff grows to two minutes, much longer than most network partitions.
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 500),
     ("grpc.max_reconnect_backoff_ms", 1000),
-    # Without its own pool a new channel takes over the old one's connection, the silent one.
+    # Without a pool of its own, a new channel would reuse the connection of the old one, which no
+    # longer responds.
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.enable_http_proxy", 0),
 )
@@ -46,10 +49,10 @@
 @dataclass(frozen=True)
 class Identity:
     """
-    Who answered.
+    The replica that answered a call.
 
-    :param empty: its disk never took part in a cluster.
-    :param cluster: the cluster that it belongs to; empty for none.
+    :param empty: whether its disk has never taken part in a cluster.
+    :param cluster: the cluster that the disk belongs to; empty for none.
     """
 
     replica: ReplicaId
@@ -59,7 +62,7 @@
 
 def open_channel(address: str) -> grpc.aio.Channel:
     """
-    Open a channel with a connection of its own.
+    Open a channel that shares its connection with no other channel.
 
     :param address: IP:port.
     :return: the channel.
@@ -68,7 +71,7 @@
 
 
 class Peer:
-    """Outbox and connection of one other daemon."""
+    """Outbox of one other daemon and the connection to it."""
 
     def __init__(
         self,
@@ -94,11 +97,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the peer's task."""
+        """Start the task that sends the outbox."""
         self._task = asyncio.create_task(self._run(), name=f"consensus:peer:{self.daemon}")
 
     async def stop(self) -> None:
-        """Send what waits, within the deadline, and end the task."""
+        """Send the outbox within the deadline, then end the task and close the channel."""
         if self._task is not None:
             self._stopping = True
             self._wake.set()
@@ -139,10 +142,10 @@
 
     async def _discard_channel(self) -> None:
         """
-        Leave the connection after a failure.
+        Close the channel after a failed call, and pause before the next attempt.
 
-        One whose other end lost track of it accepts bytes for ever and returns nothing, while a new
-        one works.
+        A connection whose other end lost its state accepts bytes forever and returns nothing, while
+        a new connection works.
         """
         await self._channel.close()
         self._channel = None
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/peers.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/peers.py
@@ -1,4 +1,4 @@
-"""The connections to the other daemons of the log."""
+"""The connections to the other daemons of the cluster."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Peers:
-    """One peer for each other daemon that a message went to."""
+    """One `Peer` for each daemon to which a message was sent."""
 
     def __init__(self, address_of: AddressOf, make_peer: Callable[[str, str], Peer]) -> None:
         self._address_of = address_of
@@ -35,13 +35,15 @@
         """
         Build the peers.
 
-        :param config: addresses as seen from this VM.
+        :param config: configuration with the addresses as seen from this VM.
         :param own: this replica.
-        :param read_chunk: reads a piece of a snapshot when its chunk is sent.
-        :param on_identity: told who answered, after each call.
+        :param read_chunk: reads a part of a snapshot when its chunk is sent.
+        :param on_identity: called with the identity of the replica that answered a call.
+        :param counters: counts sent bytes and failed calls.
         :return: the peers; each starts with the first message to it.
         """
-        # Half of the silence that starts an election: a silent connection is left in time.
+        # Half of the election timeout, so that a connection that does not respond is replaced
+        # before a follower starts an election.
         deadline_s = config.core.election_timeout_s / 2
 
         def make_peer(daemon: str, address: str) -> Peer:
@@ -50,12 +52,12 @@
         return cls(config.address_of, make_peer)
 
     async def stop(self) -> None:
-        """Send what waits and end the tasks."""
+        """Send all outboxes and end the tasks."""
         for peer in self._peer_by_daemon.values():
             await peer.stop()
 
     def send(self, target: ReplicaId, message: Message) -> None:
-        """Queue a message; one to a daemon without an address is lost."""
+        """Queue a message; a message to a daemon without a known address is dropped."""
         peer = self._peer_by_daemon.get(target.daemon)
         if peer is None:
             address = self._address_of(target.daemon)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/proposals.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/proposals.py
@@ -78,7 +78,7 @@
             Reason.MAY_HAVE_RUN,
             not_run=False,
             retry_after_s=self._retry_after_s,
-            detail="the leader changed before the commit; ask again under the same request id",
+            detail="the leader changed before the commit; retry with the same request id",
         )
         for future in self._proposal_by_position.values():
             _set_result(future, refusal)
@@ -102,7 +102,7 @@
             Reason.NO_LEADER,
             not_run=True,
             retry_after_s=self._retry_after_s,
-            detail="this control daemon does not lead",
+            detail="this daemon is not the leader",
         )
 
     def stop(self) -> None:
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
@@ -1,9 +1,9 @@
 """
-Decides which replica takes the place of another, without an operator.
+Replaces permanently lost voters without an operator.
 
-VMs are lost for good and replaced by empty ones at other addresses. While such a VM stays a voter,
-the next loss ends the log. A replica leaves only for one that takes its place, never for silence
-alone: a partition shrinks no majority.
+A lost VM is replaced by an empty one at another address. While the lost VM remains a voter, the
+loss of one more VM can stop the log. A voter is removed only if a replacement is available, never
+for silence alone, so that a partition cannot shrink the majority.
 """
 
 from __future__ import annotations
@@ -22,17 +22,18 @@
     from ibisspring_consensus.messages import ReplicaId
     from ibisspring_consensus.state import CoreState
 
-# Longer than the silence of a VM that is only killed and started again or frozen for a moment;
-# copying the log to another one costs more than waiting for it.
+# Longer than the silence of a VM that is killed and restarted, or frozen for a moment: copying the
+# log to another VM costs more than waiting for such a VM.
 REPLACE_AFTER_SILENCE_S = 3.0
 
 
 @dataclass(frozen=True)
 class Candidate:
     """
-    A replica in touch, which is a member or may become one.
+    A replica that responds, and is a member or can become one.
 
-    :param data_centre: where it stands.
+    :param replica: daemon and disk.
+    :param data_centre: data centre of its VM.
     """
 
     replica: ReplicaId
@@ -46,16 +47,16 @@
     wanted_voters: int,
 ) -> Replace | None:
     """
-    Choose the next change of the members.
+    Return the next change of the members.
 
     :param state: the leader's core.
-    :param candidates: replicas in touch, members among them, in order of preference.
-    :param leaving: daemons that an operator takes away.
-    :param wanted_voters: voters that bear the losses that must be borne.
-    :return: the change to begin; None for none.
+    :param candidates: replicas that respond, including members, in order of preference.
+    :param leaving: daemons that an operator is removing.
+    :param wanted_voters: number of voters needed to tolerate the required number of losses.
+    :return: the change to start; None if no change is needed or possible.
     """
     members = state.log.members
-    # One at a time: a learner that was begun is caught up before the next one.
+    # One change at a time: a learner is caught up and promoted before the next change starts.
     if not may_change(state) or members.learners or members.outgoing:
         return None
     known = {replica.daemon for replica in all_replicas(members)}
@@ -72,8 +73,8 @@
         if voter == state.replica and voter.daemon not in leaving:
             continue
         if voter.daemon in leaving or time_since_reply_s(state, voter) > REPLACE_AFTER_SILENCE_S:
-            stay = [one for one in members.voters if one != voter]
-            return Replace(_from_least_used_data_centre(free, stay, candidates), voter)
+            remaining_voters = [one for one in members.voters if one != voter]
+            return Replace(_from_least_used_data_centre(free, remaining_voters, candidates), voter)
     return None
 
 
@@ -83,8 +84,12 @@
     """
     Choose the candidate whose data centre holds the fewest voters.
 
-    Taken in their order alone, one replacement after the other would bring a majority into one data
-    centre, whose loss ends the log.
+    If candidates were taken in their order alone, successive replacements could place a majority in
+    one data centre, and the loss of that data centre would stop the log.
+
+    :param free: replicas that may be added.
+    :param voters: the remaining voters.
+    :param candidates: all replicas that respond, for the voters' data centres.
     """
     data_centre_by_daemon = {one.replica.daemon: one.data_centre for one in candidates}
     voters_by_data_centre = Counter(data_centre_by_daemon.get(voter.daemon) for voter in voters)
@@ -93,9 +98,9 @@
 
 def time_since_reply_s(state: CoreState, replica: ReplicaId) -> float:
     """
-    Tell for how long a replica has not answered its leader.
+    Return the time since a replica last replied to this leader.
 
-    :return: seconds; counted from the election at most.
+    :return: seconds; at most the time since this leader's election.
     """
     if replica == state.replica:
         return 0.0
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/rpc_service.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/rpc_service.py
@@ -20,7 +20,7 @@
 
 
 class ConsensusService(consensus_pb2_grpc.ConsensusServicer):
-    """Hands what comes in to the consensus node."""
+    """Passes received calls to the consensus node."""
 
     def __init__(self, node: ConsensusNode, counters: Counters) -> None:
         self._node = node
@@ -29,9 +29,9 @@
     @classmethod
     def from_kernel(cls, kernel: Kernel) -> ConsensusService:
         """
-        Build the service.
+        Build the servicer.
 
-        :param kernel: holds `consensus` and `counters`.
+        :param kernel: holds the services `consensus` and `counters`.
         :return: the servicer.
         """
         return cls(kernel.find("consensus"), kernel.find("counters"))
@@ -39,11 +39,12 @@
     async def Deliver(  # noqa: N802
         self, request: consensus_pb2.DeliverRequest, context: grpc.aio.ServicerContext
     ) -> consensus_pb2.DeliverReply:
-        """Hand messages to the core; its answers go out through the sender's own peer task."""
+        """Pass messages to the core; its replies are sent by the peer task for the sender."""
         node = self._node
         sender = ReplicaId(request.daemon, request.disk_id)
         target = ReplicaId(node.replica.daemon, request.target_disk_id)
-        # Told before the messages count: once they do, an empty replica is empty no more.
+        # These values are read before the messages are processed, because an empty replica is no
+        # longer empty afterwards.
         empty = node.core.is_empty
         cluster = node.core.cluster
         for data in request.messages:
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/servicer.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/servicer.py
@@ -1,4 +1,4 @@
-"""The service `consensus_servicer`: puts the replica's calls on the daemon's peer server."""
+"""The service `consensus_servicer`: registers the gRPC service `Consensus` on the peer server."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class ConsensusServicer:
-    """Registers once; the peer server starts after it."""
+    """Registers the gRPC service at its start; the peer server has to start after it."""
 
     name = "consensus_servicer"
 
     async def start(self, kernel: Kernel) -> None:
-        """Register."""
+        """Register the gRPC service on the peer server."""
         service = ConsensusService.from_kernel(kernel)
         kernel.find("peer_server").add_servicer(
             lambda server: consensus_pb2_grpc.add_ConsensusServicer_to_server(service, server)
         )
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: the peer server stops the gRPC service."""
 
 
 __all__ = ["ConsensusServicer"]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/snapshots.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""What a replica stores when it takes a snapshot of its state machine."""
+"""The job that stores a snapshot of a replica's state machine."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
     from ibisspring_consensus.log import Log
 
-# Entries kept before a snapshot: a follower that lags this much needs no snapshot.
+# Entries kept before a snapshot: a follower behind by at most this many entries is sent entries in
+# place of the snapshot.
 TAIL_ENTRIES = 256
 
 
@@ -22,12 +23,12 @@
     log: Log, index: int, data: bytes, done: Callable[[SnapshotMeta, int], None]
 ) -> StoreSnapshot:
     """
-    Build the job that stores a snapshot and begins a segment after it.
+    Build the job that stores a snapshot and starts a new log segment.
 
     :param log: the replica's log, which holds `index`.
     :param index: last index that the state machine applied.
     :param data: the state machine's snapshot.
-    :param done: called with the snapshot and the first index to keep, once it is synced.
+    :param done: called once the snapshot is synced, with its metadata and the first index to keep.
     :return: the job.
     """
     meta = SnapshotMeta(
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
@@ -1,8 +1,7 @@
 """
-The disk of one replica: hard state, log segment and snapshots under `data_folder/consensus`.
+The files of one replica: hard state, log segment and snapshots under `data_folder/consensus`.
 
-All methods block; the node calls them one at a time from a thread of their own, never from the
-event loop.
+All methods block; the node calls them one at a time in a worker thread, never on the event loop.
 """
 
 from __future__ import annotations
@@ -40,10 +39,12 @@
 @dataclass(frozen=True)
 class StoredHardState:
     """
-    The file `hard_state`.
+    Content of the file `hard_state`.
 
-    :param disk_id: made at the first use of the folder, never changed.
-    :param snapshot_index: a snapshot at least this new was written.
+    :param disk_id: random id created at the first use of the folder; never changes.
+    :param hard: term and vote.
+    :param snapshot_index: a snapshot with at least this index was written, so a start without one
+        reports damage.
     """
 
     disk_id: str
@@ -53,7 +54,11 @@
 
 @dataclass(frozen=True)
 class SegmentStart:
-    """First record of a segment: entries come after this index."""
+    """
+    First record of a segment: the segment holds entries after this index.
+
+    :param base_term: term of the entry at `base_index`.
+    """
 
     base_index: int
     base_term: int
@@ -61,7 +66,11 @@
 
 @dataclass(frozen=True)
 class LogChange:
-    """One change of the log: drop a tail, then append."""
+    """
+    One change of the log: remove entries from the end, then append entries.
+
+    :param truncate_from: index of the first entry to remove; 0 removes none.
+    """
 
     truncate_from: int
     entries: tuple[Entry, ...]
@@ -69,13 +78,13 @@
 
 @dataclass(frozen=True)
 class LogRecord:
-    """One record of a segment: what one sync made last (group commit)."""
+    """One record of a segment: all changes of one sync (group commit)."""
 
     changes: tuple[LogChange, ...]
 
 
 class Storage:
-    """Open files of one replica."""
+    """The files of one replica, with the log segment open for appending."""
 
     def __init__(self, folder: Path, disk_id: str, stored: StoredState, segment: Path) -> None:
         self.folder = folder
@@ -84,49 +93,49 @@
         self._segment = segment
         self._hard = stored.hard
         self._snapshot_index = stored.snapshot.index
-        # One descriptor stays open: opened anew per write, an error of an earlier sync could go
-        # unseen.
+        # The segment stays open: with a new descriptor for each write, an error of an earlier sync
+        # could go undetected.
         self._descriptor = os.open(segment, os.O_WRONLY | os.O_APPEND)
 
     @classmethod
     def from_folder(cls, folder: Path) -> Storage | Damage:
         """
-        Open the folder, or lay it out at its first use.
+        Open the folder, or create its files at its first use.
 
         :param folder: `data_folder/consensus`.
-        :return: the storage, or where its files are damaged; raises `WriteRefused` where a file
-            can't be opened or written now.
+        :return: the storage, or the damage found in its files; raises `WriteRefused` if a file
+            cannot be opened or written at present.
         """
         with as_write_refused():
             if not (folder / _HARD_STATE).exists():
                 make_folder(folder)
-            for leftover in folder.glob("*.tmp"):
-                leftover.unlink()
+            for temporary in folder.glob("*.tmp"):
+                temporary.unlink()
             hard = _load_hard_state(folder)
             if isinstance(hard, Damage):
                 return hard
             return _open(cls, folder, hard)
 
     def write_hard_state(self, hard: HardState) -> None:
-        """Replace term and vote, synced."""
+        """Replace term and vote on disk, synced."""
         self._hard = hard
         stored = StoredHardState(self.disk_id, hard, self._snapshot_index)
         replace_file(self.folder / _HARD_STATE, frame(encode(stored)))
 
     def write_log(self, changes: tuple[LogChange, ...]) -> None:
-        """Append changes as one record with one sync."""
+        """Append log changes as one record and sync it."""
         end = os.fstat(self._descriptor).st_size
         try:
             write_all(self._descriptor, frame(encode(LogRecord(changes))))
         except DiskFull:
-            # A part of the record may stand there. Left in place, a later record behind it would
-            # look like damage in the middle of the log, and the replica would not start.
+            # A part of the record may have been written. A later record after this part would look
+            # like damage in the middle of the log, and the replica would refuse to start.
             os.ftruncate(self._descriptor, end)
             raise
         os.fdatasync(self._descriptor)
 
     def write_snapshot(self, meta: SnapshotMeta, data: bytes) -> None:
-        """Write a snapshot, synced under its name; earlier ones stay until `compact`."""
+        """Write and sync a snapshot file; earlier snapshots stay until `compact`."""
         path = self.folder / f"snapshot-{meta.index:020d}"
         replace_file(path, frame(encode(meta)), header_of(data), data)
 
@@ -134,23 +143,24 @@
         self, snapshot: SnapshotMeta, base: SegmentStart, entries: tuple[Entry, ...]
     ) -> None:
         """
-        Begin a segment that holds only what the snapshot lacks and a tail before it.
+        Replace the log segment by one without the entries that a snapshot covers.
 
-        The new segment is synced under its name before the old one goes. The snapshot before stays
-        as well: it goes when the next one has been synced.
+        The new segment may start some entries before the snapshot. It is synced under its final
+        name before the old segment is removed. The previous snapshot is kept until the next one is
+        synced.
 
         :param snapshot: a snapshot that was written.
-        :param base: start of the segment.
-        :param entries: all entries after it.
+        :param base: start of the new segment.
+        :param entries: all entries after `base`.
         """
         number = int(self._segment.name.removeprefix("log-")) + 1
         path = self.folder / f"log-{number:020d}"
         record = LogRecord((LogChange(0, entries),))
         replace_file(path, frame(encode(base)) + frame(encode(record)))
         with as_write_refused():
-            opened = os.open(path, os.O_WRONLY | os.O_APPEND)
+            new_descriptor = os.open(path, os.O_WRONLY | os.O_APPEND)
         os.close(self._descriptor)
-        self._descriptor = opened
+        self._descriptor = new_descriptor
         self._segment.unlink()
         self._segment = path
         self._snapshot_index = snapshot.index
@@ -161,12 +171,12 @@
 
     def read_snapshot(self, index: int, offset: int = 0, size: int = -1) -> bytes | None:
         """
-        Read from the state machine's part of a snapshot.
+        Read bytes of the state machine's data in a snapshot.
 
-        :param index: its last log index.
-        :param offset: first byte.
-        :param size: most bytes; -1 for all.
-        :return: the bytes; None where the snapshot went.
+        :param index: index of the snapshot.
+        :param offset: offset of the first byte.
+        :param size: maximum number of bytes; -1 for all.
+        :return: the bytes; None if the snapshot was removed.
         """
         path = self.folder / f"snapshot-{index:020d}"
         if not path.exists():
@@ -177,7 +187,7 @@
             return file.read(size)
 
     def close(self) -> None:
-        """Close the segment; all that was promised is synced already."""
+        """Close the segment; everything that was reported as synced is on disk already."""
         os.close(self._descriptor)
 
 
@@ -186,23 +196,26 @@
     segments = sorted(folder.glob("log-*"))
     if not path.exists():
         if any(folder.glob("snapshot-*")) or len(segments) > 1:
-            return Damage(str(path), 0, "term and vote are missing beside a log")
+            return Damage(str(path), 0, "the file is missing although a log exists")
         return _create_files(folder)
     records = read_records(path)
     if isinstance(records, Damage):
         return records
     if len(records.payloads) != 1:
-        return Damage(str(path), 0, "term and vote are damaged")
+        return Damage(str(path), 0, "the record with term and vote is damaged")
     return decode(records.payloads[0], StoredHardState)
 
 
 def _create_files(folder: Path) -> StoredHardState | Damage:
-    """Lay out an empty folder; the segment comes first, so that term and vote never lack a log."""
+    """
+    Create the files of an empty folder; the log segment comes first, so a hard state without a log
+    always means damage.
+    """
     segment = folder / f"log-{1:020d}"
     if segment.exists():
         records = read_records(segment)
         if isinstance(records, Damage) or len(records.payloads) > 1:
-            return Damage(str(folder / _HARD_STATE), 0, "term and vote are missing beside a log")
+            return Damage(str(folder / _HARD_STATE), 0, "the file is missing although a log exists")
     replace_file(segment, frame(encode(SegmentStart(0, 0))))
     stored = StoredHardState(secrets.token_hex(8), HardState())
     replace_file(folder / _HARD_STATE, frame(encode(stored)))
@@ -215,9 +228,9 @@
         return snapshot
     segments = sorted(folder.glob("log-*"))
     if not segments:
-        return Damage(str(folder), 0, "the log is missing beside term and vote")
-    # A segment gets its name once it is synced, so the newest is whole and older ones are left over
-    # from a crash.
+        return Damage(str(folder), 0, "no log segment found, although hard_state exists")
+    # A segment gets its final name only after it is synced, so the newest segment is complete, and
+    # older ones remained after a crash during compaction.
     for old in segments[:-1]:
         old.unlink()
     segment = segments[-1]
@@ -226,12 +239,12 @@
         return loaded
     start, entries = loaded
     if start.base_index > snapshot.index:
-        return Damage(str(segment), 0, f"the snapshot that ends at {start.base_index} is missing")
+        return Damage(str(segment), 0, f"the snapshot at index {start.base_index} is missing")
     if _segment_matches_snapshot(snapshot, start, entries):
         stored = StoredState(hard.hard, snapshot, start.base_index, start.base_term, entries)
         return cls(folder, hard.disk_id, stored, segment)
-    # A crash came between a received snapshot and its segment: what the log holds is older or was
-    # overwritten.
+    # A crash occurred after a received snapshot was written and before its new segment: the entries
+    # in the log are older than the snapshot or conflict with it.
     stored = StoredState(hard.hard, snapshot, snapshot.index, snapshot.term, ())
     storage = cls(folder, hard.disk_id, stored, segment)
     try:
@@ -261,7 +274,7 @@
             return Damage(str(path), records.end, "the snapshot is damaged")
         meta = decode(records.payloads[0], SnapshotMeta)
         if zlib.crc32(records.payloads[1]) != meta.checksum:
-            return Damage(str(path), records.end, "the snapshot is not the one it says it is")
+            return Damage(str(path), records.end, "the snapshot's data does not match its checksum")
         newest = meta
     if newest.index < index:
         return Damage(str(folder), 0, f"the snapshot at index {index} is missing")
@@ -286,12 +299,14 @@
     for position, entry in enumerate(entries):
         expected = start.base_index + position + 1
         if entry.index != expected:
-            return Damage(str(path), 0, f"entry {expected} is missing, {entry.index} stands there")
+            return Damage(str(path), 0, f"expected entry {expected}, found entry {entry.index}")
     return start, tuple(entries)
 
 
 def _truncate_file(path: Path, end: int) -> None:
-    """Cut off a torn last record; it was never synced, so nothing was promised about it."""
+    """
+    Remove a torn last record; it was never synced, so no vote or acknowledgement depends on it.
+    """
     with path.open("r+b") as file:
         file.truncate(end)
         os.fsync(file.fileno())
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/writer.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/writer.py
@@ -1,4 +1,6 @@
-"""Carries out what must last, in order, in a thread of its own, with one sync for many changes."""
+"""
+Writes persist effects and snapshots to disk, in order, in one thread; one sync covers many effects.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +32,13 @@
 
 @dataclass(frozen=True)
 class StoreSnapshot:
-    """Write a snapshot that this replica took and begin a segment after it."""
+    """
+    Write a snapshot of this replica's state machine and start a new segment.
+
+    :param base: start of the new segment.
+    :param entries: entries of the new segment.
+    :param done: called once both are synced.
+    """
 
     meta: SnapshotMeta
     data: bytes
@@ -45,14 +53,14 @@
 
 async def retry_while_refused(write: Callable[[], Awaitable[Result]]) -> Result:
     """
-    Write, and wait where the disk is full or there is no descriptor for a file.
+    Write, and retry every `WRITE_RETRY_S` while the disk is full or no descriptor is free.
 
-    Nothing was promised for what is not written, so a full disk is like one that is slow: the other
-    replicas go on, and this one takes part again once there is room. Ended instead, it would end
-    again at each start.
+    No acknowledgement depends on data that is not written, so a full disk only delays this replica:
+    the other replicas continue, and this one takes part again once space is free. If the daemon
+    ended, it would end again at each start.
 
-    :param write: tries once; raises `WriteRefused` where it is refused for now.
-    :return: what the try with room returned.
+    :param write: one attempt; raises `WriteRefused` if it is refused.
+    :return: the result of the successful attempt.
     """
     refused = False
     while True:
@@ -66,7 +74,7 @@
 
 
 class Writer:
-    """The queue in front of the disk."""
+    """The queue of write jobs and the thread that runs them."""
 
     def __init__(
         self, storage: Storage, on_synced: Callable[[int], None], on_failed: Callable[[], None]
@@ -81,26 +89,29 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the task that empties the queue."""
+        """Start the task that runs the queued jobs."""
         self._task = asyncio.create_task(self._run(), name="consensus:writer")
 
     async def stop(self) -> None:
-        """Stop after the write that is under way; what waits was promised to nobody."""
+        """
+        Stop after the current write; no acknowledgement depends on the jobs that are still queued.
+        """
         if self._task is not None:
             self._task.cancel()
         await asyncio.to_thread(self._executor.shutdown)
         self.storage.close()
 
     def add(self, job: WriteJob) -> None:
-        """Queue a job; jobs are done in order."""
+        """Queue a job; jobs run in order."""
         self._jobs.append(job)
         self._wake.set()
 
     async def read_snapshot(self, index: int, offset: int, size: int) -> bytes | None:
         """
-        Read a piece of a stored snapshot off the event loop.
+        Read a part of a stored snapshot in the writer's thread.
 
-        :return: the bytes; None where it went, or can't be read now and is asked for again.
+        :return: the bytes; None if the snapshot was removed, or if it cannot be read at present and
+            the caller has to retry.
         """
         try:
             return await self._in_thread(self.storage.read_snapshot, index, offset, size)
@@ -125,8 +136,9 @@
                 while self._jobs:
                     await self._run_next_job()
         except Exception as error:
-            # After a failed sync nobody knows what the disk holds, and a second sync may say that
-            # all is well. The replica takes no further part, so that it promises nothing more.
+            # After a failed sync the content of the disk is unknown, and a second sync may succeed
+            # although data was dropped. The replica stops taking part, so that it acknowledges
+            # nothing more.
             frame = traceback.extract_tb(error.__traceback__)[-1]
             at = f"{frame.name}:{frame.lineno}"
             eliot.log_message("consensus:disk_failed", error=repr(error), at=at)
@@ -149,8 +161,8 @@
 
     def _write(self, batch: tuple[Persist, ...]) -> None:
         hard_states = [job.hard_state for job in batch if job.hard_state is not None]
-        # Term and vote first: a log with entries of a term that the replica does not know of would
-        # let it vote in a term in which it already acknowledged a leader.
+        # Term and vote are written first: if the log held entries of a term newer than the stored
+        # one, the replica could vote in a term in which it already acknowledged a leader.
         if hard_states:
             self.storage.write_hard_state(hard_states[-1])
         changes = tuple(
--- a/tests/unit/consensus/guards.py
+++ b/tests/unit/consensus/guards.py
@@ -1,4 +1,4 @@
-"""Ways to take one guard out of the consensus core, to show that the random run misses it."""
+"""Removes one guard of the consensus core each, to show that a test fails without the guard."""
 
 from __future__ import annotations
 
@@ -13,112 +13,114 @@
 
 
 def answer_before_sync(patch: pytest.MonkeyPatch) -> None:
-    """Votes and acknowledgements leave before what they promise is synced."""
+    """Send votes and acknowledgements before the state that they depend on is synced."""
     for module in (election, following):
         patch.setattr(module, "send_after_sync", send)
 
 
 def commit_leader_unsynced(patch: pytest.MonkeyPatch) -> None:
-    """The leader counts its own entries before they are synced."""
-    plain = replication.commit
+    """Let the leader count its own entries before they are synced."""
+    original = replication.commit
 
     def commit(state):
         state.synced_index = state.log.last_index
-        plain(state)
+        original(state)
 
     patch.setattr(replication, "commit", commit)
 
 
 def vote_despite_leader_contact(patch: pytest.MonkeyPatch) -> None:
-    """A follower that heard a leader a moment ago votes for another."""
+    """Let a follower that was just contacted by a leader vote for another candidate."""
     patch.setattr(election, "must_withhold_vote", lambda state: False)
 
 
 def vote_right_after_restart(patch: pytest.MonkeyPatch) -> None:
-    """A voter that restarted forgets that it answered a heartbeat and votes at once."""
-    plain = election.must_withhold_vote
+    """Let a restarted voter vote at once, although it may have acknowledged a heartbeat before."""
+    original = election.must_withhold_vote
 
     def must_withhold_vote(state):
-        started, state.started_at = state.started_at, -1000.0
-        withheld = plain(state)
-        state.started_at = started
+        started_at, state.started_at = state.started_at, -1000.0
+        withheld = original(state)
+        state.started_at = started_at
         return withheld
 
     patch.setattr(election, "must_withhold_vote", must_withhold_vote)
 
 
 def vote_for_any_log(patch: pytest.MonkeyPatch) -> None:
-    """A vote goes to a candidate that lacks what the voter holds."""
+    """Grant votes to candidates whose log lacks entries that the voter holds."""
     patch.setattr(election, "log_is_current", lambda state, request: True)
 
 
 def lease_from_reply_receipt(patch: pytest.MonkeyPatch) -> None:
-    """The lease is counted from the receipt of the answers."""
-    plain = replication.on_append_reply
+    """Count the leader lease from the receipt of the replies."""
+    original = replication.on_append_reply
 
     def on_append_reply(state, sender, reply):
         if reply.round in state.round_sent_at:
             state.round_sent_at[reply.round] = state.now
-        plain(state, sender, reply)
+        original(state, sender, reply)
 
     patch.setitem(core._HANDLER_BY_MESSAGE_TYPE, core.AppendReply, on_append_reply)
 
 
 def commit_older_terms(patch: pytest.MonkeyPatch) -> None:
-    """Entries of earlier terms are committed by counting."""
-    plain = replication.commit
+    """Commit entries of earlier terms by counting replicas."""
+    original = replication.commit
 
     def commit(state):
         hard = state.hard
         term_at = state.log.term_at
         state.log.term_at = lambda index: hard.term if term_at(index) is not None else None
-        plain(state)
+        original(state)
         del state.log.term_at
 
     patch.setattr(replication, "commit", commit)
 
 
 def answer_for_previous_disk(patch: pytest.MonkeyPatch) -> None:
-    """A wiped replica answers what was meant for its old disk, under the old disk's name."""
-    plain = core.Core._on_received
+    """Let a wiped replica answer messages for its previous disk, under that disk's id."""
+    original = core.Core._on_received
 
     def receive(self, event):
         own = self.state.replica
         self.state.replica = event.target
-        plain(self, event)
+        original(self, event)
         self.state.replica = own
 
     patch.setattr(core.Core, "_on_received", receive)
 
 
 def promote_at_once(patch: pytest.MonkeyPatch) -> None:
-    """A learner counts before it holds what is committed."""
+    """Promote a learner before it holds all committed entries."""
     patch.setattr(membership, "is_caught_up", lambda state, replica: True)
 
 
 def change_on_uncommitted(patch: pytest.MonkeyPatch) -> None:
-    """Members change on top of a change that is not committed."""
+    """Change the members while the previous change is not committed."""
     patch.setattr(membership, "may_change", lambda state: state.role == "leader")
 
 
 def replace_without_joint_consensus(patch: pytest.MonkeyPatch) -> None:
-    """The new voter takes the old one's place without a majority of both."""
-    plain = membership.promote
+    """
+    Replace the old voter by the new one without majorities of both the old and the new voters.
+    """
+    original = membership.promote
 
     def promote(members, learner):
-        joint = plain(members, learner)
+        joint = original(members, learner)
         return replace(joint, outgoing=())
 
     patch.setattr(membership, "promote", promote)
 
 
 def read_without_quorum_round(patch: pytest.MonkeyPatch) -> None:
-    """A read is answered without asking a quorum."""
+    """Confirm a read without asking a quorum."""
     patch.setattr(lease, "quorum_acked_round", lambda state: state.round)
 
 
 def append_without_log_match(patch: pytest.MonkeyPatch) -> None:
-    """A follower takes entries after a gap or after entries that differ."""
+    """Let a follower append entries after a gap or after conflicting entries."""
 
     def on_append_request(state, sender, request):
         term_at = state.log.term_at
--- a/tests/unit/consensus/power_loss.py
+++ b/tests/unit/consensus/power_loss.py
@@ -1,9 +1,9 @@
 """
-A model of power loss: records what storage code does to its files and makes what may survive.
+A model of power loss: records file system calls and generates the states that may survive.
 
-After a power loss a file holds what its last sync covered; each later write is there, missing or
-torn. A new name lasts once its file was synced; a name that was changed or removed lasts once its
-folder was synced, and before that each change of a name is kept or lost by itself.
+After a power loss a file holds the content of its last sync; each write after it is present,
+missing or torn. A new name is durable once its file is synced. A renamed or removed name is durable
+once its folder is synced; before that each change of a name is kept or lost independently.
 """
 
 from __future__ import annotations
@@ -15,17 +15,24 @@
 from pathlib import Path
 
 TORN_SHARES = (0.0, 0.5, 1.0)
-# Subsets of more pending changes of names than this are drawn by single changes left out.
+# With more pending name changes than this, only states with one lost change are generated.
 MOST_PENDING = 6
 
 
 @dataclass(frozen=True)
 class Step:
     """
-    One call, in order.
+    One recorded call.
 
     :param kind: `write`, `truncate`, `sync`, `create`, `rename`, `unlink`, `sync_folder`, or
-        `promise`, which is no call but what others were told by then.
+        `promise`, which records no call but the state that was acknowledged to others at this
+        point.
+    :param file: number of the file.
+    :param name: name of the file; for `rename` its old name.
+    :param to: new name.
+    :param data: written bytes.
+    :param size: size after `truncate`.
+    :param promise: the acknowledged state.
     """
 
     kind: str
@@ -39,7 +46,13 @@
 
 @dataclass
 class Recorder:
-    """Calls of the code under test; `forget` leaves out syncs that it is to be proved to need."""
+    """
+    Records the file system calls of the code under test.
+
+    :param folder: calls on files in this folder are recorded.
+    :param skip_sync: returns whether syncs of a file name are not recorded, as if the code lacked
+        them; `sync_folder` stands for the folder.
+    """
 
     folder: Path
     skip_sync: Callable[[str], bool] = lambda name: False
@@ -48,17 +61,19 @@
     _numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
     def promise(self, promise: object) -> None:
-        """Note what was promised to others by now."""
+        """Record the state that is acknowledged to others at this point."""
         self.steps.append(Step("promise", promise=promise))
 
     def patch(self, monkeypatch) -> None:
-        """Take the place of the calls that change files."""
-        plain = {name: getattr(os, name) for name in ("write", "fsync", "fdatasync", "ftruncate")}
+        """Replace the calls that change files by recording ones."""
+        original = {
+            name: getattr(os, name) for name in ("write", "fsync", "fdatasync", "ftruncate")
+        }
         rename, unlink = Path.replace, Path.unlink
 
         def write(descriptor: int, data: bytes) -> int:
-            known = self._known(descriptor)
-            written = plain["write"](descriptor, data)
+            known = self._is_recorded(descriptor)
+            written = original["write"](descriptor, data)
             if known:
                 self._add("write", descriptor, data=bytes(data[:written]))
             return written
@@ -68,16 +83,16 @@
             if path == self.folder:
                 if not self.skip_sync("sync_folder"):
                     self.steps.append(Step("sync_folder"))
-            elif self._known(descriptor) and not self.skip_sync(path.name):
+            elif self._is_recorded(descriptor) and not self.skip_sync(path.name):
                 self._add("sync", descriptor)
 
         def truncate(descriptor: int, size: int) -> None:
-            plain["ftruncate"](descriptor, size)
-            if self._known(descriptor):
+            original["ftruncate"](descriptor, size)
+            if self._is_recorded(descriptor):
                 self._add("truncate", descriptor, size=size)
 
         def replace(path: Path, target: Path) -> Path:
-            # The kernel gives the inode of a file that goes to the next new one.
+            # The kernel may assign the inode of a removed file to the next new file.
             if target.exists():
                 self._file_by_inode.pop(target.stat().st_ino, None)
             result = rename(path, target)
@@ -96,7 +111,7 @@
         monkeypatch.setattr(Path, "replace", replace)
         monkeypatch.setattr(Path, "unlink", remove)
 
-    def _known(self, descriptor: int) -> bool:
+    def _is_recorded(self, descriptor: int) -> bool:
         path = Path(os.readlink(f"/proc/self/fd/{descriptor}"))
         if path.parent != self.folder:
             return False
@@ -113,7 +128,7 @@
 
 @dataclass
 class _Disk:
-    """What is on the disk surely, and what is pending."""
+    """The durable content of a disk and the pending changes."""
 
     synced: dict[int, bytes] = field(default_factory=dict)
     pending: dict[int, list[Step]] = field(default_factory=dict)
@@ -125,7 +140,7 @@
             self.pending.setdefault(step.file, []).append(step)
         elif step.kind == "sync":
             self.synced[step.file] = self.content(step.file, self.pending.pop(step.file, []))
-            # A new file's own sync makes its name last as well.
+            # The sync of a new file also makes its name durable.
             for change in [one for one in self.changes if one.kind == "create"]:
                 if change.file == step.file:
                     self.changes.remove(change)
@@ -143,7 +158,10 @@
         return data
 
     def contents(self, file: int) -> set[bytes]:
-        """What a file may hold: any first part of its pending writes, the next one torn."""
+        """
+        Return all contents that a file may have: some of its first pending writes, with the next
+        one torn.
+        """
         steps = self.pending.get(file, [])
         found = {self.content(file, [])}
         for count in range(len(steps)):
@@ -156,7 +174,7 @@
 
 
 def apply_name_changes(names: dict[str, int], changes: list[Step]) -> dict[str, int]:
-    """Names after changes, each carried out where it still can be."""
+    """Return the names after changes; a rename of a missing name is ignored."""
     result = dict(names)
     for change in changes:
         if change.kind == "create":
@@ -170,9 +188,9 @@
 
 def survivors(steps: list[Step]) -> Iterator[tuple[object, dict[str, bytes]]]:
     """
-    Make all states that may survive a power loss after any step.
+    Generate all states that may survive a power loss after any step.
 
-    :return: what was promised by then, and the content by name.
+    :return: the state that was acknowledged by then, and the content by file name.
     """
     disk = _Disk()
     promised: object = None
--- a/tests/unit/consensus/random_run.py
+++ b/tests/unit/consensus/random_run.py
@@ -1,4 +1,7 @@
-"""A seeded run of consensus cores that loses, doubles and reorders messages, disks and time."""
+"""
+A seeded run of consensus cores with lost, duplicated and reordered messages, crashes, lost disks
+and clocks at different rates.
+"""
 
 from __future__ import annotations
 
@@ -25,23 +28,24 @@
 from ibisspring_core.messages.codec import decode
 
 CONFIG = CoreConfig(max_append_bytes=40, max_in_flight=3, chunk_bytes=24)
-# Leases are 0.8 of the election timeout, which covers clocks that run up to a tenth apart.
+# The lease is 0.8 of the election timeout, which tolerates clock rates that differ by up to a
+# tenth.
 CLOCK_RATES = (0.95, 1.0, 1.05)
 SNAPSHOT_TAIL = 3
 
 
 class RandomRun:
-    """The nodes, the messages under way and what must never change."""
+    """The nodes, the messages in transit and the invariants that are checked."""
 
     def __init__(self, seed: int, count: int) -> None:
         self.random = random.Random(seed)
         self.now = 100.0
-        # Runs differ in how fast time goes on against messages, and how long faults last.
+        # Runs differ in how far time advances between messages, and in how long faults last.
         self.max_tick_s = self.random.choice((0.05, 0.1, 0.2, 0.4))
         self.unblock_probability = self.random.choice((0.1, 0.2, 0.4))
-        self.disks = 0
+        self.disk_count = 0
         self.old_disks: list[tuple[str, Disk]] = []
-        self.numbers = 0
+        self.last_number = 0
         self.messages: list[tuple[ReplicaId, ReplicaId, object]] = []
         self.blocked: set[tuple[str, str]] = set()
         self.committed: list[Entry] = []
@@ -66,10 +70,10 @@
         self.heal()
 
     def _new_disk(self) -> Disk:
-        self.disks += 1
-        return Disk(f"disk{self.disks}")
+        self.disk_count += 1
+        return Disk(f"disk{self.disk_count}")
 
-    # Life of the nodes
+    # Starts, crashes and disks
 
     def start(self, node: Node) -> None:
         disk = node.disk
@@ -87,14 +91,16 @@
         node.frozen = False
 
     def started_at(self, node: Node) -> float:
-        """When the process of a node began, on its clock."""
+        """Return the start time of a node's process on its clock."""
         return self.local_now(node)
 
     def local_now(self, node: Node) -> float:
         return self.now * node.rate
 
     def crash(self, node: Node) -> None:
-        """Keep any prefix of what was not synced, and perhaps the term and vote after it."""
+        """
+        Sync a random prefix of the queued jobs, and in some runs the next job's term and vote.
+        """
         for _ in range(self.random.randint(0, len(node.jobs))):
             node.disk.write(node.jobs.popleft())
         if node.jobs and isinstance(node.jobs[0], events.Persist) and self.random.random() < 0.5:
@@ -103,12 +109,12 @@
         node.core = None
 
     def may_lose_disk(self, node: Node) -> bool:
-        """Only a minority of disks may be lost before they are replaced."""
+        """Return whether the node's disk may be lost: the other disks must still be a quorum."""
         present = {other.replica for other in self.node_by_daemon.values()} - {node.replica}
         return all(is_quorum(members, present) for members in self.possible_members())
 
     def possible_members(self) -> list[Members]:
-        """The committed members and later ones that may still commit."""
+        """List the committed members and later ones that may still be committed."""
         found = [self.members]
         for node in self.node_by_daemon.values():
             entries = list(node.disk.entries)
@@ -127,7 +133,7 @@
         self.start(node)
 
     def remount_lost_disk(self, node: Node) -> None:
-        """A disk that was taken for lost turns up again under its VM."""
+        """Mount a disk that was considered lost on its VM again."""
         lost_disks = [disk for daemon, disk in self.old_disks if daemon == node.daemon]
         if lost_disks and self.may_lose_disk(node):
             node.disk = self.random.choice(lost_disks)
@@ -187,7 +193,7 @@
         if node.core.is_leader:
             self.acknowledged = max(self.acknowledged, entry.index)
 
-    # What must hold
+    # Invariants
 
     def _check_leader(self, node: Node, term: int) -> None:
         first = self.leader_by_term.setdefault(term, node.replica)
@@ -217,10 +223,10 @@
         ]
         assert len(holders) <= 1, f"two leases at once: {holders}"
 
-    # Chance
+    # Random events
 
     def random_event(self) -> None:
-        """One random thing happens."""
+        """Carry out one random event."""
         node = self.random.choice(list(self.node_by_daemon.values()))
         draw = self.random.random()
         if draw < 0.55 and self.messages:
@@ -232,7 +238,7 @@
         elif draw < 0.97:
             self.write_or_read(node)
         else:
-            self.fault(node)
+            self.inject_fault(node)
         self.check_leases()
 
     def tick(self, node: Node) -> None:
@@ -242,19 +248,19 @@
 
     def deliver(self, position: int) -> None:
         sender, target, message = self.messages.pop(position)
-        luck = self.random.random()
-        if luck < 0.05 or (sender.daemon, target.daemon) in self.blocked:
+        delivery_draw = self.random.random()
+        if delivery_draw < 0.05 or (sender.daemon, target.daemon) in self.blocked:
             return
-        if luck < 0.10:
+        if delivery_draw < 0.10:
             self.messages.append((sender, target, message))
         node = self.node_by_daemon[target.daemon]
         if node.core is None or node.frozen:
             return
         cluster = node.core.cluster
         self.step(node, events.Received(sender, target, message))
-        back = self.node_by_daemon[sender.daemon]
-        if target != node.replica and back.replica == sender:
-            self.step(back, events.ReplicaSeen(node.replica, cluster))
+        sender_node = self.node_by_daemon[sender.daemon]
+        if target != node.replica and sender_node.replica == sender:
+            self.step(sender_node, events.ReplicaSeen(node.replica, cluster))
 
     def sync(self, node: Node) -> None:
         for _ in range(self.random.randint(0, len(node.jobs))):
@@ -266,14 +272,14 @@
                 self.step(node, events.Persisted(job.sequence))
 
     def write_or_read(self, node: Node) -> None:
-        self.numbers += 1
+        self.last_number += 1
         draw = self.random.random()
         if draw < 0.6:
-            data = f"command {self.numbers}".encode()
-            self.step(node, events.Propose(((self.numbers, data),)))
+            data = f"command {self.last_number}".encode()
+            self.step(node, events.Propose(((self.last_number, data),)))
         elif draw < 0.9:
-            self.read_floor[self.numbers] = self.acknowledged
-            self.step(node, events.ConfirmRead(self.numbers))
+            self.read_floor[self.last_number] = self.acknowledged
+            self.step(node, events.ConfirmRead(self.last_number))
         else:
             self.snapshot(node)
 
@@ -292,7 +298,7 @@
         )
         node.jobs.append(StoreSnapshot(meta, data, max(log.base_index, meta.index - SNAPSHOT_TAIL)))
 
-    def fault(self, node: Node) -> None:
+    def inject_fault(self, node: Node) -> None:
         draw = self.random.random()
         if node.core is None:
             if draw < 0.7:
@@ -317,10 +323,10 @@
         else:
             self.step(node, events.Resign())
 
-    # The end
+    # Recovery
 
     def heal(self) -> None:
-        """All faults end; the cluster must go on, replace what was wiped, and agree."""
+        """End all faults; the cluster must recover, replace wiped disks and agree."""
         self.blocked.clear()
         for node in self.node_by_daemon.values():
             node.frozen = False
@@ -330,10 +336,10 @@
             self.step_without_faults()
             if self.has_recovered():
                 return
-        raise AssertionError("the cluster did not come back after all faults had ended")
+        raise AssertionError("the cluster did not recover after all faults had ended")
 
     def step_without_faults(self) -> None:
-        """A moment without faults."""
+        """Advance time by 20 ms, complete all writes and deliver all messages."""
         self.now += 0.02
         for node in self.node_by_daemon.values():
             self.step(node, events.Tick())
@@ -348,9 +354,9 @@
             node = self.node_by_daemon[target.daemon]
             cluster = node.core.cluster
             self.step(node, events.Received(sender, target, message))
-            back = self.node_by_daemon[sender.daemon]
-            if target != node.replica and back.replica == sender:
-                self.step(back, events.ReplicaSeen(node.replica, cluster))
+            sender_node = self.node_by_daemon[sender.daemon]
+            if target != node.replica and sender_node.replica == sender:
+                self.step(sender_node, events.ReplicaSeen(node.replica, cluster))
         self.check_leases()
 
     def drain_messages(self) -> list:
@@ -358,7 +364,9 @@
         return messages
 
     def has_recovered(self) -> bool:
-        """Every daemon's present disk is a voter and has applied all that is committed."""
+        """
+        Return whether each daemon's current disk is a voter and has applied all committed entries.
+        """
         present = {node.replica for node in self.node_by_daemon.values()}
         recovered = bool(self.committed) and set(self.members.voters) == present
         recovered = recovered and not self.members.outgoing
@@ -368,7 +376,9 @@
 
 
 class SlowStarts(RandomRun):
-    """Processes that begin at any moment after the one before, long before they read their disk."""
+    """
+    Processes that start at any time after the previous one ended, long before they read their disk.
+    """
 
     def started_at(self, node: Node) -> float:
         if node.ended_at is None:
@@ -376,16 +386,18 @@
         return self.random.uniform(node.ended_at, self.now) * node.rate
 
 
-def run(seed: int, count: int, steps: int, kind: type[RandomRun] = RandomRun) -> RandomRun:
+def run(seed: int, count: int, steps: int, run_type: type[RandomRun] = RandomRun) -> RandomRun:
     """
-    Run with a seed and heal at the end.
+    Run random events and heal at the end; failure messages state the seed.
 
-    :param seed: names the run; stands in each failure message.
-    :param count: daemons.
-    :param steps: random things that happen.
+    :param seed: seed of the run.
+    :param count: number of daemons.
+    :param steps: number of random events.
+    :param run_type: class of the run.
+    :return: the run after it has recovered.
     """
     try:
-        random_run = kind(seed, count)
+        random_run = run_type(seed, count)
         for _ in range(steps):
             random_run.random_event()
         random_run.heal()
--- a/tests/unit/consensus/refusing.py
+++ b/tests/unit/consensus/refusing.py
@@ -1,4 +1,4 @@
-"""Calls of the storage that the system refuses for a while."""
+"""File system calls that fail with an error for a time."""
 
 from __future__ import annotations
 
@@ -6,33 +6,35 @@
 import os
 
 
-class Refusing:
-    """Refuses calls with one error until `room` is set; `tried` tells of the first."""
+class RefusedCalls:
+    """
+    Makes calls fail with one error until `allowed` is set; `attempted` is set by the first failure.
+    """
 
     def __init__(self, monkeypatch, number: int, *calls: tuple[object, str]) -> None:
         """
-        Take the place of the calls.
+        Replace the calls.
 
-        :param number: of the error.
-        :param calls: what holds each call, and its name there.
+        :param number: errno of the error.
+        :param calls: pairs of a module or class and the name of its function.
         """
         self.allowed = asyncio.Event()
         self.attempted = asyncio.Event()
         loop = asyncio.get_running_loop()
 
-        def patch(place: object, name: str) -> None:
-            plain = getattr(place, name)
+        def patch(owner: object, name: str) -> None:
+            original = getattr(owner, name)
 
-            def refusing(*arguments, **options):
+            def failing(*arguments, **options):
                 if self.allowed.is_set():
-                    return plain(*arguments, **options)
+                    return original(*arguments, **options)
                 loop.call_soon_threadsafe(self.attempted.set)
                 raise OSError(number, os.strerror(number))
 
-            monkeypatch.setattr(place, name, refusing)
+            monkeypatch.setattr(owner, name, failing)
 
-        for place, name in calls:
-            patch(place, name)
+        for owner, name in calls:
+            patch(owner, name)
 
 
-__all__ = ["Refusing"]
+__all__ = ["RefusedCalls"]
--- a/tests/unit/consensus/run_nodes.py
+++ b/tests/unit/consensus/run_nodes.py
@@ -1,4 +1,4 @@
-"""Disks and daemons of a random run: what is synced, what waits for it, what a crash leaves."""
+"""Disks and daemons of a random run: synced state, queued writes and the state after a crash."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class StoreSnapshot:
-    """A snapshot that a replica took of itself, on its way to the disk."""
+    """A snapshot that a replica took itself and that is not yet written."""
 
     meta: SnapshotMeta
     data: bytes
@@ -21,7 +21,7 @@
 
 @dataclass
 class Disk:
-    """What survives a crash."""
+    """The synced state of a replica, which survives a crash."""
 
     disk_id: str
     hard: HardState = field(default_factory=HardState)
@@ -58,7 +58,7 @@
 
 @dataclass
 class Node:
-    """One daemon of the run."""
+    """One daemon of the run, with its clock rate and its queued writes."""
 
     daemon: str
     disk: Disk
--- a/tests/unit/consensus/test_core_fuzz.py
+++ b/tests/unit/consensus/test_core_fuzz.py
@@ -1,4 +1,4 @@
-"""Random runs of the consensus core; each failure names its seed and stays here."""
+"""Random runs of the consensus core; the seed of each failure found is kept as a test."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from unit.consensus.random_run import SlowStarts, run
 
 STEPS = 4000
-# Found with each guard taken out; the same runs pass with it.
+# With these seeds the run fails if the guard is removed, and passes with the guard.
 SEED_AND_COUNT_BY_GUARD = {
     guards.answer_before_sync: (86, 5),
     guards.commit_leader_unsynced: (197, 3),
@@ -41,10 +41,10 @@
 @pytest.mark.parametrize(("seed", "count"), [(36, 3), (43, 3), (63, 3), (10, 5), (22, 3), (24, 5)])
 def test_disks_lost_twice_in_a_row_do_not_stop_the_cluster(seed, count) -> None:
     """
-    A VM's new disk is lost again while it is taking the old one's place, and nothing commits.
+    A VM's new disk is lost again while it replaces the old one, and no entry commits any more.
 
-    The replacement was added as a fourth voter before the old one was removed, so two of four were
-    lost with one VM.
+    It happened when the replacement was added as a fourth voter before the old voter was removed:
+    one VM then held two of four voters.
     """
     run(seed, count, 3 * STEPS)
 
@@ -52,20 +52,21 @@
 @pytest.mark.parametrize(("seed", "count"), [(1277, 5), (2002, 5)])
 def test_learner_whose_entry_was_overwritten_becomes_a_learner_again(seed, count) -> None:
     """
-    A repaired control VM stays outside for ever, although it runs and its disk is new.
+    A repaired control VM stays excluded permanently, although it runs and its disk is new.
 
-    It became a learner and received a part of the log; the entry that made it one was overwritten
-    by the next leader. Cause: only empty disks were taken in, and it is not empty any more.
+    It became a learner and received a part of the log; then the next leader overwrote the entry
+    that made it a learner. It stayed excluded when only empty disks were accepted, because its disk
+    was no longer empty.
     """
     run(seed, count, STEPS)
 
 
 def test_local_snapshot_never_replaces_a_newer_one_from_the_leader() -> None:
     """
-    A control VM that lagged counts by old members after the leader sent it a snapshot.
+    A control VM that was behind uses outdated members after the leader sent it a snapshot.
 
-    While it stores a snapshot that it took itself, the leader's newer one is put in force. Cause:
-    the older one is taken over when its write ends.
+    While the replica writes a snapshot that it took itself, a newer one from the leader is
+    installed. It failed when the older snapshot was put in force at the end of its write.
     """
     run(826, 3, STEPS)
 
--- a/tests/unit/consensus/test_core_scenarios.py
+++ b/tests/unit/consensus/test_core_scenarios.py
@@ -1,4 +1,4 @@
-"""Failures of the consensus core that need an exact order, and what they do without the guard."""
+"""Failures of the consensus core that need an exact order of events, with and without the guard."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Trio(RandomRun):
-    """Three cores whose messages pass when the test says so; c1 leads and all else is quiet."""
+    """Three cores whose messages are delivered only by the test; c1 is the leader."""
 
     @classmethod
     def with_leader_c1(cls) -> Trio:
@@ -31,7 +31,7 @@
         return next(name for name, node in self.node_by_daemon.items() if node.core.is_leader)
 
     def elect_leader(self, daemon: str) -> None:
-        """Let every other stay silent until this one leads."""
+        """Make leaders resign until the given daemon is the leader."""
         while self.leader() != daemon:
             self.step(self.node_by_daemon[self.leader()], events.Resign())
             for _ in range(200):
@@ -39,7 +39,9 @@
             assert self.leader()
 
     def deliver_from(self, sender: str, target: str, kind: type = ANY) -> int:
-        """Deliver what waits on one path, with all syncs, and return how many messages it was."""
+        """
+        Deliver the messages in transit from sender to target, with all syncs; return their number.
+        """
         waiting = [
             message
             for message in self.messages
@@ -66,14 +68,16 @@
         self.sync_all(node)
 
     def heartbeat_round_with(self, follower: str) -> None:
-        """The leader's heartbeat round reaches one follower, and the answer comes back."""
+        """Run one heartbeat round of c1 with one follower, including the reply."""
         self.now += 0.25
         self.tick_and_sync("c1")
         assert self.deliver_from("c1", follower)
         assert self.deliver_from(follower, "c1")
 
     def elect(self, candidate: str, voter: str) -> None:
-        """The candidate times out and asks one voter alone, which makes a majority of three."""
+        """
+        Let the candidate time out and ask a single voter, which is enough for a majority of three.
+        """
         node = self.node_by_daemon[candidate]
         node.core.state.election_due_at = self.now
         self.tick_and_sync(candidate)
@@ -82,7 +86,9 @@
             self.deliver_from(voter, candidate, VoteReply)
 
     def elect_c2_with_c3(self) -> None:
-        """C2 leads if c3 lets it, and gets the answer to its first round."""
+        """
+        Let c2 become leader with the vote of c3 and receive the reply to its first heartbeat round.
+        """
         self.elect("c2", "c3")
         self.deliver_from("c2", "c3", AppendRequest)
         self.deliver_from("c3", "c2", AppendReply)
@@ -91,11 +97,11 @@
 @pytest.mark.parametrize("remove_guard", [None, guards.vote_despite_leader_contact])
 def test_a_voter_that_hears_the_leader_helps_no_other(monkeypatch, remove_guard) -> None:
     """
-    Users see the platform get orders from two processes that both hold a lease.
+    The platform receives orders from two processes that both hold a lease.
 
-    C2 is cut off from the leader c1 and times out, while c3 has just answered c1, which therefore
-    holds a lease. C2 asks c3 for its vote. Cause: c3 gives it although its answer still carries the
-    lease of c1.
+    C2 is partitioned from the leader c1 and times out, while c3 has just replied to c1, which
+    therefore holds a lease. C2 asks c3 for its vote. Without the guard, c3 grants it while its
+    reply still supports the lease of c1.
     """
     trio = Trio.with_leader_c1()
     for _ in range(8):
@@ -107,10 +113,11 @@
 @pytest.mark.parametrize("remove_guard", [None, guards.vote_right_after_restart])
 def test_a_voter_that_restarted_waits_before_it_votes(monkeypatch, remove_guard) -> None:
     """
-    Users see the platform get orders from two processes that both hold a lease.
+    The platform receives orders from two processes that both hold a lease.
 
-    As above, but c3 crashes after its answer and is back at once. Cause: it forgot that it answered
-    c1 and votes for c2 while the lease that its answer carries is not over.
+    As in the test above, but c3 crashes after its reply and restarts at once. Without the guard, c3
+    has lost the record of its reply and votes for c2 before the lease of c1, which the reply
+    supports, has expired.
     """
     trio = Trio.with_leader_c1()
     for _ in range(8):
@@ -125,11 +132,11 @@
 @pytest.mark.parametrize("remove_guard", [None, guards.lease_from_reply_receipt])
 def test_answers_that_were_long_on_their_way_carry_no_lease(monkeypatch, remove_guard) -> None:
     """
-    Users see the platform get orders from two processes that both hold a lease.
+    The platform receives orders from two processes that both hold a lease.
 
-    The answers to a round are on their way for almost an election timeout; then c1 is cut off and
-    c2 is elected. Cause: c1 counts its lease from the receipt of the answers, the followers their
-    promise from the heartbeat.
+    The replies to a heartbeat round are in transit for almost an election timeout; then c1 is
+    partitioned and c2 is elected. Without the guard, c1 counts its lease from the receipt of the
+    replies, while the followers withhold their votes only from the receipt of the heartbeat.
     """
     trio = Trio.with_leader_c1()
     trio.now += 0.25
@@ -137,7 +144,7 @@
     trio.deliver_from("c1", "c2", AppendRequest)
     trio.deliver_from("c1", "c3", AppendRequest)
 
-    def late_answers_then_election() -> None:
+    def late_replies_then_election() -> None:
         trio.now += 0.95
         trio.deliver_from("c2", "c1", AppendReply)
         trio.deliver_from("c3", "c1", AppendReply)
@@ -146,11 +153,11 @@
         trio.node_by_daemon["c2"].core.state.election_due_at = trio.now
         trio.elect_c2_with_c3()
 
-    _expect_overlap(monkeypatch, remove_guard, trio, late_answers_then_election)
+    _expect_overlap(monkeypatch, remove_guard, trio, late_replies_then_election)
 
 
 def _expect_overlap(monkeypatch, remove_guard, trio, run_failure) -> None:
-    """Without the guard two leases overlap; with it none do."""
+    """Run the failure and check that two leases overlap only without the guard."""
     if remove_guard is None:
         run_failure()
         trio.check_leases()
@@ -166,12 +173,13 @@
     monkeypatch, remove_guard
 ) -> None:
     """
-    An operator's accepted rules vanish after two changes of the leader.
+    Accepted rules of an operator are lost after two leader changes.
 
-    C1 appends an entry and falls; c2, without it, leads and appends one of its own and falls; c1
-    leads again and copies its old entry to c3, which makes a majority. C1 falls and c2 leads again:
-    its entry is the newer one and overwrites the old. Cause: c1 had answered "accepted" because a
-    majority held the old entry.
+    C1 appends an entry and crashes. C2, which lacks the entry, becomes leader, appends one of its
+    own and crashes. C1 becomes leader again and copies its old entry to c3, so a majority holds it.
+    If c1 crashes and c2 becomes leader again, c2's entry has the newer term and overwrites the old
+    one. Without the guard, c1 has already answered "accepted" because a majority held the old
+    entry.
     """
     trio = Trio.with_leader_c1()
     if remove_guard is not None:
@@ -190,7 +198,7 @@
     trio.crash(first)
     trio.start(first)
     trio.now += 1.5
-    # The first try only tells c1 that there is a newer term.
+    # The first attempt only informs c1 of the newer term.
     trio.elect("c1", "c3")
     trio.elect("c1", "c3")
     assert first.core.is_leader
@@ -199,7 +207,9 @@
 
 
 def _copy_old_entry(trio: Trio, entry_index: int) -> None:
-    """Only the old entry arrives; the leader's own first entry of its term is still on its way."""
+    """
+    Deliver only the old entry to c3; the leader's first entry of its own term stays in transit.
+    """
     for position, (sender, target, request) in enumerate(trio.messages):
         if not isinstance(request, AppendRequest):
             continue
@@ -207,7 +217,7 @@
         trio.messages[position] = (sender, target, replace(request, entries=old))
     trio.deliver_from("c1", "c3", AppendRequest)
     trio.deliver_from("c3", "c1", AppendReply)
-    # The probe told where c3 stands; now the old entry goes there, alone.
+    # The reply to the probe contained c3's match index; now only the old entry is sent to c3.
     for position, (sender, target, request) in enumerate(trio.messages):
         if not isinstance(request, AppendRequest):
             continue
@@ -220,10 +230,11 @@
 @pytest.mark.parametrize("remove_guard", [None, guards.answer_for_previous_disk])
 def test_a_wiped_voter_does_not_vote_again_in_the_same_term(monkeypatch, remove_guard) -> None:
     """
-    Two control VMs lead in one term, and both send orders under the same fencing number.
+    Two control VMs are leaders in one term and send orders with the same fencing number.
 
-    C3 votes for c2 and loses its disk right after; c1 stands in the same term and asks c3 as well.
-    Cause: the empty replica takes itself for the voter that it was and does not know of its vote.
+    C3 votes for c2 and loses its disk right after; c1 is a candidate in the same term and asks c3
+    too. Without the guard, the empty replica answers as the voter that it was, without a record of
+    its vote.
     """
     trio = Trio.with_leader_c1()
     third = trio.node_by_daemon["c3"]
--- a/tests/unit/consensus/test_peer.py
+++ b/tests/unit/consensus/test_peer.py
@@ -18,7 +18,7 @@
 
 
 class Follower(consensus_pb2_grpc.ConsensusServicer):
-    """Notes the messages of each delivery."""
+    """Records the number of messages of each delivery."""
 
     def __init__(self) -> None:
         self.delivered: asyncio.Queue[int] = asyncio.Queue()
@@ -31,8 +31,8 @@
 async def test_a_follower_is_not_left_out_because_a_snapshot_could_not_be_read(
     tmp_path, monkeypatch
 ) -> None:
-    # A leader is out of descriptors while it sends a snapshot, and sends that follower nothing any
-    # more.
+    # A leader has no free descriptor while it sends a snapshot, and from then on sends that
+    # follower nothing.
     storage = Storage.from_folder(tmp_path / "consensus")
     meta = SnapshotMeta(1, 1, Members(), 5, zlib.crc32(b"state"))
     storage.write_snapshot(meta, b"state")
--- a/tests/unit/consensus/test_power_loss.py
+++ b/tests/unit/consensus/test_power_loss.py
@@ -19,11 +19,11 @@
     return Entry(index, term, COMMAND, b"command %d.%d" % (term, index))
 
 
-def work(folder: Path, recorder: Recorder) -> None:
+def write_replica_history(folder: Path, recorder: Recorder) -> None:
     """
-    A replica's life: votes, entries, an overwritten tail, a snapshot, more entries.
+    Write what a replica writes: votes, entries, a conflicting tail, a snapshot and more entries.
 
-    A promise is the term and the entries by index that others were told of.
+    A promise is the term and the entries by index that were acknowledged to others.
     """
     storage = Storage.from_folder(folder)
     recorder.promise((0, {}))
@@ -35,7 +35,7 @@
     storage.write_log((LogChange(0, tuple(entries.values())[2:]),))
     recorder.promise((1, dict(entries)))
     storage.write_hard_state(HardState(2))
-    # The next leader holds another entry 4, so the old one is not owed to anybody any more.
+    # The next leader holds another entry 4, so the old one need not survive any more.
     del entries[4]
     recorder.promise((2, dict(entries)))
     storage.write_log((LogChange(4, (entry(4, 2), entry(5, 2))),))
@@ -51,29 +51,29 @@
     storage.close()
 
 
-def faults(tmp_path: Path, recorder: Recorder) -> list[str]:
-    """Recover from all that may survive; what was lost of what had been promised."""
+def find_losses(tmp_path: Path, recorder: Recorder) -> list[str]:
+    """Recover from each state that may survive; list the acknowledged state that is missing."""
     found = []
-    again = tmp_path / "again"
+    recovered_folder = tmp_path / "again"
     seen = set()
     for promised, content_by_name in survivors(recorder.steps):
         state = (repr(promised), tuple(sorted(content_by_name.items())))
         if promised is None or state in seen:
             continue
         seen.add(state)
-        again.mkdir()
+        recovered_folder.mkdir()
         for name, content in content_by_name.items():
-            (again / name).write_bytes(content)
-        fault = lost(Storage.from_folder(again), *promised)
-        if fault:
-            found.append(f"{fault}: {sorted(content_by_name)}")
-        shutil.rmtree(again)
+            (recovered_folder / name).write_bytes(content)
+        loss = describe_loss(Storage.from_folder(recovered_folder), *promised)
+        if loss:
+            found.append(f"{loss}: {sorted(content_by_name)}")
+        shutil.rmtree(recovered_folder)
     assert len(seen) > 30
     return found
 
 
-def lost(storage: Storage | Damage, term: int, entries: dict[int, Entry]) -> str:
-    """Tell what a recovered replica lacks; empty for nothing."""
+def describe_loss(storage: Storage | Damage, term: int, entries: dict[int, Entry]) -> str:
+    """Describe what a recovered replica lacks; empty if it lacks nothing."""
     if isinstance(storage, Damage):
         return f"does not start: {storage.message}"
     try:
@@ -98,16 +98,16 @@
         recorder = Recorder(folder, skip_sync)
         with monkeypatch.context() as patched:
             recorder.patch(patched)
-            work(folder, recorder)
+            write_replica_history(folder, recorder)
         return recorder
 
     return run
 
 
 def test_nothing_promised_is_lost_whenever_the_power_goes(tmp_path, record) -> None:
-    # A control VM loses power between any two calls of its storage. It starts again, with all that
-    # it had acknowledged, or a change that an operator was told of is gone.
-    assert faults(tmp_path, record()) == []
+    # A control VM loses power between any two calls of its storage. After its restart it must hold
+    # all that it acknowledged; otherwise a change that was confirmed to an operator is lost.
+    assert find_losses(tmp_path, record()) == []
 
 
 @pytest.mark.parametrize(
@@ -121,8 +121,8 @@
     ],
 )
 def test_each_sync_is_needed(tmp_path, record, name) -> None:
-    # Taken out alone, each sync loses something: the test above would see it missing.
-    assert faults(tmp_path, record(lambda synced: synced == name))
+    # Without any one of these syncs some state is lost, and the test above detects the loss.
+    assert find_losses(tmp_path, record(lambda synced: synced == name))
 
 
 def test_model_includes_unsynced_writes(tmp_path, monkeypatch) -> None:
--- a/tests/unit/consensus/test_repair.py
+++ b/tests/unit/consensus/test_repair.py
@@ -50,28 +50,36 @@
 
 
 def test_permanently_lost_voter_is_replaced_by_a_spare() -> None:
-    # A store is lost for good and an empty one comes at another address. Left outside, the next
-    # loss would end the log.
+    # A store is permanently lost and an empty one starts at another address. If the new one were
+    # not added, the loss of one more store would stop the log.
     state = leader(MEMBERS_OF_THREE, silent=("b",))
 
     assert next_change(state, [SPARE], (), 3) == Replace(SPARE.replica, VOTERS[1])
 
 
 def test_a_replacement_comes_from_the_data_centre_with_the_fewest_voters() -> None:
-    # Of thirty stores the first by address stand in one data centre: replaced by those, one voter
-    # after the other ends up there, and its loss ends the log.
+    # Of thirty stores the first ones by address are in one data centre. If they always replaced
+    # lost voters, all voters would end up there, and the loss of that data centre would stop the
+    # log.
     state = leader(MEMBERS_OF_THREE, silent=("c",))
-    here = [Candidate(VOTERS[0], "derby"), Candidate(VOTERS[1], "stoke")]
-    near = Candidate(ReplicaId("p", "d"), "derby")
-    far = Candidate(ReplicaId("q", "d"), "walsall")
-
-    assert next_change(state, [*here, near, far], (), 3) == Replace(far.replica, VOTERS[2])
-    assert next_change(state, [*here, near, far], (), 5) == Replace(far.replica, None)
-    assert next_change(state, [*here, near], (), 3) == Replace(near.replica, VOTERS[2])
+    responsive_voters = [Candidate(VOTERS[0], "derby"), Candidate(VOTERS[1], "stoke")]
+    same_data_centre_spare = Candidate(ReplicaId("p", "d"), "derby")
+    other_data_centre_spare = Candidate(ReplicaId("q", "d"), "walsall")
+
+    assert next_change(
+        state, [*responsive_voters, same_data_centre_spare, other_data_centre_spare], (), 3
+    ) == Replace(other_data_centre_spare.replica, VOTERS[2])
+    assert next_change(
+        state, [*responsive_voters, same_data_centre_spare, other_data_centre_spare], (), 5
+    ) == Replace(other_data_centre_spare.replica, None)
+    assert next_change(state, [*responsive_voters, same_data_centre_spare], (), 3) == Replace(
+        same_data_centre_spare.replica, VOTERS[2]
+    )
 
 
 def test_silent_voter_stays_while_there_is_no_spare() -> None:
-    # A partition leaves two of three voters: taking the third out would let one more loss end it.
+    # A partition isolates one of three voters: if that voter were removed, one more loss would stop
+    # the log.
     state = leader(MEMBERS_OF_THREE, silent=("b",))
 
     assert next_change(state, [], (), 3) is None
--- a/tests/unit/consensus/test_start.py
+++ b/tests/unit/consensus/test_start.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from unit.consensus.refusing import Refusing
+from unit.consensus.refusing import RefusedCalls
 
 from fakes.replica import Lines
 from ibisspring_consensus import ConsensusNode, events, files
@@ -25,21 +25,21 @@
 STARTED_S = 10.0
 
 
-def core_of_a_process_that_started_earlier() -> Core:
-    """A replica whose process took its time for imports before it could read its disk."""
-    me = ReplicaId("c1", "disk-1")
+def core_after_slow_imports() -> Core:
+    """Return the core of a replica that read its disk `IMPORTS_S` after its process started."""
+    own = ReplicaId("c1", "disk-1")
     snapshot = SnapshotMeta(0, 0)
     stored = StoredState(HardState(term=3), snapshot, 0, 0, ())
-    core = Core.from_stored(me, QUICK, stored, random.Random(1), STARTED_S)
+    core = Core.from_stored(own, QUICK, stored, random.Random(1), STARTED_S)
     core.step(events.Tick(), STARTED_S + IMPORTS_S)
     return core
 
 
 def test_the_wait_after_a_restart_counts_from_the_start_of_the_process() -> None:
-    # All VMs are killed at once. The process before may have granted a lease until it ended, which
-    # was before this one began; counted from the end of its imports, the wait kept callers from a
-    # leader for a third of a second more than any lease lasts.
-    core = core_of_a_process_that_started_earlier()
+    # All VMs are killed at once. The previous process may have supported a lease until it ended,
+    # which was before this one started. Counted from the end of the imports, the wait would delay
+    # the election of a leader by a third of a second more than any lease lasts.
+    core = core_after_slow_imports()
     assert must_withhold_vote(core.state)
 
     core.step(events.Tick(), STARTED_S + QUICK.leader_lease_s)
@@ -51,8 +51,8 @@
 
 
 def test_core_times_come_from_the_settings() -> None:
-    # An operator shortens all times. A lease that stayed as long as before would outlast the
-    # silence after which another leader is elected, and both would believe to be in charge.
+    # An operator shortens all times. If the lease kept its old duration, it would outlast the
+    # election timeout after which another leader is elected, and both would act as leader.
     control = ControlSettings(
         "127.0.0.1:1", heartbeat_s=0.1, election_timeout_s=0.5, leader_lease_s=0.4
     )
@@ -64,9 +64,9 @@
     assert config.election_spread == CoreConfig().election_spread
 
 
-def full_disk(monkeypatch, refused: str) -> Refusing:
-    place = Path if refused in ("mkdir", "open", "replace") else files.os
-    return Refusing(monkeypatch, errno.ENOSPC, (place, refused))
+def full_disk(monkeypatch, refused: str) -> RefusedCalls:
+    owner = Path if refused in ("mkdir", "open", "replace") else files.os
+    return RefusedCalls(monkeypatch, errno.ENOSPC, (owner, refused))
 
 
 def kernel_of_a_replica(folder: Path) -> Kernel:
@@ -79,7 +79,7 @@
 async def test_a_replica_that_starts_on_a_full_disk_waits_for_room(
     tmp_path, monkeypatch, refused
 ) -> None:
-    # A VM with an empty disk that is full for a while ends at each start.
+    # The daemon of a VM with a new disk that is full for some time ends at each start.
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     disk = full_disk(monkeypatch, refused)
     kernel = kernel_of_a_replica(tmp_path / "control" / "consensus")
@@ -94,7 +94,8 @@
 
 
 async def test_a_replica_that_waits_for_room_stops_when_told(tmp_path, monkeypatch) -> None:
-    # A daemon that waits for room at its start is killed after its grace in place of stopping.
+    # A daemon that waits for free space at its start does not stop when asked and is killed after
+    # the grace period.
     disk = full_disk(monkeypatch, "mkdir")
     kernel = kernel_of_a_replica(tmp_path / "consensus")
 
--- a/tests/unit/consensus/test_storage.py
+++ b/tests/unit/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""What the disk gives back after crashes and damage."""
+"""What the storage reads after crashes and damage."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 from ibisspring_consensus.storage import LogChange, SegmentStart, Storage
 
-VOTE = HardState(3, ReplicaId("c2", "d2"))
+VOTED = HardState(3, ReplicaId("c2", "d2"))
 
 
 def entries(first: int, last: int, term: int = 1) -> tuple[Entry, ...]:
@@ -35,7 +35,7 @@
     return SnapshotMeta(index, 1, Members(), len(data), zlib.crc32(data))
 
 
-def opened(folder) -> Storage:
+def open_storage(folder) -> Storage:
     storage = Storage.from_folder(folder)
     assert isinstance(storage, Storage), storage
     return storage
@@ -44,8 +44,8 @@
 @pytest.fixture
 def folder(tmp_path):
     """A folder with ten entries, one record each, and a vote."""
-    storage = opened(tmp_path / "consensus")
-    storage.write_hard_state(VOTE)
+    storage = open_storage(tmp_path / "consensus")
+    storage.write_hard_state(VOTED)
     for entry in entries(1, 10):
         storage.write_log((LogChange(0, (entry,)),))
     storage.close()
@@ -54,13 +54,13 @@
 
 @pytest.fixture
 def synced(monkeypatch) -> list[Path]:
-    """Paths that were synced, in order."""
+    """Paths of synced files and folders, in order."""
     paths = []
-    plain = os.fsync
+    original = os.fsync
 
     def fsync(descriptor: int) -> None:
         paths.append(Path(os.readlink(f"/proc/self/fd/{descriptor}")))
-        plain(descriptor)
+        original(descriptor)
 
     monkeypatch.setattr(os, "fsync", fsync)
     return paths
@@ -71,60 +71,60 @@
 
 
 def test_everything_written_is_read_back(folder) -> None:
-    storage = opened(folder)
+    storage = open_storage(folder)
     disk_id = storage.disk_id
     storage.write_log((LogChange(8, entries(8, 9, term=2)),))
     storage.close()
-    again = opened(folder)
-    assert again.disk_id == disk_id
-    assert again.stored.hard == VOTE
-    assert again.stored.entries == entries(1, 7) + entries(8, 9, term=2)
+    reopened = open_storage(folder)
+    assert reopened.disk_id == disk_id
+    assert reopened.stored.hard == VOTED
+    assert reopened.stored.entries == entries(1, 7) + entries(8, 9, term=2)
 
 
 @pytest.mark.parametrize("cut", [1, 5, 13])
 def test_a_torn_last_record_is_cut_off(folder, cut) -> None:
     """
-    A VM loses power while it writes, and afterwards it must start again by itself.
+    A VM loses power during a write, and has to start again without an operator.
 
-    The last record reached the disk in part. Nothing was promised about it, as it was never synced.
+    The last record is on disk only in part. It was never synced, so nothing in it was acknowledged.
     """
     segment = segment_of(folder)
     segment.write_bytes(segment.read_bytes()[:-cut])
-    storage = opened(folder)
+    storage = open_storage(folder)
     assert storage.stored.entries == entries(1, 9)
     storage.write_log((LogChange(0, entries(10, 11)),))
     storage.close()
-    assert opened(folder).stored.entries == entries(1, 11)
+    assert open_storage(folder).stored.entries == entries(1, 11)
 
 
 def test_a_record_of_zeros_at_the_end_is_cut_off(folder) -> None:
-    """The file system grew the file but lost what was written into it."""
+    """The file system extended the file but lost the data written into it."""
     segment = segment_of(folder)
     segment.write_bytes(segment.read_bytes() + bytes(100))
-    assert opened(folder).stored.entries == entries(1, 10)
+    assert open_storage(folder).stored.entries == entries(1, 10)
 
 
 def test_a_flipped_byte_anywhere_before_the_last_record_refuses_to_start(folder) -> None:
     """
     A disk returns one wrong byte in the middle of the log.
 
-    Cut off there, the replica would forget entries that it acknowledged, and they could be lost
-    with a second VM. It refuses to start and says which file and offset, so that the operator
-    empties the disk.
+    If the log were truncated there, the replica would forget entries that it acknowledged, and they
+    could be lost with a second VM. It refuses to start and reports file and offset, so that the
+    operator can wipe the disk.
     """
     segment = segment_of(folder)
     good = segment.read_bytes()
-    last = good.rindex(b"line 10") - 60
-    starts = files.read_records(segment)
+    last_record = good.rindex(b"line 10") - 60
+    records = files.read_records(segment)
     offsets = [0]
-    for payload in starts.payloads[:-1]:
+    for payload in records.payloads[:-1]:
         offsets.append(offsets[-1] + HEADER.size + len(payload))
-    for position in range(min(last, offsets[-1])):
+    for position in range(min(last_record, offsets[-1])):
         broken = bytearray(good)
         broken[position] ^= 0x10
         segment.write_bytes(bytes(broken))
         damage = Storage.from_folder(folder)
-        assert isinstance(damage, Damage), f"byte {position} went unseen"
+        assert isinstance(damage, Damage), f"the change of byte {position} was not detected"
         assert damage.path == str(segment)
         assert damage.offset == max(offset for offset in offsets if offset <= position)
 
@@ -138,41 +138,40 @@
 
 
 class PowerLost(Exception):
-    """The crash that a test causes."""
+    """The crash simulated by a test."""
 
 
 @pytest.mark.parametrize("step", range(12))
 def test_a_crash_at_any_step_of_a_snapshot_loses_nothing(folder, monkeypatch, step) -> None:
     """
-    A VM crashes while it stores a snapshot and drops the log before it.
+    A VM crashes while it stores a snapshot and compacts the log.
 
-    Whatever step it reached, the snapshot and log that are left must give the same state, with term
-    and vote.
+    At any step, the remaining snapshot and log must give the same state, with term and vote.
     """
-    storage = opened(folder)
+    storage = open_storage(folder)
     storage.write_snapshot(meta(4), b"state")
     storage.compact(meta(4), SegmentStart(2, 1), entries(3, 10))
-    left = [step]
+    remaining_calls = [step]
     for name in ("replace_file", "sync_folder"):
-        plain = getattr(files, name)
+        original = getattr(files, name)
 
-        def counted(*arguments, plain=plain):
-            if left[0] == 0:
+        def counted(*arguments, original=original):
+            if remaining_calls[0] == 0:
                 raise PowerLost
-            left[0] -= 1
-            return plain(*arguments)
+            remaining_calls[0] -= 1
+            return original(*arguments)
 
         monkeypatch.setattr(f"ibisspring_consensus.storage.{name}", counted)
     crashed = _snapshot_until_crash(storage)
     monkeypatch.undo()
-    again = opened(folder)
-    stored = again.stored
-    assert again.disk_id == storage.disk_id
-    assert stored.hard == VOTE
+    reopened = open_storage(folder)
+    stored = reopened.stored
+    assert reopened.disk_id == storage.disk_id
+    assert stored.hard == VOTED
     assert stored.snapshot.index in ((4, 8) if crashed else (8,))
     assert stored.base_index + len(stored.entries) == 10
     assert stored.base_index <= stored.snapshot.index
-    assert again.read_snapshot(stored.snapshot.index) == b"state"
+    assert reopened.read_snapshot(stored.snapshot.index) == b"state"
 
 
 def _snapshot_until_crash(storage: Storage) -> bool:
@@ -185,9 +184,9 @@
 
 
 def test_a_large_snapshot_is_written_without_a_copy(folder) -> None:
-    # A store's whole state is written every thousand commands: two copies of it beside the state
-    # and its encoding are a large part of a store's peak.
-    storage = opened(folder)
+    # The complete state of a store is written every thousand commands. Two copies of it, besides
+    # the state and its encoding, would be a large part of the store's peak memory.
+    storage = open_storage(folder)
     data = bytes(8_000_000)
     tracemalloc.start()
 
@@ -197,44 +196,45 @@
     tracemalloc.stop()
     assert peak < len(data) / 8
     storage.compact(meta(10, data), SegmentStart(10, 1), ())
-    assert opened(folder).read_snapshot(10) == data
+    assert open_storage(folder).read_snapshot(10) == data
 
 
 def test_received_snapshot_without_its_segment_is_loaded(folder) -> None:
-    """A follower behind the log crashes between storing the leader's snapshot and its new log."""
-    storage = opened(folder)
+    """A follower crashes between writing the leader's snapshot and writing its new log segment."""
+    storage = open_storage(folder)
     storage.write_snapshot(meta(50), b"state")
     storage.close()
-    again = opened(folder)
-    assert again.stored.snapshot.index == 50
-    assert (again.stored.base_index, again.stored.entries) == (50, ())
-    again.write_log((LogChange(0, entries(51, 52)),))
-    again.close()
-    assert opened(folder).stored.entries == entries(51, 52)
+    reopened = open_storage(folder)
+    assert reopened.stored.snapshot.index == 50
+    assert (reopened.stored.base_index, reopened.stored.entries) == (50, ())
+    reopened.write_log((LogChange(0, entries(51, 52)),))
+    reopened.close()
+    assert open_storage(folder).stored.entries == entries(51, 52)
 
 
 def test_the_names_of_new_folders_are_synced_before_anything_is_promised(tmp_path, synced) -> None:
-    # All VMs lose power after their first start, and each comes back without its data folder.
-    opened(tmp_path / "data" / "control" / "consensus").close()
+    # All VMs lose power after their first start, and each restarts without its data folder.
+    open_storage(tmp_path / "data" / "control" / "consensus").close()
 
     term_and_vote = synced.index(tmp_path / "data" / "control" / "consensus" / "hard_state.tmp")
-    for holder in (tmp_path, tmp_path / "data", tmp_path / "data" / "control"):
-        assert holder in synced[:term_and_vote]
+    for parent in (tmp_path, tmp_path / "data", tmp_path / "data" / "control"):
+        assert parent in synced[:term_and_vote]
 
 
 def test_names_left_by_a_process_that_ended_are_synced(tmp_path, synced) -> None:
-    # The same loss where the first process was killed between making its folders and syncing them.
+    # As above, but the first process was killed after it created its folders and before it synced
+    # their names.
     folder = tmp_path / "control" / "consensus"
     folder.mkdir(parents=True)
-    opened(folder).close()
+    open_storage(folder).close()
 
     assert {tmp_path, tmp_path / "control"} <= set(synced)
 
 
 def test_refused_start_leaks_no_descriptor(folder, monkeypatch) -> None:
-    # A replica that waits for room at its start loses a descriptor with each try.
+    # A replica that waits for free space at its start leaks a descriptor with each attempt.
     data = b"state"
-    storage = opened(folder)
+    storage = open_storage(folder)
     storage.write_snapshot(meta(30, data), data)
     storage.close()
 
@@ -248,4 +248,4 @@
     monkeypatch.undo()
 
     assert len(os.listdir("/proc/self/fd")) == before
-    assert opened(folder).stored.snapshot == meta(30, data)
+    assert open_storage(folder).stored.snapshot == meta(30, data)
--- a/tests/unit/consensus/test_writer.py
+++ b/tests/unit/consensus/test_writer.py
@@ -1,4 +1,4 @@
-"""The thread in front of the disk."""
+"""The writer: retries, group commit and failures of the disk."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from unit.consensus.refusing import Refusing
+from unit.consensus.refusing import RefusedCalls
 
 from ibisspring_consensus import files
 from ibisspring_consensus import writer as writer_module
@@ -30,8 +30,8 @@
 
 async def test_queued_writes_share_one_sync_and_one_report(storage, monkeypatch) -> None:
     records = []
-    plain = storage.write_log
-    monkeypatch.setattr(storage, "write_log", lambda changes: records.append(plain(changes)))
+    original = storage.write_log
+    monkeypatch.setattr(storage, "write_log", lambda changes: records.append(original(changes)))
     synced = asyncio.Queue()
     writer = Writer(storage, synced.put_nowait, lambda: None)
     for sequence in range(1, 9):
@@ -44,10 +44,10 @@
 
 async def test_a_failed_sync_is_never_reported_as_synced(storage, monkeypatch) -> None:
     """
-    An accepted write is gone although every control VM had answered that it was synced.
+    An accepted write is lost although every control VM reported it as synced.
 
-    The disk is full, or its sync fails once. Cause: going on after it; the system may say that the
-    next sync went well although what the failed one held was dropped.
+    The disk is full, or its sync fails once. Continuing after a failed sync is the fault: the next
+    sync may succeed although the data of the failed one was dropped.
     """
 
     def write_log(changes):
@@ -68,22 +68,23 @@
 
 async def test_a_full_disk_is_waited_for(tmp_path, monkeypatch) -> None:
     """
-    A store's disk is full for some seconds and its daemon ends at each start, for good.
+    A store's disk is full for some seconds, and its daemon ends then and at each later start.
 
-    Cause: a write without room was taken for a failed sync. Nothing of it was promised, and what
-    stands of it is cut off, so that the log is read whole after a restart.
+    It happened when a write without free space was handled like a failed sync. Nothing of such a
+    write is acknowledged, and its written part is removed, so that the log is read completely after
+    a restart.
     """
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     storage = Storage.from_folder(tmp_path / "consensus")
     space_available = asyncio.Event()
     attempted = asyncio.Event()
     loop = asyncio.get_running_loop()
-    plain = files.os.write
+    original = files.os.write
 
     def write(descriptor: int, data: bytes) -> int:
         if space_available.is_set():
-            return plain(descriptor, data)
-        plain(descriptor, data[:5])
+            return original(descriptor, data)
+        original(descriptor, data[:5])
         loop.call_soon_threadsafe(attempted.set)
         raise OSError(28, "No space left on device")
 
@@ -99,8 +100,8 @@
     await writer.stop()
     monkeypatch.undo()
 
-    again = Storage.from_folder(tmp_path / "consensus")
-    assert [entry.index for entry in again.stored.entries] == [1]
+    reopened = Storage.from_folder(tmp_path / "consensus")
+    assert [entry.index for entry in reopened.stored.entries] == [1]
 
 
 async def test_refused_hard_state_write_keeps_the_previous_one(storage, monkeypatch) -> None:
@@ -117,11 +118,11 @@
 
 @pytest.mark.parametrize("refused", ["open", "fsync", "replace"])
 async def test_a_new_term_on_a_full_disk_is_waited_for(storage, monkeypatch, refused) -> None:
-    # A leader is elected while the disk of a follower is full: the file of term and vote finds no
-    # room for its new name, and the control daemon ends.
+    # A leader is elected while the disk of a follower is full: the temporary file for term and vote
+    # cannot be created, and the control daemon ends.
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
-    place = {"open": Path, "fsync": files.os, "replace": Path}[refused]
-    disk = Refusing(monkeypatch, errno.ENOSPC, (place, refused))
+    owner = {"open": Path, "fsync": files.os, "replace": Path}[refused]
+    disk = RefusedCalls(monkeypatch, errno.ENOSPC, (owner, refused))
     synced, failed = asyncio.Queue(), asyncio.Event()
     writer = Writer(storage, synced.put_nowait, failed.set)
     writer.start()
@@ -137,49 +138,49 @@
     assert Storage.from_folder(storage.folder).stored.hard.term == 9
 
 
-async def written_without_descriptors(storage, monkeypatch, job) -> bool:
-    """Whether a replica ended over a job for which no file could be opened at first."""
+async def fails_without_descriptors(storage, monkeypatch, job) -> bool:
+    """Return whether the writer failed on a job for which no file could be opened at first."""
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
-    disk = Refusing(monkeypatch, errno.EMFILE, (files.os, "open"), (Path, "open"))
+    disk = RefusedCalls(monkeypatch, errno.EMFILE, (files.os, "open"), (Path, "open"))
     synced, failed = asyncio.Queue(), asyncio.Event()
     writer = Writer(storage, synced.put_nowait, failed.set)
     writer.start()
     writer.add(job)
     writer.add(persist(1))
     async with asyncio.timeout(5.0):
-        ended = asyncio.create_task(failed.wait())
+        failure = asyncio.create_task(failed.wait())
         await disk.attempted.wait()
         disk.allowed.set()
         written = asyncio.create_task(synced.get())
-        await asyncio.wait((ended, written), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((failure, written), return_when=asyncio.FIRST_COMPLETED)
     await writer.stop()
     monkeypatch.undo()
     return failed.is_set()
 
 
 async def test_a_new_term_without_descriptors_is_waited_for(storage, monkeypatch) -> None:
-    # A store that is out of descriptors for a moment ends by itself as soon as a leader changes.
+    # A store that has no free descriptor for a moment ends as soon as the leader changes.
     job = Persist(1, hard_state=HardState(term=9))
-    assert not await written_without_descriptors(storage, monkeypatch, job)
+    assert not await fails_without_descriptors(storage, monkeypatch, job)
     assert Storage.from_folder(storage.folder).stored.hard.term == 9
 
 
 async def test_a_snapshot_without_descriptors_is_waited_for(storage, monkeypatch) -> None:
-    # The same at the next snapshot.
+    # As above, at the next snapshot.
     meta = SnapshotMeta(1, 1, Members(), 5, zlib.crc32(b"state"))
     job = StoreSnapshot(meta, b"state", SegmentStart(0, 0), (), lambda: None)
-    assert not await written_without_descriptors(storage, monkeypatch, job)
+    assert not await fails_without_descriptors(storage, monkeypatch, job)
     assert Storage.from_folder(storage.folder).stored.snapshot == meta
 
 
 def test_a_segment_that_can_not_be_opened_leaves_the_one_before(storage, monkeypatch) -> None:
-    # A replica that is out of descriptors in the middle of a snapshot writes to a closed file.
-    plain = files.os.open
+    # A replica that has no free descriptor during a snapshot writes to a closed file afterwards.
+    original = files.os.open
 
     def without_descriptors(path, *arguments):
         if str(path).rpartition("/")[2].startswith("log-"):
             raise OSError(errno.EMFILE, "Too many open files")
-        return plain(path, *arguments)
+        return original(path, *arguments)
 
     monkeypatch.setattr(files.os, "open", without_descriptors)
     meta = SnapshotMeta(0, 0, Members(), 0, 0)
@@ -193,15 +194,16 @@
 
 
 async def test_a_name_whose_folder_can_not_be_opened_is_synced_later(storage, monkeypatch) -> None:
-    # A replica is out of descriptors between the renaming of its term and the sync of the name.
-    plain = files.os.open
+    # A replica has no free descriptor between the rename of its hard state file and the sync of the
+    # folder.
+    original = files.os.open
     refused = []
 
     def without_descriptors(path, *arguments):
         if Path(path).is_dir() and not refused:
             refused.append(path)
             raise OSError(errno.EMFILE, "Too many open files")
-        return plain(path, *arguments)
+        return original(path, *arguments)
 
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     monkeypatch.setattr(files.os, "open", without_descriptors)
@@ -210,9 +212,9 @@
     writer.start()
     writer.add(Persist(1, hard_state=HardState(term=9)))
     async with asyncio.timeout(5.0):
-        ended = asyncio.create_task(failed.wait())
+        failure = asyncio.create_task(failed.wait())
         written = asyncio.create_task(synced.get())
-        await asyncio.wait((ended, written), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((failure, written), return_when=asyncio.FIRST_COMPLETED)
     await writer.stop()
 
     assert refused
