--- a/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
@@ -65,14 +65,14 @@
     """
     The state of a replica as read from disk when its process starts.
 
-    :param hard: term and vote.
+    :param hard_state: term and vote.
     :param snapshot: newest snapshot.
     :param base_index: index before the first stored entry.
     :param base_term: term of the entry at `base_index`.
     :param entries: entries after `base_index`, without gaps.
     """
 
-    hard: HardState
+    hard_state: HardState
     snapshot: SnapshotMeta
     base_index: int
     base_term: int
@@ -110,7 +110,7 @@
             replica=replica,
             config=config,
             randomness=randomness,
-            hard=stored.hard,
+            hard_state=stored.hard_state,
             log=log,
             commit_index=stored.snapshot.index,
             now=now,
@@ -200,7 +200,7 @@
 
     @property
     def term(self) -> int:
-        return self.state.hard.term
+        return self.state.hard_state.term
 
     @property
     def members(self) -> Members:
@@ -218,7 +218,7 @@
     @property
     def is_empty(self) -> bool:
         """Whether this replica has never taken part in a cluster."""
-        return not self.state.hard.term and not self.state.log.last_index
+        return not self.state.hard_state.term and not self.state.log.last_index
 
     def lease_until(self) -> float:
         """
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/election.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/election.py
@@ -37,7 +37,7 @@
     if not is_voter(state.log.members, state.replica):
         return
     if state.role == CANDIDATE:
-        become_follower(state, state.hard.term, None, "no majority")
+        become_follower(state, state.hard_state.term, None, "no majority")
     state.leader = None
     begin_pre_vote(state)
 
@@ -53,7 +53,7 @@
     if is_quorum(state.log.members, state.pre_votes):
         campaign(state, transferred=False)
         return
-    _request_votes(state, state.hard.term + 1, pre=True)
+    _request_votes(state, state.hard_state.term + 1, pre=True)
 
 
 def campaign(state: CoreState, transferred: bool) -> None:
@@ -67,11 +67,11 @@
     state.votes = set()
     state.pre_votes = set()
     reset_election(state)
-    term = state.hard.term + 1
+    term = state.hard_state.term + 1
     persist(state, HardState(term=term, voted_for=state.replica))
     # Like any other vote, the candidate's own vote is counted only after it is synced.
-    own = VoteReply(term=term, request_term=term, granted=True)
-    send_after_sync(state, state.replica, own)
+    own_vote = VoteReply(term=term, request_term=term, granted=True)
+    send_after_sync(state, state.replica, own_vote)
     _request_votes(state, term, pre=False, transferred=transferred)
 
 
@@ -113,28 +113,30 @@
     must_withhold = must_withhold_vote(state) and not request.transfer
     if request.pre:
         granted = (
-            not must_withhold and request.term > state.hard.term and log_is_current(state, request)
+            not must_withhold
+            and request.term > state.hard_state.term
+            and log_is_current(state, request)
         )
-        send(state, sender, VoteReply(state.hard.term, request.term, granted, pre=True))
+        send(state, sender, VoteReply(state.hard_state.term, request.term, granted, pre=True))
         return
     # A withheld vote must not adopt the newer term either: that would end the current leader's term
     # while its lease is valid.
-    if must_withhold or request.term < state.hard.term:
-        send(state, sender, VoteReply(state.hard.term, request.term, granted=False))
+    if must_withhold or request.term < state.hard_state.term:
+        send(state, sender, VoteReply(state.hard_state.term, request.term, granted=False))
         return
-    if request.term > state.hard.term:
+    if request.term > state.hard_state.term:
         become_follower(state, request.term, None, "a newer term")
-    vote_available = state.hard.voted_for in (None, sender)
+    vote_available = state.hard_state.voted_for in (None, sender)
     granted = vote_available and state.role == FOLLOWER and log_is_current(state, request)
-    if granted and state.hard.voted_for is None:
-        persist(state, HardState(state.hard.term, sender))
+    if granted and state.hard_state.voted_for is None:
+        persist(state, HardState(state.hard_state.term, sender))
         reset_election(state)
-    send_after_sync(state, sender, VoteReply(state.hard.term, request.term, granted))
+    send_after_sync(state, sender, VoteReply(state.hard_state.term, request.term, granted))
 
 
 def on_vote_reply(state: CoreState, sender: ReplicaId, reply: VoteReply) -> None:
     """Count a granted vote or pre-vote; with a majority, campaign or become leader."""
-    if reply.term > state.hard.term and not reply.granted:
+    if reply.term > state.hard_state.term and not reply.granted:
         become_follower(state, reply.term, None, "a newer term")
         return
     if not reply.granted or not is_voter(state.log.members, sender):
@@ -142,7 +144,7 @@
     if reply.pre:
         _count_pre_vote(state, sender, reply)
         return
-    if state.role != CANDIDATE or reply.request_term != state.hard.term:
+    if state.role != CANDIDATE or reply.request_term != state.hard_state.term:
         return
     state.votes.add(sender)
     if is_quorum(state.log.members, state.votes):
@@ -151,7 +153,7 @@
 
 def _count_pre_vote(state: CoreState, sender: ReplicaId, reply: VoteReply) -> None:
     pre_vote_pending = state.role == FOLLOWER and bool(state.pre_votes)
-    if not pre_vote_pending or reply.request_term != state.hard.term + 1:
+    if not pre_vote_pending or reply.request_term != state.hard_state.term + 1:
         return
     state.pre_votes.add(sender)
     if is_quorum(state.log.members, state.pre_votes):
@@ -165,7 +167,7 @@
     state.round = 0
     state.round_sent_at = {}
     state.reads = []
-    state.effects.append(BecameLeader(state.hard.term))
+    state.effects.append(BecameLeader(state.hard_state.term))
     next_index = state.log.last_index + 1
     state.progress_by_replica = {
         other: Progress(match_index=0, next_index=next_index)
@@ -174,7 +176,7 @@
     # A leader can commit entries of earlier terms only together with an entry of its own term, so
     # it appends a no-op entry at once.
     state.noop_index = next_index
-    persist(state, entries=(Entry(next_index, state.hard.term, NOOP),))
+    persist(state, entries=(Entry(next_index, state.hard_state.term, NOOP),))
     begin_round(state)
 
 
@@ -182,8 +184,8 @@
     """
     Campaign without waiting for the election timeout, because the leader of this term resigned.
     """
-    current = message.term == state.hard.term and sender == state.leader
-    if not current or not is_voter(state.log.members, state.replica):
+    is_from_leader = message.term == state.hard_state.term and sender == state.leader
+    if not is_from_leader or not is_voter(state.log.members, state.replica):
         return
     campaign(state, transferred=True)
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
@@ -16,7 +16,7 @@
 
 # Length of the payload, CRC-32 of the payload, CRC-32 of these first eight bytes.
 HEADER = struct.Struct("<III")
-_LENGTH_AND_SUM = struct.Struct("<II")
+_LENGTH_AND_CHECKSUM = struct.Struct("<II")
 
 
 class WriteRefused(Exception):
@@ -94,18 +94,18 @@
         copy.
     :return: the header.
     """
-    start = _LENGTH_AND_SUM.pack(len(payload), zlib.crc32(payload))
-    return start + struct.pack("<I", zlib.crc32(start))
+    length_and_checksum = _LENGTH_AND_CHECKSUM.pack(len(payload), zlib.crc32(payload))
+    return length_and_checksum + struct.pack("<I", zlib.crc32(length_and_checksum))
 
 
 def _record_at(data: bytes, offset: int) -> bytes | None:
     if offset + HEADER.size > len(data):
         return None
-    length, payload_sum, header_sum = HEADER.unpack_from(data, offset)
-    if zlib.crc32(data[offset : offset + _LENGTH_AND_SUM.size]) != header_sum:
+    length, payload_checksum, header_checksum = HEADER.unpack_from(data, offset)
+    if zlib.crc32(data[offset : offset + _LENGTH_AND_CHECKSUM.size]) != header_checksum:
         return None
     payload = data[offset + HEADER.size : offset + HEADER.size + length]
-    if len(payload) != length or zlib.crc32(payload) != payload_sum:
+    if len(payload) != length or zlib.crc32(payload) != payload_checksum:
         return None
     return payload
 
@@ -130,9 +130,9 @@
             break
         payloads.append(payload)
         offset += HEADER.size + len(payload)
-    for later in range(offset + 1, len(data) - HEADER.size + 1):
-        if _record_at(data, later):
-            message = f"damaged record before a valid record at offset {later}"
+    for later_offset in range(offset + 1, len(data) - HEADER.size + 1):
+        if _record_at(data, later_offset):
+            message = f"damaged record before a valid record at offset {later_offset}"
             return Damage(str(path), offset, message)
     return Records(tuple(payloads), offset)
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/following.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/following.py
@@ -31,7 +31,7 @@
 
     :return: False for a term older than this replica's, without any change.
     """
-    if term < state.hard.term:
+    if term < state.hard_state.term:
         return False
     become_follower(state, term, sender, "another leader")
     state.leader_contact_at = state.now
@@ -43,21 +43,21 @@
     """Process a heartbeat and the entries in it."""
     previous = request.previous_index
     if not _accept_leader(state, sender, request.term):
-        send(state, sender, AppendReply(state.hard.term, False, 0, previous, request.round))
+        send(state, sender, AppendReply(state.hard_state.term, False, 0, previous, request.round))
         return
     if previous > state.log.base_index and state.log.term_at(previous) != request.previous_term:
         hint = _last_possible_match(state, previous)
         send(state, sender, AppendReply(request.term, False, hint, previous, request.round))
         return
     _append_missing(state, request)
-    match = previous + len(request.entries)
-    commit_to(state, min(request.commit_index, match))
+    match_index = previous + len(request.entries)
+    commit_to(state, min(request.commit_index, match_index))
     # Acknowledge the heartbeat before the new entries are synced: if the reply waited for a slow
     # sync, the leader's lease would expire.
-    synced = min(match, state.synced_index)
+    synced = min(match_index, state.synced_index)
     send(state, sender, AppendReply(request.term, True, synced, previous, request.round))
-    if match > synced:
-        reply = AppendReply(request.term, True, match, previous, request.round)
+    if match_index > synced:
+        reply = AppendReply(request.term, True, match_index, previous, request.round)
         send_after_sync(state, sender, reply)
 
 
@@ -69,9 +69,9 @@
     """
     if previous > state.log.last_index:
         return state.log.last_index
-    wrong = state.log.term_at(previous)
+    conflicting_term = state.log.term_at(previous)
     index = previous
-    while index > state.commit_index and state.log.term_at(index) == wrong:
+    while index > state.commit_index and state.log.term_at(index) == conflicting_term:
         index -= 1
     return index
 
@@ -92,7 +92,7 @@
 def on_snapshot_chunk(state: CoreState, sender: ReplicaId, chunk: SnapshotChunk) -> None:
     """Collect the chunks of a snapshot and install the snapshot once it is complete."""
     if not _accept_leader(state, sender, chunk.term):
-        send(state, sender, SnapshotReply(state.hard.term, 0, 0, False, chunk.round))
+        send(state, sender, SnapshotReply(state.hard_state.term, 0, 0, False, chunk.round))
         return
     meta = chunk.meta
     if meta.index <= state.commit_index:
@@ -104,9 +104,9 @@
         state.received_snapshot_index = meta.index
     if chunk.offset == len(state.received_snapshot_data):
         state.received_snapshot_data += chunk.data
-    received = len(state.received_snapshot_data)
-    if received < meta.size:
-        reply = SnapshotReply(chunk.term, meta.index, received, False, chunk.round)
+    received_bytes = len(state.received_snapshot_data)
+    if received_bytes < meta.size:
+        reply = SnapshotReply(chunk.term, meta.index, received_bytes, False, chunk.round)
         send(state, sender, reply)
         return
     _install(state, sender, chunk)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/lease.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/lease.py
@@ -62,8 +62,8 @@
     """
     if state.role != LEADER:
         return 0.0
-    answered = quorum_acked_at(state)
-    return 0.0 if answered is None else answered + state.config.leader_lease_s
+    acked_at = quorum_acked_at(state)
+    return 0.0 if acked_at is None else acked_at + state.config.leader_lease_s
 
 
 def begin_read(state: CoreState, event: ConfirmRead) -> bool:
@@ -90,14 +90,14 @@
     """
     if not state.reads:
         return
-    confirmed = quorum_acked_round(state)
-    waiting = []
+    acked_round = quorum_acked_round(state)
+    still_pending = []
     for read in state.reads:
-        if read.round > confirmed or read.index > state.commit_index:
-            waiting.append(read)
+        if read.round > acked_round or read.index > state.commit_index:
+            still_pending.append(read)
             continue
         state.effects.append(ReadConfirmed(read.read, state.commit_index))
-    state.reads = waiting
+    state.reads = still_pending
 
 
 __all__ = [
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Managed:
+class ManageResult:
     """
     Answer to an operator.
 
@@ -42,7 +42,7 @@
     detail: str = ""
 
 
-async def manage(node: ConsensusNode, action: str, arguments: dict[str, Any]) -> Managed:
+async def manage(node: ConsensusNode, action: str, arguments: dict[str, Any]) -> ManageResult:
     """
     Carry out an operator's action.
 
@@ -52,7 +52,7 @@
     :return: the answer.
     """
     if action == "identify":
-        return _answer(
+        return _success(
             {
                 "daemon": node.replica.daemon,
                 "disk_id": node.replica.disk_id,
@@ -61,18 +61,18 @@
             }
         )
     if action == "status":
-        return _answer(status(node))
+        return _success(status(node))
     if action == "bootstrap":
         return await bootstrap(node)
     if action == "replace":
         return await replace_member(node, arguments)
     if action == "snapshot":
-        return _answer({"begun": node.take_snapshot(), "applied_index": node.applied_index})
-    return Managed(False, detail=f"unknown action {action!r}")
+        return _success({"begun": node.take_snapshot(), "applied_index": node.applied_index})
+    return ManageResult(False, detail=f"unknown action {action!r}")
 
 
-def _answer(value: Any) -> Managed:
-    return Managed(True, msgspec.json.encode(value))
+def _success(value: Any) -> ManageResult:
+    return ManageResult(True, msgspec.json.encode(value))
 
 
 def status(node: ConsensusNode) -> dict[str, Any]:
@@ -126,7 +126,7 @@
     )
 
 
-async def bootstrap(node: ConsensusNode) -> Managed:
+async def bootstrap(node: ConsensusNode) -> ManageResult:
     """
     Bootstrap the cluster of all daemons in this daemon's configuration.
 
@@ -135,9 +135,13 @@
     so that two operators cannot create two clusters.
     """
     config = node.replica_config
-    first = min(config.founders)
-    if config.daemon != first:
-        return Managed(False, leader_hint=first, detail=f"only {first} can bootstrap the cluster")
+    bootstrap_daemon = min(config.founders)
+    if config.daemon != bootstrap_daemon:
+        return ManageResult(
+            False,
+            leader_hint=bootstrap_daemon,
+            detail=f"only {bootstrap_daemon} can bootstrap the cluster",
+        )
     identities = [Identity(node.replica, node.core.is_empty)]
     for daemon in sorted(config.founders):
         if daemon == config.daemon:
@@ -145,63 +149,78 @@
         address = config.address_of(daemon)
         identity = await identify(address)
         if identity is None or identity.replica.daemon != daemon:
-            return Managed(False, detail=f"{daemon} does not answer at {address}; nothing changed")
+            return ManageResult(
+                False, detail=f"{daemon} does not answer at {address}; nothing changed"
+            )
         identities.append(identity)
     non_empty = [identity.replica.daemon for identity in identities if not identity.empty]
     if non_empty or not node.core.is_empty:
         names = ", ".join(non_empty) or config.daemon
-        return Managed(False, detail=f"{names} already holds state; nothing changed")
+        return ManageResult(False, detail=f"{names} already holds state; nothing changed")
     voters = tuple(sorted(identity.replica for identity in identities))
     node.dispatch(events.Bootstrap(Members(voters, cluster=secrets.token_hex(8))))
     leader_elected = await _wait_until(lambda: bool(node.leader_hint), BOOTSTRAP_TIMEOUT_S)
     if not leader_elected:
-        return Managed(False, detail="bootstrapped, but no leader elected yet; see control status")
-    return _answer(status(node))
+        return ManageResult(
+            False, detail="bootstrapped, but no leader elected yet; see control status"
+        )
+    return _success(status(node))
 
 
-async def replace_member(node: ConsensusNode, arguments: dict[str, Any]) -> Managed:
+async def replace_member(node: ConsensusNode, arguments: dict[str, Any]) -> ManageResult:
     """
-    Replace a voter, and wait until the change is committed or the time limit ends.
+    Replace a voter, and wait until the change is committed or `REPLACE_TIMEOUT_S` has passed.
 
     :param arguments: `daemon`: the daemon whose current voter is removed; `new`: the daemon whose
         current disk becomes a voter. Without `new` the same daemon is used, after it lost its disk.
     """
     if not node.is_leader:
-        return Managed(False, leader_hint=node.leader_hint, detail="this replica is not the leader")
+        return ManageResult(
+            False, leader_hint=node.leader_hint, detail="this replica is not the leader"
+        )
     new_daemon = arguments.get("new") or arguments["daemon"]
     address = node.replica_config.address_of(new_daemon)
     if address is None:
-        return Managed(False, detail=f"{new_daemon} has no address in the settings")
+        return ManageResult(False, detail=f"{new_daemon} has no address in the settings")
     identity = await identify(address)
     if identity is None:
-        return Managed(False, detail=f"{new_daemon} does not answer at {address}")
+        return ManageResult(False, detail=f"{new_daemon} does not answer at {address}")
     new = identity.replica
     voters = node.core.members.voters
     old = next((voter for voter in voters if voter.daemon == arguments["daemon"]), None)
     if old is None:
-        return Managed(False, detail=f"{arguments['daemon']} is not a voter")
+        return ManageResult(False, detail=f"{arguments['daemon']} is not a voter")
     if identity.cluster not in ("", node.core.cluster):
-        return Managed(False, detail=f"{new_daemon} holds state of another cluster; empty its disk")
+        return ManageResult(
+            False, detail=f"{new_daemon} holds state of another cluster; empty its disk"
+        )
 
-    def replaced() -> bool:
+    def request_replacement() -> bool:
         node.dispatch(events.Replace(new, old))
-        now = node.core.members
-        return new in now.voters and (old == new or old not in now.voters) and not now.outgoing
+        current_members = node.core.members
+        return (
+            new in current_members.voters
+            and (old == new or old not in current_members.voters)
+            and not current_members.outgoing
+        )
 
     finished = await _wait_until(
-        lambda: not node.is_leader or _is_replacement_committed(node, replaced), REPLACE_TIMEOUT_S
+        lambda: not node.is_leader or _is_replacement_committed(node, request_replacement),
+        REPLACE_TIMEOUT_S,
     )
     if finished and node.is_leader:
-        return _answer(status(node))
-    return Managed(
+        return _success(status(node))
+    return ManageResult(
         False,
         leader_hint=node.leader_hint,
         detail="the replacement is not finished; see control status",
     )
 
 
-def _is_replacement_committed(node: ConsensusNode, replaced: Any) -> bool:
-    return replaced() and node.core.state.commit_index >= node.core.state.log.members_index
+def _is_replacement_committed(node: ConsensusNode, request_replacement: Any) -> bool:
+    return (
+        request_replacement() and node.core.state.commit_index >= node.core.state.log.members_index
+    )
 
 
 async def _wait_until(condition: Any, timeout_s: float) -> bool:
@@ -212,4 +231,4 @@
     return False
 
 
-__all__ = ["Managed", "bootstrap", "identify", "manage", "replace_member", "status"]
+__all__ = ["ManageResult", "bootstrap", "identify", "manage", "replace_member", "status"]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/membership.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/membership.py
@@ -32,7 +32,7 @@
 
     No-op on a replica that already holds state.
     """
-    if state.hard.term or state.log.last_index:
+    if state.hard_state.term or state.log.last_index:
         return
     entry = Entry(1, 1, MEMBERS, encode(event.members))
     persist(state, HardState(term=1), entries=(entry,))
@@ -83,10 +83,10 @@
         _change(state, promote(members, learner))
         return
     for voter in members.voters:
-        seen = state.non_member_by_daemon.pop(voter.daemon, None)
-        if seen is None or seen.disk_id == voter.disk_id:
+        new_replica = state.non_member_by_daemon.pop(voter.daemon, None)
+        if new_replica is None or new_replica.disk_id == voter.disk_id:
             continue
-        _change(state, with_learner(members, Learner(seen, replaces=voter)))
+        _change(state, with_learner(members, Learner(new_replica, replaces=voter)))
         return
 
 
@@ -144,7 +144,7 @@
 
 def _change(state: CoreState, members: Members) -> None:
     index = state.log.last_index + 1
-    append(state, (Entry(index, state.hard.term, MEMBERS, encode(members)),))
+    append(state, (Entry(index, state.hard_state.term, MEMBERS, encode(members)),))
 
 
 __all__ = [
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
@@ -46,9 +46,9 @@
         self.pending_results = PendingResults(retry_after_s=replica.core.election_timeout_s)
         self._snapshot_in_progress = False
         self._is_serving_leader = False
-        self._commands: list[tuple[int, bytes]] = []
-        self._reads: list[asyncio.Future[int | Refusal]] = []
-        self._unsynced: deque[tuple[int, float]] = deque()
+        self._queued_commands: list[tuple[int, bytes]] = []
+        self._queued_reads: list[asyncio.Future[int | Refusal]] = []
+        self._unsynced_effects: deque[tuple[int, float]] = deque()
 
     @classmethod
     def from_config(cls, settings: Settings) -> ConsensusNode:
@@ -86,7 +86,7 @@
         self._peers = Peers.from_config(
             config, self.replica, self._read_chunk, self._on_peer_identity, self._counters
         )
-        self._ticks = timer.subscribe("consensus", self.config.tick_s, self._tick)
+        self._tick_subscription = timer.subscribe("consensus", self.config.tick_s, self._tick)
 
     async def _open_storage(self, stopping: asyncio.Event) -> Storage | Damage:
         """
@@ -112,7 +112,7 @@
 
     async def stop(self) -> None:
         """Resign leadership, refuse pending proposals and reads, and close the disk."""
-        self._ticks.cancel()
+        self._tick_subscription.cancel()
         self.dispatch(events.Resign())
         self.pending_results.stop()
         await self._peers.stop()
@@ -162,20 +162,20 @@
             log; MAY_HAVE_RUN if the leader changed before it was committed.
         """
         number, future = self.pending_results.add_proposal()
-        self._commands.append((number, data))
-        begun_s = boot_now()
+        self._queued_commands.append((number, data))
+        submitted_s = boot_now()
         if not self.group_commit:
             self._flush_commands()
-        elif len(self._commands) == 1:
+        elif len(self._queued_commands) == 1:
             asyncio.get_running_loop().call_soon(self._flush_commands)
         committed = await future
         outcome = "committed" if isinstance(committed, Committed) else committed.reason.value
-        self._counters.observe("commit_seconds", boot_now() - begun_s, outcome)
+        self._counters.observe("commit_seconds", boot_now() - submitted_s, outcome)
         return committed
 
     def _flush_commands(self) -> None:
-        commands = tuple(self._commands)
-        self._commands.clear()
+        commands = tuple(self._queued_commands)
+        self._queued_commands.clear()
         self.dispatch(events.Propose(commands))
 
     def set_group_commit(self, on: bool) -> None:
@@ -195,15 +195,15 @@
             NO_LEADER if not confirmed.
         """
         future = asyncio.get_running_loop().create_future()
-        self._reads.append(future)
-        if len(self._reads) == 1:
+        self._queued_reads.append(future)
+        if len(self._queued_reads) == 1:
             asyncio.get_running_loop().call_soon(self._flush_reads)
         return await future
 
     def _flush_reads(self) -> None:
         """Confirm all waiting reads with one heartbeat round."""
-        futures = tuple(self._reads)
-        self._reads.clear()
+        futures = tuple(self._queued_reads)
+        self._queued_reads.clear()
         number, confirmed = self.pending_results.add_read()
         confirmed.add_done_callback(lambda done: copy_result(done, futures))
         self.dispatch(events.ConfirmRead(number))
@@ -233,7 +233,7 @@
                 if isinstance(effect, events.InstallSnapshot):
                     self._state.restore(effect.data)
                     self.applied_index = effect.meta.index
-                self._unsynced.append((effect.sequence, boot_now()))
+                self._unsynced_effects.append((effect.sequence, boot_now()))
                 self.writer.add(effect)
             case events.Send(target, message):
                 self._peers.send(target, message)
@@ -295,9 +295,9 @@
 
     def _on_persist_synced(self, sequence: int) -> None:
         now = boot_now()
-        while self._unsynced and self._unsynced[0][0] <= sequence:
-            _, begun_s = self._unsynced.popleft()
-            self._counters.observe("sync_seconds", now - begun_s, "synced")
+        while self._unsynced_effects and self._unsynced_effects[0][0] <= sequence:
+            _, submitted_s = self._unsynced_effects.popleft()
+            self._counters.observe("sync_seconds", now - submitted_s, "synced")
         self.dispatch(events.Persisted(sequence))
 
     def _fail(self) -> None:
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
@@ -59,27 +59,30 @@
     # One change at a time: a learner is caught up and promoted before the next change starts.
     if not may_change(state) or members.learners or members.outgoing:
         return None
-    known = {replica.daemon for replica in all_replicas(members)}
-    free = [
-        one
-        for one in candidates
-        if one.replica.daemon not in known and one.replica.daemon not in leaving
+    member_daemons = {replica.daemon for replica in all_replicas(members)}
+    non_members = [
+        candidate
+        for candidate in candidates
+        if candidate.replica.daemon not in member_daemons
+        and candidate.replica.daemon not in leaving
     ]
-    if not free:
+    if not non_members:
         return None
     if len(members.voters) < wanted_voters:
-        return Replace(_from_least_used_data_centre(free, members.voters, candidates), None)
+        return Replace(_from_least_used_data_centre(non_members, members.voters, candidates), None)
     for voter in members.voters:
         if voter == state.replica and voter.daemon not in leaving:
             continue
         if voter.daemon in leaving or time_since_reply_s(state, voter) > REPLACE_AFTER_SILENCE_S:
-            remaining_voters = [one for one in members.voters if one != voter]
-            return Replace(_from_least_used_data_centre(free, remaining_voters, candidates), voter)
+            remaining_voters = [other for other in members.voters if other != voter]
+            return Replace(
+                _from_least_used_data_centre(non_members, remaining_voters, candidates), voter
+            )
     return None
 
 
 def _from_least_used_data_centre(
-    free: Sequence[Candidate], voters: Sequence[ReplicaId], candidates: Sequence[Candidate]
+    non_members: Sequence[Candidate], voters: Sequence[ReplicaId], candidates: Sequence[Candidate]
 ) -> ReplicaId:
     """
     Choose the candidate whose data centre holds the fewest voters.
@@ -91,9 +94,13 @@
     :param voters: the remaining voters.
     :param candidates: all replicas that respond, for the voters' data centres.
     """
-    data_centre_by_daemon = {one.replica.daemon: one.data_centre for one in candidates}
+    data_centre_by_daemon = {
+        candidate.replica.daemon: candidate.data_centre for candidate in candidates
+    }
     voters_by_data_centre = Counter(data_centre_by_daemon.get(voter.daemon) for voter in voters)
-    return min(free, key=lambda one: voters_by_data_centre[one.data_centre]).replica
+    return min(
+        non_members, key=lambda candidate: voters_by_data_centre[candidate.data_centre]
+    ).replica
 
 
 def time_since_reply_s(state: CoreState, replica: ReplicaId) -> float:
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/replication.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/replication.py
@@ -40,7 +40,7 @@
     # After two election timeouts the other replicas may have elected a new leader. Stepping down
     # makes callers look for that leader.
     if state.now > silent_since + 2 * state.config.election_timeout_s:
-        become_follower(state, state.hard.term, None, "no quorum answers")
+        become_follower(state, state.hard_state.term, None, "no quorum answers")
         return
     round_started_at = state.round_sent_at.get(state.round)
     if round_started_at is None or state.now >= round_started_at + state.config.heartbeat_s:
@@ -81,9 +81,9 @@
         _send_snapshot(state, other, progress, heartbeat)
         return
     sent = False
-    window = 1 if progress.probing else state.config.max_in_flight
+    in_flight_limit = 1 if progress.probing else state.config.max_in_flight
     next_index = progress.next_index
-    while next_index <= state.log.last_index and progress.in_flight < window:
+    while next_index <= state.log.last_index and progress.in_flight < in_flight_limit:
         entries = state.log.slice(next_index, state.log.last_index, state.config.max_append_bytes)
         _send_append(state, other, next_index - 1, entries)
         next_index += len(entries)
@@ -101,7 +101,7 @@
     state: CoreState, other: ReplicaId, previous: int, entries: tuple[Entry, ...]
 ) -> None:
     request = AppendRequest(
-        term=state.hard.term,
+        term=state.hard_state.term,
         previous_index=previous,
         previous_term=state.log.term_at(previous) or 0,
         commit_index=state.commit_index,
@@ -129,7 +129,7 @@
 def _send_chunk(state: CoreState, other: ReplicaId, progress: Progress) -> None:
     progress.chunk_sent_at = state.now
     chunk = SnapshotChunk(
-        state.hard.term, state.log.snapshot, progress.snapshot_offset, state.round
+        state.hard_state.term, state.log.snapshot, progress.snapshot_offset, state.round
     )
     send(state, other, chunk)
 
@@ -139,7 +139,7 @@
     if state.role != LEADER:
         state.effects.extend(ProposalRefused(number) for number, _ in event.commands)
         return
-    term = state.hard.term
+    term = state.hard_state.term
     entries = []
     for number, data in event.commands:
         index = state.log.last_index + 1 + len(entries)
@@ -194,10 +194,10 @@
     :return: progress of the sender; None if the reply is of another term, this replica is not the
         leader or the sender is not a known replica.
     """
-    if reply.term > state.hard.term:
+    if reply.term > state.hard_state.term:
         become_follower(state, reply.term, None, "a newer term")
         return None
-    if state.role != LEADER or reply.term != state.hard.term:
+    if state.role != LEADER or reply.term != state.hard_state.term:
         return None
     # The key includes the disk id, so replies from a wiped disk under a known daemon id are
     # ignored.
@@ -238,8 +238,8 @@
 
 
 def _is_next_offset(state: CoreState, progress: Progress, reply: SnapshotReply) -> bool:
-    current = reply.index == progress.snapshot_index == state.log.snapshot.index
-    return current and reply.offset != progress.snapshot_offset
+    is_same_snapshot = reply.index == progress.snapshot_index == state.log.snapshot.index
+    return is_same_snapshot and reply.offset != progress.snapshot_offset
 
 
 def commit(state: CoreState) -> None:
@@ -261,11 +261,11 @@
 
     members = state.log.members
     index = quorum_value(members, synced_index_of)
-    if index <= state.commit_index or state.log.term_at(index) != state.hard.term:
+    if index <= state.commit_index or state.log.term_at(index) != state.hard_state.term:
         return
     commit_to(state, index)
     if not is_voter(members, state.replica) and state.log.members_index <= index:
-        become_follower(state, state.hard.term, None, "removed from the members")
+        become_follower(state, state.hard_state.term, None, "removed from the members")
 
 
 def on_resign(state: CoreState) -> None:
@@ -277,16 +277,19 @@
     """
     if state.role != LEADER:
         return
-    best = None
+    successor = None
     for voter in state.log.members.voters:
         progress = state.progress_by_replica.get(voter)
         if progress is None:
             continue
-        if best is None or progress.match_index > state.progress_by_replica[best].match_index:
-            best = voter
-    become_follower(state, state.hard.term, None, "resigned")
-    if best is not None:
-        send(state, best, TimeoutNow(state.hard.term))
+        if (
+            successor is None
+            or progress.match_index > state.progress_by_replica[successor].match_index
+        ):
+            successor = voter
+    become_follower(state, state.hard_state.term, None, "resigned")
+    if successor is not None:
+        send(state, successor, TimeoutNow(state.hard_state.term))
 
 
 __all__ = [
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
@@ -144,7 +144,7 @@
     """
     State of the core.
 
-    :param hard: term and vote, as they were last passed to `persist`.
+    :param hard_state: term and vote, as they were last passed to `persist`.
     :param now: time of the event that is being processed, on the lease clock.
     :param started_at: start time of this process.
     :param election_due_at: time of the next election unless a leader contacts this replica earlier.
@@ -163,7 +163,7 @@
     replica: ReplicaId
     config: CoreConfig
     randomness: random.Random
-    hard: HardState
+    hard_state: HardState
     log: Log
     commit_index: int
     now: float
@@ -221,20 +221,20 @@
 
 def persist(
     state: CoreState,
-    hard: HardState | None = None,
+    hard_state: HardState | None = None,
     truncate_from: int = 0,
     entries: tuple[Entry, ...] = (),
 ) -> None:
     """
     Change the durable state in memory and emit the effect that syncs the change to disk.
 
-    :param hard: new term and vote; None leaves them.
+    :param hard_state: new term and vote; None leaves them.
     :param truncate_from: index of the first entry to remove; 0 removes none.
     :param entries: entries to append after that.
     """
     state.sequence += 1
-    if hard is not None:
-        state.hard = hard
+    if hard_state is not None:
+        state.hard_state = hard_state
     if truncate_from:
         state.log.truncate(truncate_from)
         state.synced_index = min(state.synced_index, truncate_from - 1)
@@ -242,13 +242,13 @@
             pending.last_index = min(pending.last_index, truncate_from - 1)
     state.log.append(entries)
     state.pending.append(PendingPersist(state.sequence, state.log.last_index))
-    state.effects.append(Persist(state.sequence, hard, truncate_from, entries))
+    state.effects.append(Persist(state.sequence, hard_state, truncate_from, entries))
 
 
 def reset_election(state: CoreState) -> None:
     """Set the next election time; it is random, so that votes are seldom split."""
-    spread = 1.0 + state.config.election_spread * state.randomness.random()
-    state.election_due_at = state.now + state.config.election_timeout_s * spread
+    factor = 1.0 + state.config.election_spread * state.randomness.random()
+    state.election_due_at = state.now + state.config.election_timeout_s * factor
 
 
 def become_follower(state: CoreState, term: int, leader: ReplicaId | None, cause: str) -> None:
@@ -258,10 +258,10 @@
     :param leader: the leader to follow; None if it is not known.
     :param cause: reason for stepping down, for the log.
     """
-    if term > state.hard.term:
+    if term > state.hard_state.term:
         persist(state, HardState(term=term))
     if state.role == LEADER:
-        state.effects.append(SteppedDown(state.hard.term, cause))
+        state.effects.append(SteppedDown(state.hard_state.term, cause))
         state.effects.extend(ReadRefused(read.read) for read in state.reads)
         state.reads.clear()
         state.progress_by_replica.clear()
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
@@ -91,7 +91,7 @@
         self.disk_id = disk_id
         self.stored = stored
         self._segment = segment
-        self._hard = stored.hard
+        self._hard_state = stored.hard_state
         self._snapshot_index = stored.snapshot.index
         # The segment stays open: with a new descriptor for each write, an error of an earlier sync
         # could go undetected.
@@ -111,15 +111,15 @@
                 make_folder(folder)
             for temporary in folder.glob("*.tmp"):
                 temporary.unlink()
-            hard = _load_hard_state(folder)
-            if isinstance(hard, Damage):
-                return hard
-            return _open(cls, folder, hard)
+            stored = _load_hard_state(folder)
+            if isinstance(stored, Damage):
+                return stored
+            return _open(cls, folder, stored)
 
-    def write_hard_state(self, hard: HardState) -> None:
+    def write_hard_state(self, hard_state: HardState) -> None:
         """Replace term and vote on disk, synced."""
-        self._hard = hard
-        stored = StoredHardState(self.disk_id, hard, self._snapshot_index)
+        self._hard_state = hard_state
+        stored = StoredHardState(self.disk_id, hard_state, self._snapshot_index)
         replace_file(self.folder / _HARD_STATE, frame(encode(stored)))
 
     def write_log(self, changes: tuple[LogChange, ...]) -> None:
@@ -164,7 +164,7 @@
         self._segment.unlink()
         self._segment = path
         self._snapshot_index = snapshot.index
-        self.write_hard_state(self._hard)
+        self.write_hard_state(self._hard_state)
         for old in sorted(self.folder.glob("snapshot-*"))[:-2]:
             old.unlink()
         sync_folder(self.folder)
@@ -222,8 +222,11 @@
     return stored
 
 
-def _open(cls: type[Storage], folder: Path, hard: StoredHardState) -> Storage | Damage:
-    snapshot = _load_snapshot(folder, hard.snapshot_index)
+def _open(cls: type[Storage], folder: Path, hard_state: StoredHardState) -> Storage | Damage:
+    """
+    Load snapshot and log segment; start an empty log after a snapshot that the log conflicts with.
+    """
+    snapshot = _load_snapshot(folder, hard_state.snapshot_index)
     if isinstance(snapshot, Damage):
         return snapshot
     segments = sorted(folder.glob("log-*"))
@@ -241,12 +244,12 @@
     if start.base_index > snapshot.index:
         return Damage(str(segment), 0, f"the snapshot at index {start.base_index} is missing")
     if _segment_matches_snapshot(snapshot, start, entries):
-        stored = StoredState(hard.hard, snapshot, start.base_index, start.base_term, entries)
-        return cls(folder, hard.disk_id, stored, segment)
+        stored = StoredState(hard_state.hard, snapshot, start.base_index, start.base_term, entries)
+        return cls(folder, hard_state.disk_id, stored, segment)
     # A crash occurred after a received snapshot was written and before its new segment: the entries
     # in the log are older than the snapshot or conflict with it.
-    stored = StoredState(hard.hard, snapshot, snapshot.index, snapshot.term, ())
-    storage = cls(folder, hard.disk_id, stored, segment)
+    stored = StoredState(hard_state.hard, snapshot, snapshot.index, snapshot.term, ())
+    storage = cls(folder, hard_state.disk_id, stored, segment)
     try:
         storage.compact(snapshot, SegmentStart(snapshot.index, snapshot.term), ())
     except WriteRefused:
--- a/tests/unit/consensus/guards.py
+++ b/tests/unit/consensus/guards.py
@@ -69,9 +69,9 @@
     original = replication.commit
 
     def commit(state):
-        hard = state.hard
+        hard_state = state.hard_state
         term_at = state.log.term_at
-        state.log.term_at = lambda index: hard.term if term_at(index) is not None else None
+        state.log.term_at = lambda index: hard_state.term if term_at(index) is not None else None
         original(state)
         del state.log.term_at
 
--- a/tests/unit/consensus/power_loss.py
+++ b/tests/unit/consensus/power_loss.py
@@ -25,14 +25,14 @@
     One recorded call.
 
     :param kind: `write`, `truncate`, `sync`, `create`, `rename`, `unlink`, `sync_folder`, or
-        `promise`, which records no call but the state that was acknowledged to others at this
+        `acknowledge`, which records no call but the state that was acknowledged to others at this
         point.
     :param file: number of the file.
     :param name: name of the file; for `rename` its old name.
     :param to: new name.
     :param data: written bytes.
     :param size: size after `truncate`.
-    :param promise: the acknowledged state.
+    :param acknowledge: the acknowledged state.
     """
 
     kind: str
@@ -41,7 +41,7 @@
     to: str = ""
     data: bytes = b""
     size: int = 0
-    promise: object = None
+    acknowledge: object = None
 
 
 @dataclass
@@ -60,9 +60,9 @@
     _file_by_inode: dict[int, int] = field(default_factory=dict)
     _numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
-    def promise(self, promise: object) -> None:
+    def acknowledge(self, acknowledge: object) -> None:
         """Record the state that is acknowledged to others at this point."""
-        self.steps.append(Step("promise", promise=promise))
+        self.steps.append(Step("acknowledge", acknowledge=acknowledge))
 
     def patch(self, monkeypatch) -> None:
         """Replace the calls that change files by recording ones."""
@@ -193,10 +193,10 @@
     :return: the state that was acknowledged by then, and the content by file name.
     """
     disk = _Disk()
-    promised: object = None
+    acknowledged: object = None
     for step in steps:
-        if step.kind == "promise":
-            promised = step.promise
+        if step.kind == "acknowledge":
+            acknowledged = step.acknowledge
             continue
         disk.apply(step)
         for names in _name_states(disk):
@@ -204,7 +204,7 @@
             choices = [sorted(disk.contents(file)) for file in files]
             for chosen in itertools.product(*choices):
                 content_by_file = dict(zip(files, chosen, strict=True))
-                yield promised, {name: content_by_file[file] for name, file in names.items()}
+                yield acknowledged, {name: content_by_file[file] for name, file in names.items()}
 
 
 def _name_states(disk: _Disk) -> list[dict[str, int]]:
--- a/tests/unit/consensus/random_run.py
+++ b/tests/unit/consensus/random_run.py
@@ -78,7 +78,11 @@
     def start(self, node: Node) -> None:
         disk = node.disk
         stored = StoredState(
-            disk.hard, disk.snapshot, disk.base_index, disk.base_term, tuple(disk.entries)
+            disk.synced_hard_state,
+            disk.snapshot,
+            disk.base_index,
+            disk.base_term,
+            tuple(disk.entries),
         )
         randomness = random.Random(self.random.random())
         node.core = Core.from_stored(
@@ -104,7 +108,7 @@
         for _ in range(self.random.randint(0, len(node.jobs))):
             node.disk.write(node.jobs.popleft())
         if node.jobs and isinstance(node.jobs[0], events.Persist) and self.random.random() < 0.5:
-            node.disk.hard = node.jobs[0].hard_state or node.disk.hard
+            node.disk.synced_hard_state = node.jobs[0].hard_state or node.disk.synced_hard_state
         node.ended_at = self.now
         node.core = None
 
--- a/tests/unit/consensus/run_nodes.py
+++ b/tests/unit/consensus/run_nodes.py
@@ -24,7 +24,7 @@
     """The synced state of a replica, which survives a crash."""
 
     disk_id: str
-    hard: HardState = field(default_factory=HardState)
+    synced_hard_state: HardState = field(default_factory=HardState)
     snapshot: SnapshotMeta = field(default_factory=SnapshotMeta)
     data_by_index: dict[int, bytes] = field(default_factory=dict)
     base_index: int = 0
@@ -34,7 +34,7 @@
     def write(self, job: events.Persist | events.InstallSnapshot | StoreSnapshot) -> None:
         match job:
             case events.Persist():
-                self.hard = job.hard_state or self.hard
+                self.synced_hard_state = job.hard_state or self.synced_hard_state
                 if job.truncate_from:
                     del self.entries[job.truncate_from - self.base_index - 1 :]
                 self.entries.extend(job.entries)
--- a/tests/unit/consensus/test_power_loss.py
+++ b/tests/unit/consensus/test_power_loss.py
@@ -23,31 +23,31 @@
     """
     Write what a replica writes: votes, entries, a conflicting tail, a snapshot and more entries.
 
-    A promise is the term and the entries by index that were acknowledged to others.
+    An acknowledged state is the term and the entries by index that were acknowledged to others.
     """
     storage = Storage.from_folder(folder)
-    recorder.promise((0, {}))
+    recorder.acknowledge((0, {}))
     storage.write_hard_state(HardState(1))
-    recorder.promise((1, {}))
+    recorder.acknowledge((1, {}))
     entries = {index: entry(index) for index in (1, 2, 3, 4)}
     storage.write_log((LogChange(0, tuple(entries.values())[:2]),))
-    recorder.promise((1, {index: entries[index] for index in (1, 2)}))
+    recorder.acknowledge((1, {index: entries[index] for index in (1, 2)}))
     storage.write_log((LogChange(0, tuple(entries.values())[2:]),))
-    recorder.promise((1, dict(entries)))
+    recorder.acknowledge((1, dict(entries)))
     storage.write_hard_state(HardState(2))
     # The next leader holds another entry 4, so the old one need not survive any more.
     del entries[4]
-    recorder.promise((2, dict(entries)))
+    recorder.acknowledge((2, dict(entries)))
     storage.write_log((LogChange(4, (entry(4, 2), entry(5, 2))),))
     entries |= {4: entry(4, 2), 5: entry(5, 2)}
-    recorder.promise((2, dict(entries)))
+    recorder.acknowledge((2, dict(entries)))
     meta = SnapshotMeta(3, 1, Members(), len(SNAPSHOT), zlib.crc32(SNAPSHOT))
     storage.write_snapshot(meta, SNAPSHOT)
     storage.compact(meta, SegmentStart(3, 1), (entries[4], entries[5]))
-    recorder.promise((2, dict(entries)))
+    recorder.acknowledge((2, dict(entries)))
     storage.write_log((LogChange(0, (entry(6, 2),)),))
     entries[6] = entry(6, 2)
-    recorder.promise((2, dict(entries)))
+    recorder.acknowledge((2, dict(entries)))
     storage.close()
 
 
@@ -56,15 +56,15 @@
     found = []
     recovered_folder = tmp_path / "again"
     seen = set()
-    for promised, content_by_name in survivors(recorder.steps):
-        state = (repr(promised), tuple(sorted(content_by_name.items())))
-        if promised is None or state in seen:
+    for acknowledged, content_by_name in survivors(recorder.steps):
+        state = (repr(acknowledged), tuple(sorted(content_by_name.items())))
+        if acknowledged is None or state in seen:
             continue
         seen.add(state)
         recovered_folder.mkdir()
         for name, content in content_by_name.items():
             (recovered_folder / name).write_bytes(content)
-        loss = describe_loss(Storage.from_folder(recovered_folder), *promised)
+        loss = describe_loss(Storage.from_folder(recovered_folder), *acknowledged)
         if loss:
             found.append(f"{loss}: {sorted(content_by_name)}")
         shutil.rmtree(recovered_folder)
@@ -78,8 +78,8 @@
         return f"does not start: {storage.message}"
     try:
         stored = storage.stored
-        if stored.hard.term < term:
-            return f"term {stored.hard.term} after {term}"
+        if stored.hard_state.term < term:
+            return f"term {stored.hard_state.term} after {term}"
         by_index = {one.index: one for one in stored.entries}
         for index, one in entries.items():
             if index > stored.snapshot.index and by_index.get(index) != one:
--- a/tests/unit/consensus/test_repair.py
+++ b/tests/unit/consensus/test_repair.py
@@ -31,7 +31,7 @@
         replica=VOTERS[0],
         config=CoreConfig(),
         randomness=random.Random(1),
-        hard=HardState(term=1),
+        hard_state=HardState(term=1),
         log=Log.from_entries(SnapshotMeta(), 0, 0, (entry,)),
         commit_index=1,
         now=NOW,
--- a/tests/unit/consensus/test_storage.py
+++ b/tests/unit/consensus/test_storage.py
@@ -77,7 +77,7 @@
     storage.close()
     reopened = open_storage(folder)
     assert reopened.disk_id == disk_id
-    assert reopened.stored.hard == VOTED
+    assert reopened.stored.hard_state == VOTED
     assert reopened.stored.entries == entries(1, 7) + entries(8, 9, term=2)
 
 
@@ -167,7 +167,7 @@
     reopened = open_storage(folder)
     stored = reopened.stored
     assert reopened.disk_id == storage.disk_id
-    assert stored.hard == VOTED
+    assert stored.hard_state == VOTED
     assert stored.snapshot.index in ((4, 8) if crashed else (8,))
     assert stored.base_index + len(stored.entries) == 10
     assert stored.base_index <= stored.snapshot.index
--- a/tests/unit/consensus/test_writer.py
+++ b/tests/unit/consensus/test_writer.py
@@ -113,7 +113,7 @@
         storage.write_hard_state(HardState(term=9))
     monkeypatch.undo()
 
-    assert Storage.from_folder(storage.folder).stored.hard.term == 0
+    assert Storage.from_folder(storage.folder).stored.hard_state.term == 0
 
 
 @pytest.mark.parametrize("refused", ["open", "fsync", "replace"])
@@ -135,7 +135,7 @@
     monkeypatch.undo()
 
     assert not failed.is_set()
-    assert Storage.from_folder(storage.folder).stored.hard.term == 9
+    assert Storage.from_folder(storage.folder).stored.hard_state.term == 9
 
 
 async def fails_without_descriptors(storage, monkeypatch, job) -> bool:
@@ -162,7 +162,7 @@
     # A store that has no free descriptor for a moment ends as soon as the leader changes.
     job = Persist(1, hard_state=HardState(term=9))
     assert not await fails_without_descriptors(storage, monkeypatch, job)
-    assert Storage.from_folder(storage.folder).stored.hard.term == 9
+    assert Storage.from_folder(storage.folder).stored.hard_state.term == 9
 
 
 async def test_a_snapshot_without_descriptors_is_waited_for(storage, monkeypatch) -> None:
