--- a/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
@@ -126,8 +126,8 @@
         Process one event.
 
         :param event: the event.
-        :param now: time of the event in seconds on the lease clock; an earlier time than that of
-            the previous event is replaced by the latter.
+        :param now: time of the event in seconds on the lease clock; a time before that of the
+            previous event counts as the time of the previous event.
         :return: effects, to be carried out in this order.
         """
         state = self.state
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/log.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/log.py
@@ -136,7 +136,7 @@
         base_term = self.term_at(base)
         entries = tuple(self._entries[base - self.base_index :])
         self.snapshot = snapshot
-        self._restart(base, base_term or 0, entries)
+        self._reset(base, base_term or 0, entries)
 
     def install(self, snapshot: SnapshotMeta) -> None:
         """
@@ -147,12 +147,12 @@
 
         :param snapshot: a snapshot with an index after the commit index.
         """
-        agrees = self.term_at(snapshot.index) == snapshot.term
-        entries = self.slice(snapshot.index + 1, self.last_index) if agrees else ()
+        matches = self.term_at(snapshot.index) == snapshot.term
+        entries = self.slice(snapshot.index + 1, self.last_index) if matches else ()
         self.snapshot = snapshot
-        self._restart(snapshot.index, snapshot.term, entries)
+        self._reset(snapshot.index, snapshot.term, entries)
 
-    def _restart(self, base_index: int, base_term: int, entries: tuple[Entry, ...]) -> None:
+    def _reset(self, base_index: int, base_term: int, entries: tuple[Entry, ...]) -> None:
         self.base_index = base_index
         self.base_term = base_term
         self._entries = []
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
@@ -201,7 +201,7 @@
         return await future
 
     def _flush_reads(self) -> None:
-        """Confirm all waiting reads with one heartbeat round."""
+        """Confirm all queued reads with one heartbeat round."""
         futures = tuple(self._queued_reads)
         self._queued_reads.clear()
         number, confirmed = self.pending_results.add_read()
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
@@ -90,7 +90,7 @@
     If candidates were taken in their order alone, successive replacements could place a majority in
     one data centre, and the loss of that data centre would stop the log.
 
-    :param free: replicas that may be added.
+    :param non_members: replicas that may be added.
     :param voters: the remaining voters.
     :param candidates: all replicas that respond, for the voters' data centres.
     """
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/replication.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/replication.py
@@ -189,7 +189,7 @@
     state: CoreState, sender: ReplicaId, reply: AppendReply | SnapshotReply
 ) -> Progress | None:
     """
-    Record the reply's term, time and round.
+    Record the reply's time and heartbeat round; step down if its term is newer.
 
     :return: progress of the sender; None if the reply is of another term, this replica is not the
         leader or the sender is not a known replica.
--- a/tests/unit/consensus/power_loss.py
+++ b/tests/unit/consensus/power_loss.py
@@ -32,7 +32,7 @@
     :param to: new name.
     :param data: written bytes.
     :param size: size after `truncate`.
-    :param acknowledge: the acknowledged state.
+    :param acknowledged: the acknowledged state.
     """
 
     kind: str
@@ -41,7 +41,7 @@
     to: str = ""
     data: bytes = b""
     size: int = 0
-    acknowledge: object = None
+    acknowledged: object = None
 
 
 @dataclass
@@ -60,9 +60,9 @@
     _file_by_inode: dict[int, int] = field(default_factory=dict)
     _numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
 
-    def acknowledge(self, acknowledge: object) -> None:
+    def acknowledge(self, acknowledged: object) -> None:
         """Record the state that is acknowledged to others at this point."""
-        self.steps.append(Step("acknowledge", acknowledge=acknowledge))
+        self.steps.append(Step("acknowledge", acknowledged=acknowledged))
 
     def patch(self, monkeypatch) -> None:
         """Replace the calls that change files by recording ones."""
@@ -196,7 +196,7 @@
     acknowledged: object = None
     for step in steps:
         if step.kind == "acknowledge":
-            acknowledged = step.acknowledge
+            acknowledged = step.acknowledged
             continue
         disk.apply(step)
         for names in _name_states(disk):
@@ -212,7 +212,7 @@
     if len(changes) <= MOST_PENDING:
         masks = itertools.product((False, True), repeat=len(changes))
     else:
-        masks = ([one != left for one in range(len(changes))] for left in range(len(changes)))
+        masks = ([one != lost for one in range(len(changes))] for lost in range(len(changes)))
     states = []
     for mask in masks:
         kept = [change for change, keep in zip(changes, mask, strict=True) if keep]
--- a/tests/unit/consensus/test_core_fuzz.py
+++ b/tests/unit/consensus/test_core_fuzz.py
@@ -43,8 +43,8 @@
     """
     A VM's new disk is lost again while it replaces the old one, and no entry commits any more.
 
-    It happened when the replacement was added as a fourth voter before the old voter was removed:
-    one VM then held two of four voters.
+    Cause: the replacement was added as a fourth voter before the old voter was removed, so one VM
+    held two of four voters.
     """
     run(seed, count, 3 * STEPS)
 
@@ -54,9 +54,9 @@
     """
     A repaired control VM stays excluded permanently, although it runs and its disk is new.
 
-    It became a learner and received a part of the log; then the next leader overwrote the entry
-    that made it a learner. It stayed excluded when only empty disks were accepted, because its disk
-    was no longer empty.
+    The VM became a learner and received a part of the log; then the next leader overwrote the entry
+    that made it a learner. Cause: only empty disks were accepted as learners, and this disk was no
+    longer empty.
     """
     run(seed, count, STEPS)
 
@@ -66,7 +66,7 @@
     A control VM that was behind uses outdated members after the leader sent it a snapshot.
 
     While the replica writes a snapshot that it took itself, a newer one from the leader is
-    installed. It failed when the older snapshot was put in force at the end of its write.
+    installed. Cause: the older snapshot was put in force when its write ended.
     """
     run(826, 3, STEPS)
 
--- a/tests/unit/consensus/test_repair.py
+++ b/tests/unit/consensus/test_repair.py
@@ -25,7 +25,7 @@
 NOW = 100.0
 
 
-def leader(members: Members, silent: tuple[str, ...] = ()) -> CoreState:
+def leader_state(members: Members, silent: tuple[str, ...] = ()) -> CoreState:
     entry = Entry(1, 1, MEMBERS, encode(members))
     state = CoreState(
         replica=VOTERS[0],
@@ -52,7 +52,7 @@
 def test_permanently_lost_voter_is_replaced_by_a_spare() -> None:
     # A store is permanently lost and an empty one starts at another address. If the new one were
     # not added, the loss of one more store would stop the log.
-    state = leader(MEMBERS_OF_THREE, silent=("b",))
+    state = leader_state(MEMBERS_OF_THREE, silent=("b",))
 
     assert next_change(state, [SPARE], (), 3) == Replace(SPARE.replica, VOTERS[1])
 
@@ -61,7 +61,7 @@
     # Of thirty stores the first ones by address are in one data centre. If they always replaced
     # lost voters, all voters would end up there, and the loss of that data centre would stop the
     # log.
-    state = leader(MEMBERS_OF_THREE, silent=("c",))
+    state = leader_state(MEMBERS_OF_THREE, silent=("c",))
     responsive_voters = [Candidate(VOTERS[0], "derby"), Candidate(VOTERS[1], "stoke")]
     same_data_centre_spare = Candidate(ReplicaId("p", "d"), "derby")
     other_data_centre_spare = Candidate(ReplicaId("q", "d"), "walsall")
@@ -80,17 +80,17 @@
 def test_silent_voter_stays_while_there_is_no_spare() -> None:
     # A partition isolates one of three voters: if that voter were removed, one more loss would stop
     # the log.
-    state = leader(MEMBERS_OF_THREE, silent=("b",))
+    state = leader_state(MEMBERS_OF_THREE, silent=("b",))
 
     assert next_change(state, [], (), 3) is None
 
 
 def test_responsive_voter_stays() -> None:
-    assert next_change(leader(MEMBERS_OF_THREE), [SPARE], (), 3) is None
+    assert next_change(leader_state(MEMBERS_OF_THREE), [SPARE], (), 3) is None
 
 
 def test_leaving_voter_is_replaced_although_it_responds() -> None:
-    state = leader(MEMBERS_OF_THREE)
+    state = leader_state(MEMBERS_OF_THREE)
 
     assert next_change(state, [SPARE], ("c",), 3) == Replace(SPARE.replica, VOTERS[2])
     assert next_change(state, [SPARE], ("c", "s"), 3) is None
@@ -98,7 +98,7 @@
 
 
 def test_voters_are_added_up_to_the_wanted_number() -> None:
-    state = leader(MEMBERS_OF_THREE)
+    state = leader_state(MEMBERS_OF_THREE)
 
     assert next_change(state, [SPARE], (), 5) == Replace(SPARE.replica, None)
 
@@ -112,11 +112,11 @@
     ids=["a learner", "a change"],
 )
 def test_one_change_at_a_time(members) -> None:
-    assert next_change(leader(members, silent=("b",)), [SPARE], (), 3) is None
+    assert next_change(leader_state(members, silent=("b",)), [SPARE], (), 3) is None
 
 
 def test_new_leader_waits_before_it_replaces_silent_voters() -> None:
-    state = leader(MEMBERS_OF_THREE, silent=("b",))
+    state = leader_state(MEMBERS_OF_THREE, silent=("b",))
     state.leader_since = NOW - 1.0
 
     assert next_change(state, [SPARE], (), 3) is None
--- a/tests/unit/consensus/test_storage.py
+++ b/tests/unit/consensus/test_storage.py
@@ -109,8 +109,8 @@
     A disk returns one wrong byte in the middle of the log.
 
     If the log were truncated there, the replica would forget entries that it acknowledged, and they
-    could be lost with a second VM. It refuses to start and reports file and offset, so that the
-    operator can wipe the disk.
+    could be lost with a second VM. The replica refuses to start and reports file and offset, so
+    that the operator can wipe the disk.
     """
     segment = segment_of(folder)
     good = segment.read_bytes()
@@ -238,11 +238,11 @@
     storage.write_snapshot(meta(30, data), data)
     storage.close()
 
-    def without_room(*arguments) -> int:
+    def without_free_space(*arguments) -> int:
         raise OSError(errno.ENOSPC, "No space left on device")
 
     before = len(os.listdir("/proc/self/fd"))
-    monkeypatch.setattr(files.os, "write", without_room)
+    monkeypatch.setattr(files.os, "write", without_free_space)
     with pytest.raises(files.DiskFull):
         Storage.from_folder(folder)
     monkeypatch.undo()
--- a/tests/unit/consensus/test_writer.py
+++ b/tests/unit/consensus/test_writer.py
@@ -46,8 +46,8 @@
     """
     An accepted write is lost although every control VM reported it as synced.
 
-    The disk is full, or its sync fails once. Continuing after a failed sync is the fault: the next
-    sync may succeed although the data of the failed one was dropped.
+    The disk is full, or its sync fails once. Cause: the replica continued after a failed sync; the
+    next sync may succeed although the data of the failed one was dropped.
     """
 
     def write_log(changes):
@@ -70,9 +70,9 @@
     """
     A store's disk is full for some seconds, and its daemon ends then and at each later start.
 
-    It happened when a write without free space was handled like a failed sync. Nothing of such a
-    write is acknowledged, and its written part is removed, so that the log is read completely after
-    a restart.
+    Cause: a write without free space was handled like a failed sync. Nothing of such a write is
+    acknowledged, and its written part is removed, so that the log is read completely after a
+    restart.
     """
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     storage = Storage.from_folder(tmp_path / "consensus")
