--- a/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
@@ -1,4 +1,4 @@
-"""What operators ask of the replicas: status, bootstrap, replace, snapshot."""
+"""Operators' actions on replicas: identify, status, bootstrap, replace, snapshot."""
 
 from __future__ import annotations
 
@@ -20,18 +20,20 @@
     from ibisspring_consensus.node import ConsensusNode
 
 IDENTIFY_TIMEOUT_S = 2.0
-BOOTSTRAP_BOUND_S = 30.0
-REPLACE_BOUND_S = 120.0
+BOOTSTRAP_TIMEOUT_S = 30.0
+REPLACE_TIMEOUT_S = 120.0
 POLL_S = 0.05
 
 
 @dataclass(frozen=True)
-class Managed:
+class ManageResult:
     """
     Answer to an operator.
 
-    :param answer: JSON of what was asked for.
-    :param leader_hint: whom to ask instead.
+    :param ok: whether the action was carried out.
+    :param answer: JSON result of the action.
+    :param leader_hint: daemon to ask instead; empty for none.
+    :param detail: reason for a failure.
     """
 
     ok: bool
@@ -40,16 +42,17 @@
     detail: str = ""
 
 
-async def manage(node: ConsensusNode, action: str, arguments: dict[str, Any]) -> Managed:
+async def manage(node: ConsensusNode, action: str, arguments: dict[str, Any]) -> ManageResult:
     """
     Carry out an operator's action.
 
-    :param node: the replica that was asked.
+    :param node: the replica that received the request.
     :param action: `identify`, `status`, `bootstrap`, `replace` or `snapshot`.
+    :param arguments: arguments of `replace`.
     :return: the answer.
     """
     if action == "identify":
-        return _answer(
+        return _success(
             {
                 "daemon": node.replica.daemon,
                 "disk_id": node.replica.disk_id,
@@ -58,25 +61,25 @@
             }
         )
     if action == "status":
-        return _answer(status(node))
+        return _success(status(node))
     if action == "bootstrap":
         return await bootstrap(node)
     if action == "replace":
         return await replace_member(node, arguments)
     if action == "snapshot":
-        return _answer({"begun": node.take_snapshot(), "applied_index": node.applied_index})
-    return Managed(False, detail=f"unknown action {action!r}")
+        return _success({"begun": node.take_snapshot(), "applied_index": node.applied_index})
+    return ManageResult(False, detail=f"unknown action {action!r}")
 
 
-def _answer(value: Any) -> Managed:
-    return Managed(True, msgspec.json.encode(value))
+def _success(value: Any) -> ManageResult:
+    return ManageResult(True, msgspec.json.encode(value))
 
 
 def status(node: ConsensusNode) -> dict[str, Any]:
     """
     Describe a replica.
 
-    :return: role, term, members and positions, as JSON values.
+    :return: role, term, members and log indexes, as JSON values.
     """
     state = node.core.state
     members = node.core.members
@@ -103,10 +106,10 @@
 
 async def identify(address: str) -> Identity | None:
     """
-    Ask a control daemon who it is.
+    Ask the daemon at an address for its replica, with a limit of `IDENTIFY_TIMEOUT_S`.
 
     :param address: IP:port.
-    :return: the identity; None where it does not answer.
+    :return: the identity; None if the daemon does not answer.
     """
     channel = open_channel(address)
     stub = consensus_pb2_grpc.ConsensusStub(channel)
@@ -123,84 +126,109 @@
     )
 
 
-async def bootstrap(node: ConsensusNode) -> Managed:
+async def bootstrap(node: ConsensusNode) -> ManageResult:
     """
-    Found the cluster of all daemons that its configuration names.
+    Bootstrap the cluster of all daemons in this daemon's configuration.
 
-    Every one of them must answer and be empty. A cluster that lost some of its disks is therefore
-    never founded a second time beside what the others still hold; and only the first daemon by name
-    founds, so that two operators cannot found two.
+    All of them must answer and be empty, so that a cluster which lost some of its disks is never
+    bootstrapped again beside the remaining state. Only the daemon with the first id may bootstrap,
+    so that two operators cannot create two clusters.
     """
     config = node.replica_config
-    first = min(config.founders)
-    if config.daemon != first:
-        return Managed(False, leader_hint=first, detail=f"ask {first}, which founds the cluster")
-    found = [Identity(node.replica, node.core.is_empty)]
+    bootstrap_daemon = min(config.founders)
+    if config.daemon != bootstrap_daemon:
+        return ManageResult(
+            False,
+            leader_hint=bootstrap_daemon,
+            detail=f"only {bootstrap_daemon} can bootstrap the cluster",
+        )
+    identities = [Identity(node.replica, node.core.is_empty)]
     for daemon in sorted(config.founders):
         if daemon == config.daemon:
             continue
         address = config.address_of(daemon)
         identity = await identify(address)
         if identity is None or identity.replica.daemon != daemon:
-            return Managed(False, detail=f"{daemon} does not answer at {address}; nothing was done")
-        found.append(identity)
-    taken = [identity.replica.daemon for identity in found if not identity.empty]
-    if taken or not node.core.is_empty:
-        names = ", ".join(taken) or config.daemon
-        return Managed(False, detail=f"{names} already holds state; nothing was done")
-    voters = tuple(sorted(identity.replica for identity in found))
+            return ManageResult(
+                False, detail=f"{daemon} does not answer at {address}; nothing changed"
+            )
+        identities.append(identity)
+    non_empty = [identity.replica.daemon for identity in identities if not identity.empty]
+    if non_empty or not node.core.is_empty:
+        names = ", ".join(non_empty) or config.daemon
+        return ManageResult(False, detail=f"{names} already holds state; nothing changed")
+    voters = tuple(sorted(identity.replica for identity in identities))
     node.dispatch(events.Bootstrap(Members(voters, cluster=secrets.token_hex(8))))
-    led = await _wait(lambda: bool(node.leader_hint), BOOTSTRAP_BOUND_S)
-    if not led:
-        return Managed(False, detail="founded, but no leader was elected yet; see control status")
-    return _answer(status(node))
+    leader_elected = await _wait_until(lambda: bool(node.leader_hint), BOOTSTRAP_TIMEOUT_S)
+    if not leader_elected:
+        return ManageResult(
+            False, detail="bootstrapped, but no leader elected yet; see control status"
+        )
+    return _success(status(node))
 
 
-async def replace_member(node: ConsensusNode, arguments: dict[str, Any]) -> Managed:
+async def replace_member(node: ConsensusNode, arguments: dict[str, Any]) -> ManageResult:
     """
-    Put a replica in the place of another and wait until the old one counts no more.
+    Replace a voter, and wait until the change is committed or `REPLACE_TIMEOUT_S` has passed.
 
-    :param arguments: `daemon`, whose present member leaves, and `new`, the daemon that takes its
-        place under its present disk; the same one after its disk was lost.
+    :param arguments: `daemon`: the daemon whose current voter is removed; `new`: the daemon whose
+        current disk becomes a voter. Without `new` the same daemon is used, after it lost its disk.
     """
     if not node.is_leader:
-        return Managed(False, leader_hint=node.leader_hint, detail="this replica does not lead")
+        return ManageResult(
+            False, leader_hint=node.leader_hint, detail="this replica is not the leader"
+        )
     new_daemon = arguments.get("new") or arguments["daemon"]
     address = node.replica_config.address_of(new_daemon)
     if address is None:
-        return Managed(False, detail=f"{new_daemon} has no address in the settings")
+        return ManageResult(False, detail=f"{new_daemon} has no address in the settings")
     identity = await identify(address)
     if identity is None:
-        return Managed(False, detail=f"{new_daemon} does not answer at {address}")
+        return ManageResult(False, detail=f"{new_daemon} does not answer at {address}")
     new = identity.replica
     voters = node.core.members.voters
     old = next((voter for voter in voters if voter.daemon == arguments["daemon"]), None)
     if old is None:
-        return Managed(False, detail=f"{arguments['daemon']} is not a voter")
+        return ManageResult(False, detail=f"{arguments['daemon']} is not a voter")
     if identity.cluster not in ("", node.core.cluster):
-        return Managed(False, detail=f"{new_daemon} holds state of another cluster; empty its disk")
+        return ManageResult(
+            False, detail=f"{new_daemon} holds state of another cluster; empty its disk"
+        )
 
-    def replaced() -> bool:
+    def request_replacement() -> bool:
         node.dispatch(events.Replace(new, old))
-        now = node.core.members
-        return new in now.voters and (old == new or old not in now.voters) and not now.outgoing
+        current_members = node.core.members
+        return (
+            new in current_members.voters
+            and (old == new or old not in current_members.voters)
+            and not current_members.outgoing
+        )
 
-    ended = await _wait(lambda: not node.is_leader or _settled(node, replaced), REPLACE_BOUND_S)
-    if ended and node.is_leader:
-        return _answer(status(node))
-    return Managed(False, leader_hint=node.leader_hint, detail="not finished; see control status")
+    finished = await _wait_until(
+        lambda: not node.is_leader or _is_replacement_committed(node, request_replacement),
+        REPLACE_TIMEOUT_S,
+    )
+    if finished and node.is_leader:
+        return _success(status(node))
+    return ManageResult(
+        False,
+        leader_hint=node.leader_hint,
+        detail="the replacement is not finished; see control status",
+    )
 
 
-def _settled(node: ConsensusNode, replaced: Any) -> bool:
-    return replaced() and node.core.state.commit_index >= node.core.state.log.members_index
+def _is_replacement_committed(node: ConsensusNode, request_replacement: Any) -> bool:
+    return (
+        request_replacement() and node.core.state.commit_index >= node.core.state.log.members_index
+    )
 
 
-async def _wait(condition: Any, bound_s: float) -> bool:
-    for _ in range(int(bound_s / POLL_S)):
+async def _wait_until(condition: Any, timeout_s: float) -> bool:
+    for _ in range(int(timeout_s / POLL_S)):
         if condition():
             return True
         await asyncio.sleep(POLL_S)
     return False
 
 
-__all__ = ["Managed", "bootstrap", "identify", "manage", "replace_member", "status"]
+__all__ = ["ManageResult", "bootstrap", "identify", "manage", "replace_member", "status"]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
@@ -1,4 +1,4 @@
-"""The service `consensus`: the core with its clock, disk, network and state machine."""
+"""The service `consensus`: connects the core to clock, disk, network and state machine."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from ibisspring_consensus.files import Damage
 from ibisspring_consensus.messages import COMMAND, Entry, ReplicaId
 from ibisspring_consensus.peers import Peers
-from ibisspring_consensus.proposals import Committed, Waiting, copy_result
+from ibisspring_consensus.proposals import Committed, PendingResults, copy_result
 from ibisspring_consensus.snapshots import snapshot_job
 from ibisspring_consensus.storage import Storage
-from ibisspring_consensus.writer import Writer, with_room
+from ibisspring_consensus.writer import Writer, retry_while_refused
 from ibisspring_core.clock import boot_now
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
 
 
 class ConsensusNode:
-    """One replica as a service."""
+    """One replica as a service of the daemon."""
 
     name = "consensus"
 
@@ -43,12 +43,12 @@
         self.applied_index = 0
         self.failed = False
         self.group_commit = True
-        self.waiting = Waiting(retry_after_s=replica.core.election_timeout_s)
-        self._snapshot_under_way = False
-        self._leads = False
-        self._commands: list[tuple[int, bytes]] = []
-        self._reads: list[asyncio.Future[int | Refusal]] = []
-        self._unsynced: deque[tuple[int, float]] = deque()
+        self.pending_results = PendingResults(retry_after_s=replica.core.election_timeout_s)
+        self._snapshot_in_progress = False
+        self._is_serving_leader = False
+        self._queued_commands: list[tuple[int, bytes]] = []
+        self._queued_reads: list[asyncio.Future[int | Refusal]] = []
+        self._unsynced_effects: deque[tuple[int, float]] = deque()
 
     @classmethod
     def from_config(cls, settings: Settings) -> ConsensusNode:
@@ -56,12 +56,12 @@
         Build the service.
 
         :param settings: checked settings of a daemon with the control role.
-        :return: the service; files are opened at its start.
+        :return: the service; it opens its files in `start`.
         """
         return cls(ReplicaConfig.from_config(settings))
 
     async def start(self, kernel: Kernel) -> None:
-        """Open the disk, restore the state machine and begin to tick."""
+        """Open the disk, restore the state machine and start the core's ticks."""
         config = self.replica_config
         self._state = kernel.find(config.state)
         self._counters = kernel.find("counters")
@@ -69,7 +69,7 @@
         storage = await self._open_storage(kernel.stopping)
         if isinstance(storage, Damage):
             eliot.log_message("consensus:damaged", damage=str(storage))
-            # The one way out of a start: the daemon ends and its output says why.
+            # `SystemExit` ends the daemon with this message on its output.
             raise SystemExit(f"ibisspringd: refusing to start: {storage}")
         self.replica = ReplicaId(config.daemon, storage.disk_id)
         self._restore(storage)
@@ -81,18 +81,20 @@
             random.Random(),
             boot_now() if started_s is None else started_s,
         )
-        self.writer = Writer(storage, self._synced, self._fail)
+        self.writer = Writer(storage, self._on_persist_synced, self._fail)
         self.writer.start()
         self._peers = Peers.from_config(
-            config, self.replica, self._read_chunk, self._identified, self._counters
+            config, self.replica, self._read_chunk, self._on_peer_identity, self._counters
         )
-        self._ticks = timer.subscribe("consensus", self.config.tick_s, self._tick)
+        self._tick_subscription = timer.subscribe("consensus", self.config.tick_s, self._tick)
 
     async def _open_storage(self, stopping: asyncio.Event) -> Storage | Damage:
-        """Open the disk, which may have no room for a new folder; end where the daemon stops."""
+        """
+        Open the disk, and retry while it is full; raise `SystemExit` if the daemon stops meanwhile.
+        """
         folder = self.replica_config.folder
         opening = asyncio.create_task(
-            with_room(lambda: asyncio.to_thread(Storage.from_folder, folder))
+            retry_while_refused(lambda: asyncio.to_thread(Storage.from_folder, folder))
         )
         stopped = asyncio.create_task(stopping.wait())
         await asyncio.wait((opening, stopped), return_when=asyncio.FIRST_COMPLETED)
@@ -109,20 +111,22 @@
             self._state.restore(storage.read_snapshot(snapshot.index))
 
     async def stop(self) -> None:
-        """Hand over leadership, answer what waits, and close the disk."""
-        self._ticks.cancel()
+        """Resign leadership, refuse pending proposals and reads, and close the disk."""
+        self._tick_subscription.cancel()
         self.dispatch(events.Resign())
-        self.waiting.stop()
+        self.pending_results.stop()
         await self._peers.stop()
         await self.writer.stop()
         if self.failed:
-            # Ended like a planned stop, a supervisor would not notice.
+            # A non-zero exit code tells the supervisor that this was not a planned stop.
             raise SystemExit("ibisspringd: ended after a failure; see consensus:* in the log")
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads and has applied all that was committed before its term."""
-        return self._leads and not self.failed
+        """
+        Whether this replica is the leader and has applied all entries committed in earlier terms.
+        """
+        return self._is_serving_leader and not self.failed
 
     @property
     def term(self) -> int:
@@ -130,20 +134,20 @@
 
     @property
     def fencing(self) -> int:
-        """A number that rises with each leader."""
+        """Fencing number: the leader's term, which is higher for each new leader."""
         return self.core.term
 
     @property
     def leader_hint(self) -> str:
-        """Daemon id of the leader as this replica knows it; empty for none."""
+        """Daemon id of the last known leader; empty if none is known."""
         leader = self.core.state.leader
         return leader.daemon if leader is not None else ""
 
     def lease_left_s(self) -> float:
         """
-        Tell for how long this replica surely stays the only leader.
+        Return for how long no other replica can hold the leader lease.
 
-        :return: seconds; 0.0 without a lease.
+        :return: remaining lease in seconds; 0.0 without a lease.
         """
         if not self.is_leader:
             return 0.0
@@ -153,98 +157,103 @@
         """
         Commit a command and apply it.
 
-        :param data: what the state machine applies.
-        :return: its place and result; NO_LEADER with `not_run` where it entered no log,
-            MAY_HAVE_RUN where the leader changed before it was committed.
+        :param data: the command for the state machine.
+        :return: its log index and result; NO_LEADER with `not_run` if it was not appended to any
+            log; MAY_HAVE_RUN if the leader changed before it was committed.
         """
-        number, future = self.waiting.add_proposal()
-        self._commands.append((number, data))
-        began_s = boot_now()
+        number, future = self.pending_results.add_proposal()
+        self._queued_commands.append((number, data))
+        submitted_s = boot_now()
         if not self.group_commit:
             self._flush_commands()
-        elif len(self._commands) == 1:
+        elif len(self._queued_commands) == 1:
             asyncio.get_running_loop().call_soon(self._flush_commands)
         committed = await future
         outcome = "committed" if isinstance(committed, Committed) else committed.reason.value
-        self._counters.observe("commit_seconds", boot_now() - began_s, outcome)
+        self._counters.observe("commit_seconds", boot_now() - submitted_s, outcome)
         return committed
 
     def _flush_commands(self) -> None:
-        commands = tuple(self._commands)
-        self._commands.clear()
+        commands = tuple(self._queued_commands)
+        self._queued_commands.clear()
         self.dispatch(events.Propose(commands))
 
     def set_group_commit(self, on: bool) -> None:
-        """Sync each command alone, for measurements, or what waits together."""
+        """
+        Enable or disable group commit.
+
+        :param on: False syncs each command separately, for measurements.
+        """
         self.group_commit = on
         self.writer.group_commit = on
 
     async def confirm_read(self) -> int | Refusal:
         """
-        Confirm with a quorum that this replica leads, after the call began.
+        Confirm with a quorum that this replica was still the leader after the call began.
 
-        :return: an applied index from which on reads are current, or NO_LEADER.
+        :return: an applied index; reads of the state at this or a later index are current.
+            NO_LEADER if not confirmed.
         """
         future = asyncio.get_running_loop().create_future()
-        self._reads.append(future)
-        if len(self._reads) == 1:
+        self._queued_reads.append(future)
+        if len(self._queued_reads) == 1:
             asyncio.get_running_loop().call_soon(self._flush_reads)
         return await future
 
     def _flush_reads(self) -> None:
-        """One heartbeat round confirms all the reads that began before it."""
-        futures = tuple(self._reads)
-        self._reads.clear()
-        number, confirmed = self.waiting.add_read()
+        """Confirm all queued reads with one heartbeat round."""
+        futures = tuple(self._queued_reads)
+        self._queued_reads.clear()
+        number, confirmed = self.pending_results.add_read()
         confirmed.add_done_callback(lambda done: copy_result(done, futures))
         self.dispatch(events.ConfirmRead(number))
 
     def dispatch(self, event: events.Event) -> None:
         """
-        Hand an event to the core and carry out its effects.
+        Pass an event to the core and carry out the effects.
 
-        :param event: what happened just now.
+        :param event: an event that occurred now.
         """
         if self.failed:
-            self.waiting.stop()
+            self.pending_results.stop()
             return
         try:
             for effect in self.core.step(event, boot_now()):
-                self._carry_out(effect)
-            self._note_leadership()
+                self._run_effect(effect)
+            self._update_leadership()
         except Exception as error:
-            # Effects that were not carried out are promises that are not kept: entries that were
-            # never written, or applied by half. A restart begins again from what is synced.
+            # Some effects may not have been carried out: entries not written, or applied in part.
+            # The core already counts on them, so only a restart from the synced state is safe.
             eliot.log_message("consensus:failed", event=type(event).__name__, error=repr(error))
             self._fail()
 
-    def _carry_out(self, effect: events.Effect) -> None:
+    def _run_effect(self, effect: events.Effect) -> None:
         match effect:
             case events.Persist() | events.InstallSnapshot():
                 if isinstance(effect, events.InstallSnapshot):
                     self._state.restore(effect.data)
                     self.applied_index = effect.meta.index
-                self._unsynced.append((effect.sequence, boot_now()))
+                self._unsynced_effects.append((effect.sequence, boot_now()))
                 self.writer.add(effect)
             case events.Send(target, message):
                 self._peers.send(target, message)
             case events.Apply(entries):
                 self._apply(entries)
             case events.Proposed(number, index, term):
-                self.waiting.proposed(number, index, term)
+                self.pending_results.proposed(number, index, term)
             case events.ProposalRefused(number):
-                self.waiting.refused(number)
+                self.pending_results.refused(number)
             case events.ReadConfirmed(read, index):
-                self.waiting.read_confirmed(read, index)
+                self.pending_results.read_confirmed(read, index)
             case events.ReadRefused(read):
-                self.waiting.read_refused(read)
+                self.pending_results.read_refused(read)
             case events.BecameLeader(term):
                 self._counters.add("consensus.elected")
                 eliot.log_message("consensus:elected", daemon=self.replica.daemon, term=term)
             case events.SteppedDown(term, cause):
                 self._counters.add("consensus.stepped_down")
                 eliot.log_message("consensus:stepped_down", term=term, cause=cause)
-                self.waiting.stepped_down()
+                self.pending_results.stepped_down()
 
     def _apply(self, entries: tuple[Entry, ...]) -> None:
         for entry in entries:
@@ -252,53 +261,55 @@
             if entry.kind == COMMAND:
                 result = self._state.apply(entry.index, entry.data)
             self.applied_index = entry.index
-            self.waiting.applied(entry.index, entry.term, result)
+            self.pending_results.applied(entry.index, entry.term, result)
         if self.applied_index - self.core.snapshot.index >= self.replica_config.snapshot_every:
             self.take_snapshot()
 
-    def _note_leadership(self) -> None:
-        """Lead only once the state machine holds all of earlier terms."""
-        self._leads = self.core.is_leader and self.applied_index >= self.core.state.noop_index
+    def _update_leadership(self) -> None:
+        """Report this replica as leader only once it has applied all entries of earlier terms."""
+        self._is_serving_leader = (
+            self.core.is_leader and self.applied_index >= self.core.state.noop_index
+        )
 
     def take_snapshot(self) -> bool:
         """
-        Begin to store a snapshot of the state machine.
+        Start storing a snapshot of the state machine.
 
-        :return: False where one is under way or nothing is new.
+        :return: False if a snapshot is in progress or no entry was applied since the last one.
         """
         index = self.applied_index
-        if self._snapshot_under_way or index <= self.core.snapshot.index:
+        if self._snapshot_in_progress or index <= self.core.snapshot.index:
             return False
-        self._snapshot_under_way = True
+        self._snapshot_in_progress = True
         data = self._state.snapshot()
         self.writer.add(snapshot_job(self.core.state.log, index, data, self._snapshot_done))
         return True
 
     def _snapshot_done(self, meta: SnapshotMeta, keep_from: int) -> None:
-        self._snapshot_under_way = False
+        self._snapshot_in_progress = False
         self._counters.add("consensus.snapshots")
         self.dispatch(events.SnapshotTaken(meta, keep_from))
 
     async def _tick(self, now: float) -> None:
         self.dispatch(events.Tick())
 
-    def _synced(self, sequence: int) -> None:
+    def _on_persist_synced(self, sequence: int) -> None:
         now = boot_now()
-        while self._unsynced and self._unsynced[0][0] <= sequence:
-            _, began_s = self._unsynced.popleft()
-            self._counters.observe("sync_seconds", now - began_s, "synced")
+        while self._unsynced_effects and self._unsynced_effects[0][0] <= sequence:
+            _, submitted_s = self._unsynced_effects.popleft()
+            self._counters.observe("sync_seconds", now - submitted_s, "synced")
         self.dispatch(events.Persisted(sequence))
 
     def _fail(self) -> None:
-        """Take no further part and end the daemon."""
+        """Stop taking part and end the daemon with SIGTERM."""
         self.failed = True
-        self.waiting.stop()
+        self.pending_results.stop()
         os.kill(os.getpid(), signal.SIGTERM)
 
     async def _read_chunk(self, index: int, offset: int) -> bytes | None:
         return await self.writer.read_snapshot(index, offset, self.config.chunk_bytes)
 
-    def _identified(self, identity: Identity) -> None:
+    def _on_peer_identity(self, identity: Identity) -> None:
         self.dispatch(events.ReplicaSeen(identity.replica, identity.cluster))
 
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
@@ -1,9 +1,9 @@
 """
-Decides which replica takes the place of another, without an operator.
+Replaces permanently lost voters without an operator.
 
-VMs are lost for good and replaced by empty ones at other addresses. While such a VM stays a voter,
-the next loss ends the log. A replica leaves only for one that takes its place, never for silence
-alone: a partition shrinks no majority.
+A lost VM is replaced by an empty one at another address. While the lost VM remains a voter, the
+loss of one more VM can stop the log. A voter is removed only if a replacement is available, never
+for silence alone, so that a partition cannot shrink the majority.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from ibisspring_consensus.events import Replace
 from ibisspring_consensus.membership import may_change
-from ibisspring_consensus.quorum import everyone
+from ibisspring_consensus.quorum import all_replicas
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -22,17 +22,18 @@
     from ibisspring_consensus.messages import ReplicaId
     from ibisspring_consensus.state import CoreState
 
-# Longer than the silence of a VM that is only killed and started again or frozen for a moment;
-# copying the log to another one costs more than waiting for it.
-SILENT_S = 3.0
+# Longer than the silence of a VM that is killed and restarted, or frozen for a moment: copying the
+# log to another VM costs more than waiting for such a VM.
+REPLACE_AFTER_SILENCE_S = 3.0
 
 
 @dataclass(frozen=True)
 class Candidate:
     """
-    A replica in touch, which is a member or may become one.
+    A replica that responds, and is a member or can become one.
 
-    :param data_centre: where it stands.
+    :param replica: daemon and disk.
+    :param data_centre: data centre of its VM.
     """
 
     replica: ReplicaId
@@ -46,62 +47,73 @@
     wanted_voters: int,
 ) -> Replace | None:
     """
-    Choose the next change of the members.
+    Return the next change of the members.
 
     :param state: the leader's core.
-    :param candidates: replicas in touch, members among them, in order of preference.
-    :param leaving: daemons that an operator takes away.
-    :param wanted_voters: voters that bear the losses that must be borne.
-    :return: the change to begin; None for none.
+    :param candidates: replicas that respond, including members, in order of preference.
+    :param leaving: daemons that an operator is removing.
+    :param wanted_voters: number of voters needed to tolerate the required number of losses.
+    :return: the change to start; None if no change is needed or possible.
     """
     members = state.log.members
-    # One at a time: a learner that was begun is caught up before the next one.
+    # One change at a time: a learner is caught up and promoted before the next change starts.
     if not may_change(state) or members.learners or members.outgoing:
         return None
-    known = {replica.daemon for replica in everyone(members)}
-    free = [
-        one
-        for one in candidates
-        if one.replica.daemon not in known and one.replica.daemon not in leaving
+    member_daemons = {replica.daemon for replica in all_replicas(members)}
+    non_members = [
+        candidate
+        for candidate in candidates
+        if candidate.replica.daemon not in member_daemons
+        and candidate.replica.daemon not in leaving
     ]
-    if not free:
+    if not non_members:
         return None
     if len(members.voters) < wanted_voters:
-        return Replace(_least_crowded(free, members.voters, candidates), None)
+        return Replace(_from_least_used_data_centre(non_members, members.voters, candidates), None)
     for voter in members.voters:
         if voter == state.replica and voter.daemon not in leaving:
             continue
-        if voter.daemon in leaving or silent_s(state, voter) > SILENT_S:
-            stay = [one for one in members.voters if one != voter]
-            return Replace(_least_crowded(free, stay, candidates), voter)
+        if voter.daemon in leaving or time_since_reply_s(state, voter) > REPLACE_AFTER_SILENCE_S:
+            remaining_voters = [other for other in members.voters if other != voter]
+            return Replace(
+                _from_least_used_data_centre(non_members, remaining_voters, candidates), voter
+            )
     return None
 
 
-def _least_crowded(
-    free: Sequence[Candidate], voters: Sequence[ReplicaId], candidates: Sequence[Candidate]
+def _from_least_used_data_centre(
+    non_members: Sequence[Candidate], voters: Sequence[ReplicaId], candidates: Sequence[Candidate]
 ) -> ReplicaId:
     """
     Choose the candidate whose data centre holds the fewest voters.
 
-    Taken in their order alone, one replacement after the other would bring a majority into one data
-    centre, whose loss ends the log.
+    If candidates were taken in their order alone, successive replacements could place a majority in
+    one data centre, and the loss of that data centre would stop the log.
+
+    :param non_members: replicas that may be added.
+    :param voters: the remaining voters.
+    :param candidates: all replicas that respond, for the voters' data centres.
     """
-    centre_by_daemon = {one.replica.daemon: one.data_centre for one in candidates}
-    used = Counter(centre_by_daemon.get(voter.daemon) for voter in voters)
-    return min(free, key=lambda one: used[one.data_centre]).replica
+    data_centre_by_daemon = {
+        candidate.replica.daemon: candidate.data_centre for candidate in candidates
+    }
+    voters_by_data_centre = Counter(data_centre_by_daemon.get(voter.daemon) for voter in voters)
+    return min(
+        non_members, key=lambda candidate: voters_by_data_centre[candidate.data_centre]
+    ).replica
 
 
-def silent_s(state: CoreState, replica: ReplicaId) -> float:
+def time_since_reply_s(state: CoreState, replica: ReplicaId) -> float:
     """
-    Tell for how long a replica has not answered its leader.
+    Return the time since a replica last replied to this leader.
 
-    :return: seconds; counted from the election at most.
+    :return: seconds; at most the time since this leader's election.
     """
     if replica == state.replica:
         return 0.0
     progress = state.progress_by_replica.get(replica)
-    answered_at = progress.answered_at if progress is not None else 0.0
-    return state.now - max(answered_at, state.led_since)
+    replied_at = progress.replied_at if progress is not None else 0.0
+    return state.now - max(replied_at, state.leader_since)
 
 
-__all__ = ["SILENT_S", "Candidate", "next_change", "silent_s"]
+__all__ = ["REPLACE_AFTER_SILENCE_S", "Candidate", "next_change", "time_since_reply_s"]
--- a/tests/unit/consensus/random_run.py
+++ b/tests/unit/consensus/random_run.py
@@ -1,4 +1,7 @@
-"""A seeded run of consensus cores that loses, doubles and reorders messages, disks and time."""
+"""
+A seeded run of consensus cores with lost, duplicated and reordered messages, crashes, lost disks
+and clocks at different rates.
+"""
 
 from __future__ import annotations
 
@@ -25,23 +28,24 @@
 from ibisspring_core.messages.codec import decode
 
 CONFIG = CoreConfig(max_append_bytes=40, max_in_flight=3, chunk_bytes=24)
-# Leases are 0.8 of the election timeout, which covers clocks that run up to a tenth apart.
+# The lease is 0.8 of the election timeout, which tolerates clock rates that differ by up to a
+# tenth.
 CLOCK_RATES = (0.95, 1.0, 1.05)
 SNAPSHOT_TAIL = 3
 
 
 class RandomRun:
-    """The nodes, the messages under way and what must never change."""
+    """The nodes, the messages in transit and the invariants that are checked."""
 
     def __init__(self, seed: int, count: int) -> None:
         self.random = random.Random(seed)
         self.now = 100.0
-        # Runs differ in how fast time goes on against messages, and how long faults last.
-        self.pace_s = self.random.choice((0.05, 0.1, 0.2, 0.4))
-        self.mend = self.random.choice((0.1, 0.2, 0.4))
-        self.disks = 0
+        # Runs differ in how far time advances between messages, and in how long faults last.
+        self.max_tick_s = self.random.choice((0.05, 0.1, 0.2, 0.4))
+        self.unblock_probability = self.random.choice((0.1, 0.2, 0.4))
+        self.disk_count = 0
         self.old_disks: list[tuple[str, Disk]] = []
-        self.numbers = 0
+        self.last_number = 0
         self.messages: list[tuple[ReplicaId, ReplicaId, object]] = []
         self.blocked: set[tuple[str, str]] = set()
         self.committed: list[Entry] = []
@@ -49,7 +53,7 @@
         self.members = Members()
         self.members_index = 0
         self.leader_by_term: dict[int, ReplicaId] = {}
-        self.entry_by_place: dict[tuple[int, int], tuple[Entry, int]] = {}
+        self.entry_by_position: dict[tuple[int, int], tuple[Entry, int]] = {}
         self.vote_by_voter: dict[tuple[ReplicaId, int], ReplicaId] = {}
         self.read_floor: dict[int, int] = {}
         self.acknowledged = 0
@@ -66,15 +70,19 @@
         self.heal()
 
     def _new_disk(self) -> Disk:
-        self.disks += 1
-        return Disk(f"disk{self.disks}")
+        self.disk_count += 1
+        return Disk(f"disk{self.disk_count}")
 
-    # Life of the nodes
+    # Starts, crashes and disks
 
     def start(self, node: Node) -> None:
         disk = node.disk
         stored = StoredState(
-            disk.hard, disk.snapshot, disk.base_index, disk.base_term, tuple(disk.entries)
+            disk.synced_hard_state,
+            disk.snapshot,
+            disk.base_index,
+            disk.base_term,
+            tuple(disk.entries),
         )
         randomness = random.Random(self.random.random())
         node.core = Core.from_stored(
@@ -87,28 +95,30 @@
         node.frozen = False
 
     def started_at(self, node: Node) -> float:
-        """When the process of a node began, on its clock."""
+        """Return the start time of a node's process on its clock."""
         return self.local_now(node)
 
     def local_now(self, node: Node) -> float:
         return self.now * node.rate
 
     def crash(self, node: Node) -> None:
-        """Keep any prefix of what was not synced, and perhaps the term and vote after it."""
+        """
+        Sync a random prefix of the queued jobs, and in some runs the next job's term and vote.
+        """
         for _ in range(self.random.randint(0, len(node.jobs))):
             node.disk.write(node.jobs.popleft())
         if node.jobs and isinstance(node.jobs[0], events.Persist) and self.random.random() < 0.5:
-            node.disk.hard = node.jobs[0].hard_state or node.disk.hard
+            node.disk.synced_hard_state = node.jobs[0].hard_state or node.disk.synced_hard_state
         node.ended_at = self.now
         node.core = None
 
     def may_lose_disk(self, node: Node) -> bool:
-        """Only a minority of disks may be lost before they are replaced."""
+        """Return whether the node's disk may be lost: the other disks must still be a quorum."""
         present = {other.replica for other in self.node_by_daemon.values()} - {node.replica}
         return all(is_quorum(members, present) for members in self.possible_members())
 
     def possible_members(self) -> list[Members]:
-        """The committed members and later ones that may still commit."""
+        """List the committed members and later ones that may still be committed."""
         found = [self.members]
         for node in self.node_by_daemon.values():
             entries = list(node.disk.entries)
@@ -126,11 +136,11 @@
         node.disk = self._new_disk()
         self.start(node)
 
-    def mount_old(self, node: Node) -> None:
-        """A disk that was taken for lost turns up again under its VM."""
-        olds = [disk for daemon, disk in self.old_disks if daemon == node.daemon]
-        if olds and self.may_lose_disk(node):
-            node.disk = self.random.choice(olds)
+    def remount_lost_disk(self, node: Node) -> None:
+        """Mount a disk that was considered lost on its VM again."""
+        lost_disks = [disk for daemon, disk in self.old_disks if daemon == node.daemon]
+        if lost_disks and self.may_lose_disk(node):
+            node.disk = self.random.choice(lost_disks)
             self.start(node)
 
     # Events and effects
@@ -139,10 +149,10 @@
         if node.core is None:
             return
         for effect in node.core.step(event, self.local_now(node)):
-            self._carry_out(node, effect)
+            self._run_effect(node, effect)
         self._check_log(node)
 
-    def _carry_out(self, node: Node, effect: events.Effect) -> None:
+    def _run_effect(self, node: Node, effect: events.Effect) -> None:
         match effect:
             case events.Persist():
                 node.jobs.append(effect)
@@ -187,7 +197,7 @@
         if node.core.is_leader:
             self.acknowledged = max(self.acknowledged, entry.index)
 
-    # What must hold
+    # Invariants
 
     def _check_leader(self, node: Node, term: int) -> None:
         first = self.leader_by_term.setdefault(term, node.replica)
@@ -206,7 +216,7 @@
         first = max(log.base_index, log.last_index - 4) + 1
         for entry in log.slice(first, log.last_index):
             held = (entry, log.term_at(entry.index - 1))
-            known = self.entry_by_place.setdefault((entry.index, entry.term), held)
+            known = self.entry_by_position.setdefault((entry.index, entry.term), held)
             assert known == held, "logs differ at one index and term"
 
     def check_leases(self) -> None:
@@ -217,10 +227,10 @@
         ]
         assert len(holders) <= 1, f"two leases at once: {holders}"
 
-    # Chance
+    # Random events
 
-    def chance(self) -> None:
-        """One random thing happens."""
+    def random_event(self) -> None:
+        """Carry out one random event."""
         node = self.random.choice(list(self.node_by_daemon.values()))
         draw = self.random.random()
         if draw < 0.55 and self.messages:
@@ -232,29 +242,29 @@
         elif draw < 0.97:
             self.write_or_read(node)
         else:
-            self.fault(node)
+            self.inject_fault(node)
         self.check_leases()
 
     def tick(self, node: Node) -> None:
-        self.now += self.random.random() * self.pace_s
+        self.now += self.random.random() * self.max_tick_s
         if not node.frozen:
             self.step(node, events.Tick())
 
     def deliver(self, position: int) -> None:
         sender, target, message = self.messages.pop(position)
-        luck = self.random.random()
-        if luck < 0.05 or (sender.daemon, target.daemon) in self.blocked:
+        delivery_draw = self.random.random()
+        if delivery_draw < 0.05 or (sender.daemon, target.daemon) in self.blocked:
             return
-        if luck < 0.10:
+        if delivery_draw < 0.10:
             self.messages.append((sender, target, message))
         node = self.node_by_daemon[target.daemon]
         if node.core is None or node.frozen:
             return
         cluster = node.core.cluster
         self.step(node, events.Received(sender, target, message))
-        back = self.node_by_daemon[sender.daemon]
-        if target != node.replica and back.replica == sender:
-            self.step(back, events.ReplicaSeen(node.replica, cluster))
+        sender_node = self.node_by_daemon[sender.daemon]
+        if target != node.replica and sender_node.replica == sender:
+            self.step(sender_node, events.ReplicaSeen(node.replica, cluster))
 
     def sync(self, node: Node) -> None:
         for _ in range(self.random.randint(0, len(node.jobs))):
@@ -266,14 +276,14 @@
                 self.step(node, events.Persisted(job.sequence))
 
     def write_or_read(self, node: Node) -> None:
-        self.numbers += 1
+        self.last_number += 1
         draw = self.random.random()
         if draw < 0.6:
-            data = f"command {self.numbers}".encode()
-            self.step(node, events.Propose(((self.numbers, data),)))
+            data = f"command {self.last_number}".encode()
+            self.step(node, events.Propose(((self.last_number, data),)))
         elif draw < 0.9:
-            self.read_floor[self.numbers] = self.acknowledged
-            self.step(node, events.ConfirmRead(self.numbers))
+            self.read_floor[self.last_number] = self.acknowledged
+            self.step(node, events.ConfirmRead(self.last_number))
         else:
             self.snapshot(node)
 
@@ -292,13 +302,13 @@
         )
         node.jobs.append(StoreSnapshot(meta, data, max(log.base_index, meta.index - SNAPSHOT_TAIL)))
 
-    def fault(self, node: Node) -> None:
+    def inject_fault(self, node: Node) -> None:
         draw = self.random.random()
         if node.core is None:
             if draw < 0.7:
                 self.start(node)
             return
-        if draw < self.mend:
+        if draw < self.unblock_probability:
             self.blocked.clear()
         elif draw < 0.55:
             self.crash(node)
@@ -307,7 +317,7 @@
         elif draw < 0.72 and self.may_lose_disk(node):
             self.wipe(node)
         elif draw < 0.75:
-            self.mount_old(node)
+            self.remount_lost_disk(node)
         elif draw < 0.90:
             other = self.random.choice(list(self.node_by_daemon))
             self.blocked.add((node.daemon, other))
@@ -317,23 +327,23 @@
         else:
             self.step(node, events.Resign())
 
-    # The end
+    # Recovery
 
     def heal(self) -> None:
-        """All faults end; the cluster must go on, replace what was wiped, and agree."""
+        """End all faults; the cluster must recover, replace wiped disks and agree."""
         self.blocked.clear()
         for node in self.node_by_daemon.values():
             node.frozen = False
             if node.core is None:
                 self.start(node)
         for _ in range(4000):
-            self.calm()
-            if self.is_whole():
+            self.step_without_faults()
+            if self.has_recovered():
                 return
-        raise AssertionError("the cluster did not come back after all faults had ended")
+        raise AssertionError("the cluster did not recover after all faults had ended")
 
-    def calm(self) -> None:
-        """A moment without faults."""
+    def step_without_faults(self) -> None:
+        """Advance time by 20 ms, complete all writes and deliver all messages."""
         self.now += 0.02
         for node in self.node_by_daemon.values():
             self.step(node, events.Tick())
@@ -344,31 +354,35 @@
                     self.step(node, events.SnapshotTaken(job.meta, job.base + 1))
                 else:
                     self.step(node, events.Persisted(job.sequence))
-        for sender, target, message in self.take_messages():
+        for sender, target, message in self.drain_messages():
             node = self.node_by_daemon[target.daemon]
             cluster = node.core.cluster
             self.step(node, events.Received(sender, target, message))
-            back = self.node_by_daemon[sender.daemon]
-            if target != node.replica and back.replica == sender:
-                self.step(back, events.ReplicaSeen(node.replica, cluster))
+            sender_node = self.node_by_daemon[sender.daemon]
+            if target != node.replica and sender_node.replica == sender:
+                self.step(sender_node, events.ReplicaSeen(node.replica, cluster))
         self.check_leases()
 
-    def take_messages(self) -> list:
+    def drain_messages(self) -> list:
         messages, self.messages = self.messages, []
         return messages
 
-    def is_whole(self) -> bool:
-        """Every daemon's present disk is a voter and has applied all that is committed."""
+    def has_recovered(self) -> bool:
+        """
+        Return whether each daemon's current disk is a voter and has applied all committed entries.
+        """
         present = {node.replica for node in self.node_by_daemon.values()}
-        whole = bool(self.committed) and set(self.members.voters) == present
-        whole = whole and not self.members.outgoing
-        return whole and all(
+        recovered = bool(self.committed) and set(self.members.voters) == present
+        recovered = recovered and not self.members.outgoing
+        return recovered and all(
             node.applied == len(self.committed) for node in self.node_by_daemon.values()
         )
 
 
 class SlowStarts(RandomRun):
-    """Processes that begin at any moment after the one before, long before they read their disk."""
+    """
+    Processes that start at any time after the previous one ended, long before they read their disk.
+    """
 
     def started_at(self, node: Node) -> float:
         if node.ended_at is None:
@@ -376,18 +390,20 @@
         return self.random.uniform(node.ended_at, self.now) * node.rate
 
 
-def run(seed: int, count: int, steps: int, kind: type[RandomRun] = RandomRun) -> RandomRun:
+def run(seed: int, count: int, steps: int, run_type: type[RandomRun] = RandomRun) -> RandomRun:
     """
-    Run with a seed and heal at the end.
+    Run random events and heal at the end; failure messages state the seed.
 
-    :param seed: names the run; stands in each failure message.
-    :param count: daemons.
-    :param steps: random things that happen.
+    :param seed: seed of the run.
+    :param count: number of daemons.
+    :param steps: number of random events.
+    :param run_type: class of the run.
+    :return: the run after it has recovered.
     """
     try:
-        random_run = kind(seed, count)
+        random_run = run_type(seed, count)
         for _ in range(steps):
-            random_run.chance()
+            random_run.random_event()
         random_run.heal()
     except AssertionError as error:
         message = f"seed {seed}, {count} nodes, {steps} steps: {error}"
--- a/tests/unit/consensus/run_nodes.py
+++ b/tests/unit/consensus/run_nodes.py
@@ -1,4 +1,4 @@
-"""Disks and daemons of a random run: what is synced, what waits for it, what a crash leaves."""
+"""Disks and daemons of a random run: synced state, queued writes and the state after a crash."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class StoreSnapshot:
-    """A snapshot that a replica took of itself, on its way to the disk."""
+    """A snapshot that a replica took itself and that is not yet written."""
 
     meta: SnapshotMeta
     data: bytes
@@ -21,10 +21,10 @@
 
 @dataclass
 class Disk:
-    """What survives a crash."""
+    """The synced state of a replica, which survives a crash."""
 
     disk_id: str
-    hard: HardState = field(default_factory=HardState)
+    synced_hard_state: HardState = field(default_factory=HardState)
     snapshot: SnapshotMeta = field(default_factory=SnapshotMeta)
     data_by_index: dict[int, bytes] = field(default_factory=dict)
     base_index: int = 0
@@ -34,21 +34,21 @@
     def write(self, job: events.Persist | events.InstallSnapshot | StoreSnapshot) -> None:
         match job:
             case events.Persist():
-                self.hard = job.hard_state or self.hard
+                self.synced_hard_state = job.hard_state or self.synced_hard_state
                 if job.truncate_from:
                     del self.entries[job.truncate_from - self.base_index - 1 :]
                 self.entries.extend(job.entries)
             case events.InstallSnapshot():
-                self._keep(job.meta, job.data, job.meta.index, job.meta.term, job.entries)
+                self._set_snapshot(job.meta, job.data, job.meta.index, job.meta.term, job.entries)
             case StoreSnapshot():
                 base = max(job.base, self.base_index)
                 kept = self.entries[base - self.base_index :]
                 term = self.base_term
                 if base > self.base_index:
                     term = self.entries[base - self.base_index - 1].term
-                self._keep(job.meta, job.data, base, term, tuple(kept))
+                self._set_snapshot(job.meta, job.data, base, term, tuple(kept))
 
-    def _keep(
+    def _set_snapshot(
         self, meta: SnapshotMeta, data: bytes, base: int, term: int, entries: tuple[Entry, ...]
     ) -> None:
         self.snapshot = meta
@@ -58,7 +58,7 @@
 
 @dataclass
 class Node:
-    """One daemon of the run."""
+    """One daemon of the run, with its clock rate and its queued writes."""
 
     daemon: str
     disk: Disk
--- a/tests/unit/consensus/test_power_loss.py
+++ b/tests/unit/consensus/test_power_loss.py
@@ -19,67 +19,67 @@
     return Entry(index, term, COMMAND, b"command %d.%d" % (term, index))
 
 
-def work(folder: Path, recorder: Recorder) -> None:
+def write_replica_history(folder: Path, recorder: Recorder) -> None:
     """
-    A replica's life: votes, entries, an overwritten tail, a snapshot, more entries.
+    Write what a replica writes: votes, entries, a conflicting tail, a snapshot and more entries.
 
-    A promise is the term and the entries by index that others were told of.
+    An acknowledged state is the term and the entries by index that were acknowledged to others.
     """
     storage = Storage.from_folder(folder)
-    recorder.promise((0, {}))
+    recorder.acknowledge((0, {}))
     storage.write_hard_state(HardState(1))
-    recorder.promise((1, {}))
+    recorder.acknowledge((1, {}))
     entries = {index: entry(index) for index in (1, 2, 3, 4)}
     storage.write_log((LogChange(0, tuple(entries.values())[:2]),))
-    recorder.promise((1, {index: entries[index] for index in (1, 2)}))
+    recorder.acknowledge((1, {index: entries[index] for index in (1, 2)}))
     storage.write_log((LogChange(0, tuple(entries.values())[2:]),))
-    recorder.promise((1, dict(entries)))
+    recorder.acknowledge((1, dict(entries)))
     storage.write_hard_state(HardState(2))
-    # The next leader holds another entry 4, so the old one is not owed to anybody any more.
+    # The next leader holds another entry 4, so the old one need not survive any more.
     del entries[4]
-    recorder.promise((2, dict(entries)))
+    recorder.acknowledge((2, dict(entries)))
     storage.write_log((LogChange(4, (entry(4, 2), entry(5, 2))),))
     entries |= {4: entry(4, 2), 5: entry(5, 2)}
-    recorder.promise((2, dict(entries)))
+    recorder.acknowledge((2, dict(entries)))
     meta = SnapshotMeta(3, 1, Members(), len(SNAPSHOT), zlib.crc32(SNAPSHOT))
     storage.write_snapshot(meta, SNAPSHOT)
     storage.compact(meta, SegmentStart(3, 1), (entries[4], entries[5]))
-    recorder.promise((2, dict(entries)))
+    recorder.acknowledge((2, dict(entries)))
     storage.write_log((LogChange(0, (entry(6, 2),)),))
     entries[6] = entry(6, 2)
-    recorder.promise((2, dict(entries)))
+    recorder.acknowledge((2, dict(entries)))
     storage.close()
 
 
-def faults(tmp_path: Path, recorder: Recorder) -> list[str]:
-    """Recover from all that may survive; what was lost of what had been promised."""
+def find_losses(tmp_path: Path, recorder: Recorder) -> list[str]:
+    """Recover from each state that may survive; list the acknowledged state that is missing."""
     found = []
-    again = tmp_path / "again"
+    recovered_folder = tmp_path / "again"
     seen = set()
-    for promised, content_by_name in survivors(recorder.steps):
-        state = (repr(promised), tuple(sorted(content_by_name.items())))
-        if promised is None or state in seen:
+    for acknowledged, content_by_name in survivors(recorder.steps):
+        state = (repr(acknowledged), tuple(sorted(content_by_name.items())))
+        if acknowledged is None or state in seen:
             continue
         seen.add(state)
-        again.mkdir()
+        recovered_folder.mkdir()
         for name, content in content_by_name.items():
-            (again / name).write_bytes(content)
-        fault = lost(Storage.from_folder(again), *promised)
-        if fault:
-            found.append(f"{fault}: {sorted(content_by_name)}")
-        shutil.rmtree(again)
+            (recovered_folder / name).write_bytes(content)
+        loss = describe_loss(Storage.from_folder(recovered_folder), *acknowledged)
+        if loss:
+            found.append(f"{loss}: {sorted(content_by_name)}")
+        shutil.rmtree(recovered_folder)
     assert len(seen) > 30
     return found
 
 
-def lost(storage: Storage | Damage, term: int, entries: dict[int, Entry]) -> str:
-    """Tell what a recovered replica lacks; empty for nothing."""
+def describe_loss(storage: Storage | Damage, term: int, entries: dict[int, Entry]) -> str:
+    """Describe what a recovered replica lacks; empty if it lacks nothing."""
     if isinstance(storage, Damage):
         return f"does not start: {storage.message}"
     try:
         stored = storage.stored
-        if stored.hard.term < term:
-            return f"term {stored.hard.term} after {term}"
+        if stored.hard_state.term < term:
+            return f"term {stored.hard_state.term} after {term}"
         by_index = {one.index: one for one in stored.entries}
         for index, one in entries.items():
             if index > stored.snapshot.index and by_index.get(index) != one:
@@ -93,21 +93,21 @@
 
 @pytest.fixture
 def record(tmp_path, monkeypatch):
-    def run(forget=lambda name: False) -> Recorder:
+    def run(skip_sync=lambda name: False) -> Recorder:
         folder = tmp_path / "consensus"
-        recorder = Recorder(folder, forget)
+        recorder = Recorder(folder, skip_sync)
         with monkeypatch.context() as patched:
             recorder.patch(patched)
-            work(folder, recorder)
+            write_replica_history(folder, recorder)
         return recorder
 
     return run
 
 
 def test_nothing_promised_is_lost_whenever_the_power_goes(tmp_path, record) -> None:
-    # A control VM loses power between any two calls of its storage. It starts again, with all that
-    # it had acknowledged, or a change that an operator was told of is gone.
-    assert faults(tmp_path, record()) == []
+    # A control VM loses power between any two calls of its storage. After its restart it must hold
+    # all that it acknowledged; otherwise a change that was confirmed to an operator is lost.
+    assert find_losses(tmp_path, record()) == []
 
 
 @pytest.mark.parametrize(
@@ -121,11 +121,11 @@
     ],
 )
 def test_each_sync_is_needed(tmp_path, record, name) -> None:
-    # Taken out alone, each sync loses something: the test above would see it missing.
-    assert faults(tmp_path, record(lambda synced: synced == name))
+    # Without any one of these syncs some state is lost, and the test above detects the loss.
+    assert find_losses(tmp_path, record(lambda synced: synced == name))
 
 
-def test_the_model_sees_a_write_that_was_never_synced(tmp_path, monkeypatch) -> None:
+def test_model_includes_unsynced_writes(tmp_path, monkeypatch) -> None:
     recorder = Recorder(tmp_path)
     with monkeypatch.context() as patched:
         recorder.patch(patched)
