--- a/packages/ibisspring-control/src/ibisspring_control/state/__init__.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: pure and deterministic, one module per concern."""
+"""The replicated state machine: deterministic, without I/O, one module per kind of state."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-control/src/ibisspring_control/state/claims.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: a non-idempotent request is sent by whoever holds its claim."""
+"""Claims of idempotency keys: an entry claims the key before it sends a non-idempotent request."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 MAY_HAVE_RUN = "may_have_run"
 NOT_RUN = "not_run"
 
-# A caller may send a key again for a day, as is usual for idempotency keys.
-KEEP_S = 86_400.0
-# When the table is full, settled claims older than this make room; younger ones never do, because
-# a resend of a forgotten key would run a second time. New claims are refused instead.
-KEEP_AT_LEAST_S = 3_600.0
+# A caller may resend a key for one day, as is usual for idempotency keys.
+CLAIM_RETENTION_S = 86_400.0
+# When the table is full, settled claims older than this are evicted. Younger ones are not evicted,
+# because a resend of an evicted key would run a second time; new claims are refused instead.
+MIN_CLAIM_RETENTION_S = 3_600.0
 MAX_CLAIMS = 100_000
-# Many times the daemons of a large system; with VMs replaced daily their names add up over years.
+# Many times the number of daemons in a large system. Without a limit, the names of daily replaced
+# VMs would accumulate over years.
 MAX_DAEMONS = 5_000
-# Longer than any request may take: the entry that held the claim is gone for good.
+# Longer than any request may take, so the entry that holds the claim is no longer running it.
 RUNNING_LIMIT_S = 600.0
 MAX_ANSWER_BYTES = 65_536
 MAX_ALL_ANSWERS_BYTES = 8_388_608
-FULL_RETRY_DETAIL = "too many idempotency keys are held; nothing was sent"
+TABLE_FULL_DETAIL = "the table of idempotency keys is full; the request was not sent"
 
 
 @dataclass(frozen=True)
@@ -37,9 +38,14 @@
     """
     One claimed key.
 
+    :param digest: digest of the request; the same key with another digest is a conflict.
+    :param request_id: id of the request that holds the claim.
     :param index: log index of the claim.
-    :param stamped_s: when it was claimed.
+    :param stamped_s: wall-clock seconds at which the key was claimed.
     :param state: `running`, `done` or `may_have_run`.
+    :param status: HTTP status of the answer.
+    :param answer: body of the answer; empty if it was too large to be stored.
+    :param stored: whether `answer` is the complete body.
     """
 
     client_account: str
@@ -59,14 +65,14 @@
 
 @dataclass(frozen=True)
 class ClaimsSnapshot:
-    """All claims in order of their index."""
+    """All claims, ordered by log index."""
 
     claims: tuple[Claim, ...] = ()
     incarnation_by_daemon: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 class Claims:
-    """Claims by client account and key, oldest index first."""
+    """Claims by client account and key, ordered by log index."""
 
     def __init__(self, snapshot: ClaimsSnapshot) -> None:
         self.claim_by_key = {(claim.client_account, claim.key): claim for claim in snapshot.claims}
@@ -74,35 +80,35 @@
         self.answer_bytes = sum(len(claim.answer) for claim in snapshot.claims)
 
     def snapshot(self) -> ClaimsSnapshot:
-        """Everything, in an order that all replicas share."""
+        """Return all claims, in an order that is the same on all replicas."""
         return ClaimsSnapshot(tuple(self.claim_by_key.values()), dict(self.incarnation_by_daemon))
 
-    def see(self, daemon: str, incarnation: int) -> None:
-        """Note that a daemon started again: what its earlier start left running may have run."""
+    def record_start(self, daemon: str, incarnation: int) -> None:
+        """Record a start of a daemon; requests that an earlier start left running may have run."""
         newest = max(incarnation, self.incarnation_by_daemon.get(daemon, 0))
         self.incarnation_by_daemon[daemon] = newest
         if len(self.incarnation_by_daemon) > MAX_DAEMONS:
-            self._forget_daemons(daemon)
+            self._remove_unused_daemons(daemon)
 
-    def _forget_daemons(self, daemon: str) -> None:
-        """Keep the starts that a claim is judged by, whatever the order of the table."""
+    def _remove_unused_daemons(self, daemon: str) -> None:
+        """Remove the daemons that no claim refers to; the result does not depend on dict order."""
         needed = {claim.daemon for claim in self.claim_by_key.values()} | {daemon}
         starts = self.incarnation_by_daemon
         self.incarnation_by_daemon = {name: starts[name] for name in sorted(needed & set(starts))}
 
     def claim(self, command: ClaimKey, moment: Moment) -> ClaimState | Refused:
-        """Grant a free key; otherwise tell what became of it."""
-        self.see(command.daemon, command.incarnation)
-        self._forget_old(moment)
+        """Claim a free key for a request, or return the state of the existing claim."""
+        self.record_start(command.daemon, command.incarnation)
+        self._remove_expired(moment)
         if command.incarnation < self.incarnation_by_daemon[command.daemon]:
-            return Refused(Reason.CONFLICT.value, "this daemon has been started again since")
-        place = (command.client_account, command.key)
-        claim = self.claim_by_key.get(place)
+            return Refused(Reason.CONFLICT.value, "this daemon has since been restarted")
+        claim_key = (command.client_account, command.key)
+        claim = self.claim_by_key.get(claim_key)
         if claim is not None:
-            return self._answer(claim, command, moment)
-        if len(self.claim_by_key) >= MAX_CLAIMS and not self._make_room(moment):
-            return Refused(Reason.QUEUE_FULL.value, FULL_RETRY_DETAIL)
-        self.claim_by_key[place] = Claim(
+            return self._existing_claim_state(claim, command, moment)
+        if len(self.claim_by_key) >= MAX_CLAIMS and not self._evict_oldest_settled(moment):
+            return Refused(Reason.QUEUE_FULL.value, TABLE_FULL_DETAIL)
+        self.claim_by_key[claim_key] = Claim(
             command.client_account,
             command.key,
             command.digest,
@@ -115,22 +121,22 @@
         return ClaimState("granted", command.request_id, command.daemon)
 
     def settle(self, command: SettleClaim) -> ClaimState:
-        """Record how the claimed request ended."""
-        place = (command.client_account, command.key)
-        claim = self.claim_by_key.get(place)
+        """Record how the claimed request ended, and return the resulting state of the claim."""
+        claim_key = (command.client_account, command.key)
+        claim = self.claim_by_key.get(claim_key)
         if claim is None:
             return ClaimState("released", command.request_id)
-        # Only the request that holds the claim may settle it, and an answer that was stored stays:
-        # callers may have been given it.
+        # Only the request that holds the claim may settle it. A stored answer is never replaced,
+        # because callers may have received it.
         if claim.request_id != command.request_id or claim.state == DONE:
-            return self._state_of(claim, claim.state)
+            return self._with_state(claim, claim.state)
         if command.outcome == NOT_RUN:
-            del self.claim_by_key[place]
+            del self.claim_by_key[claim_key]
             return ClaimState("released", command.request_id, claim.daemon)
         settled = self._settled(claim, command)
-        self.claim_by_key[place] = settled
-        self._bound_answers()
-        return self._state_of(settled, settled.state)
+        self.claim_by_key[claim_key] = settled
+        self._evict_answers()
+        return self._with_state(settled, settled.state)
 
     def _settled(self, claim: Claim, command: SettleClaim) -> Claim:
         if command.outcome != DONE:
@@ -147,22 +153,23 @@
             stored=fits,
         )
 
-    def _answer(self, claim: Claim, command: ClaimKey, moment: Moment) -> ClaimState:
+    def _existing_claim_state(self, claim: Claim, command: ClaimKey, moment: Moment) -> ClaimState:
         if claim.digest != command.digest:
-            return self._state_of(claim, "conflict")
+            return self._with_state(claim, "conflict")
         if claim.state != RUNNING:
-            return self._state_of(claim, claim.state)
+            return self._with_state(claim, claim.state)
         owner = (claim.request_id, claim.daemon, claim.incarnation)
         if owner == (command.request_id, command.daemon, command.incarnation):
             return ClaimState("granted", claim.request_id, claim.daemon)
-        # The claim was committed before the first byte was sent. When its entry has started again
-        # since, or is silent past any request's time, nobody knows whether the request ran.
+        # The claim was committed before the first byte of the request was sent. If its entry has
+        # restarted since, or the claim is older than any request may take, it is unknown whether
+        # the request ran.
         restarted = claim.incarnation < self.incarnation_by_daemon.get(claim.daemon, 0)
         if restarted or moment.stamped_s - claim.stamped_s > RUNNING_LIMIT_S:
-            return self._state_of(claim, MAY_HAVE_RUN)
-        return self._state_of(claim, RUNNING)
+            return self._with_state(claim, MAY_HAVE_RUN)
+        return self._with_state(claim, RUNNING)
 
-    def _state_of(self, claim: Claim, state: str) -> ClaimState:
+    def _with_state(self, claim: Claim, state: str) -> ClaimState:
         return ClaimState(
             state,
             claim.request_id,
@@ -173,32 +180,32 @@
             claim.stored,
         )
 
-    def _forget_old(self, moment: Moment) -> None:
+    def _remove_expired(self, moment: Moment) -> None:
         while self.claim_by_key:
-            place, claim = next(iter(self.claim_by_key.items()))
-            if moment.stamped_s - claim.stamped_s <= KEEP_S:
+            claim_key, claim = next(iter(self.claim_by_key.items()))
+            if moment.stamped_s - claim.stamped_s <= CLAIM_RETENTION_S:
                 return
-            self._forget(place)
+            self._remove(claim_key)
 
-    def _make_room(self, moment: Moment) -> bool:
-        place, claim = next(iter(self.claim_by_key.items()))
-        if claim.state == RUNNING or moment.stamped_s - claim.stamped_s <= KEEP_AT_LEAST_S:
+    def _evict_oldest_settled(self, moment: Moment) -> bool:
+        claim_key, claim = next(iter(self.claim_by_key.items()))
+        if claim.state == RUNNING or moment.stamped_s - claim.stamped_s <= MIN_CLAIM_RETENTION_S:
             return False
-        self._forget(place)
+        self._remove(claim_key)
         return True
 
-    def _forget(self, place: tuple[str, str]) -> None:
-        self.answer_bytes -= len(self.claim_by_key.pop(place).answer)
+    def _remove(self, claim_key: tuple[str, str]) -> None:
+        self.answer_bytes -= len(self.claim_by_key.pop(claim_key).answer)
 
-    def _bound_answers(self) -> None:
-        """Drop the oldest stored answers past the bound; their claims stay `done`."""
+    def _evict_answers(self) -> None:
+        """Evict the oldest stored answers above MAX_ALL_ANSWERS_BYTES; their claims stay `done`."""
         if self.answer_bytes <= MAX_ALL_ANSWERS_BYTES:
             return
-        for place, claim in self.claim_by_key.items():
+        for claim_key, claim in self.claim_by_key.items():
             if not claim.answer:
                 continue
             self.answer_bytes -= len(claim.answer)
-            self.claim_by_key[place] = dataclasses.replace(claim, answer=b"", stored=False)
+            self.claim_by_key[claim_key] = dataclasses.replace(claim, answer=b"", stored=False)
             if self.answer_bytes <= MAX_ALL_ANSWERS_BYTES:
                 return
 
--- a/packages/ibisspring-control/src/ibisspring_control/state/drains.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/drains.py
@@ -1,4 +1,4 @@
-"""Endpoints that operators drain."""
+"""Endpoints that are being drained."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 if TYPE_CHECKING:
     from ibisspring_control.state.moment import Moment
 
-# More than all endpoints; every entry is handed the whole list.
+# More than the number of endpoints in a system. Every entry receives the complete list.
 MAX_DRAINS = 1_000
 
 
 @dataclass(frozen=True)
 class Drain:
-    """A drain that is asked for and not lifted."""
+    """A drain that was requested and is not cancelled."""
 
     endpoint: str
     operator: str
@@ -27,24 +27,24 @@
 
 @dataclass(frozen=True)
 class DrainsSnapshot:
-    """All drains, sorted by endpoint."""
+    """All drains, sorted by endpoint id."""
 
     drains: tuple[Drain, ...] = ()
 
 
 class Drains:
-    """Drains by endpoint."""
+    """Drains by endpoint id."""
 
     def __init__(self, snapshot: DrainsSnapshot) -> None:
         self.drain_by_endpoint = {drain.endpoint: drain for drain in snapshot.drains}
 
     def snapshot(self) -> DrainsSnapshot:
-        """Everything, sorted."""
+        """Return all drains, sorted by endpoint id."""
         by_endpoint = self.drain_by_endpoint
         return DrainsSnapshot(tuple(by_endpoint[endpoint] for endpoint in sorted(by_endpoint)))
 
     def apply(self, command: DrainEndpoint, moment: Moment) -> Done | Refused:
-        """Start or lift a drain; repeating it changes nothing."""
+        """Start or cancel a drain; repeating the command changes nothing."""
         if command.cancel:
             self.drain_by_endpoint.pop(command.endpoint, None)
             return Done()
--- a/packages/ibisspring-control/src/ibisspring_control/state/machine.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/machine.py
@@ -1,9 +1,9 @@
 """
 The replicated state machine.
 
-Deterministic: it reads no clock, no file and no random number, so that replicas which apply the
-same log hold the same bytes, also when some of them started from a snapshot. What a snapshot does
-not keep, such as the order of a dict, must not decide anything.
+The state machine is deterministic: it uses no clock, file or random number, so replicas that apply
+the same log have byte-identical state, including those that started from a snapshot. Results must
+not depend on anything that a snapshot does not store, such as the order of a dict.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """The whole state."""
+    """The complete state."""
 
     applied_index: int = 0
     view_index: int = 0
@@ -61,13 +61,13 @@
 
 
 class StateMachine:
-    """The service `state`; only consensus applies to it, others read."""
+    """The service `state`; only the consensus service modifies it, other services read it."""
 
     name = "state"
 
     def __init__(self, snapshot: Snapshot) -> None:
         self._load(snapshot)
-        self._on_view: list[Callable[[], None]] = []
+        self._view_callbacks: list[Callable[[], None]] = []
         self._run_by_type: dict[type[Any], Callable[[Any, Moment], Any]] = {
             commands.ApplyRules: lambda command, at: self.rules.apply(command, at),
             commands.ClaimKey: lambda command, at: self.claims.claim(command, at),
@@ -75,20 +75,20 @@
             commands.AddUsage: lambda command, at: self.usage.add(command, at),
             commands.CloseWindow: lambda command, at: self.usage.close(command, at),
             commands.WindowReported: lambda command, at: self.usage.reported(command),
-            commands.OrderIntent: lambda command, at: self.orders.intend(command, at),
+            commands.OrderIntent: lambda command, at: self.orders.record_intent(command, at),
             commands.OrderResolved: lambda command, at: self.orders.resolve(command),
             commands.DrainEndpoint: lambda command, at: self.drains.apply(command, at),
             commands.PublishVersion: self._publish,
             commands.OpenStep: self._open_step,
             commands.DeliverBatch: self._deliver,
             commands.AckStep: lambda command, at: self.steps.acknowledge(command),
-            commands.DaemonStarted: self._see_start,
+            commands.DaemonStarted: self._record_start,
         }
 
     @classmethod
     def empty(cls) -> StateMachine:
         """
-        Build the state before the first log entry.
+        Build the state as it is before the first log entry.
 
         :return: the state machine.
         """
@@ -97,7 +97,9 @@
     @classmethod
     def from_config(cls, settings: Settings) -> StateMachine:
         """
-        Build the state before the first log entry; no setting changes what is replicated.
+        Build the state as it is before the first log entry.
+
+        No setting affects it, because replicas with different settings must have the same state.
 
         :param settings: checked settings.
         :return: the state machine.
@@ -105,35 +107,35 @@
         return cls.empty()
 
     async def start(self, kernel: Kernel) -> None:
-        """Nothing to start."""
+        """No-op: consensus restores the state and applies the log."""
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: the state is only in memory."""
 
     def apply(self, index: int, data: bytes) -> bytes:
         """
         Apply one committed command.
 
-        :param index: its log index, above every index before it.
+        :param index: its log index, higher than every applied index.
         :param data: an `Envelope`, encoded.
         :return: the result, encoded by RESULTS.
         """
         if index <= self.applied_index:
-            raise ValueError(f"log index {index} was applied already")
+            raise ValueError(f"log index {index} is not above the applied index")
         self.applied_index = index
         try:
             envelope = decode(data, Envelope)
             command = COMMANDS.decode(bytes(envelope.command))
         except msgspec.DecodeError as error:
-            # Every replica refuses the same bytes alike; raising would stop them all for good at
-            # this entry.
+            # Every replica returns the same refusal for these bytes. Raising an exception would
+            # stop every replica at this log entry, also after each restart.
             return RESULTS.encode(Refused(Reason.BAD_REQUEST.value, str(error)))
         moment = Moment(index, envelope.stamped_s)
         if not isinstance(command, KEYED_BY_REQUEST_ID):
-            return RESULTS.encode(self._run(command, moment))
-        return self._run_once(envelope, command, moment)
+            return RESULTS.encode(self._execute(command, moment))
+        return self._execute_once(envelope, command, moment)
 
-    def _run_once(self, envelope: Envelope, command: Any, moment: Moment) -> bytes:
+    def _execute_once(self, envelope: Envelope, command: Any, moment: Moment) -> bytes:
         digest = xxhash.xxh3_64_intdigest(bytes(envelope.command))
         known = self.requests.result_by_id.get(envelope.request_id)
         if known is not None and known.command_digest != digest:
@@ -144,17 +146,19 @@
         refused = self.requests.check(envelope.request_id, moment)
         if refused is not None:
             return RESULTS.encode(refused)
-        result = RESULTS.encode(self._run(command, moment))
-        self.requests.keep(RequestResult(envelope.request_id, moment.index, digest, result), moment)
+        result = RESULTS.encode(self._execute(command, moment))
+        self.requests.store(
+            RequestResult(envelope.request_id, moment.index, digest, result), moment
+        )
         return result
 
-    def _run(self, command: Any, moment: Moment) -> Any:
+    def _execute(self, command: Any, moment: Moment) -> Any:
         result = self._run_by_type[type(command)](command, moment)
         if isinstance(command, CHANGES_VIEW) and isinstance(
             result, commands.RulesApplied | commands.Done
         ):
             self.view_index = moment.index
-            self._tell_view()
+            self._notify_view_changed()
         return result
 
     def _publish(self, command: commands.PublishVersion, moment: Moment) -> Any:
@@ -167,13 +171,13 @@
         version = self.trainers.version_of(command.trainer)
         return self.steps.deliver(command, self.rules.rules, version)
 
-    def _see_start(self, command: commands.DaemonStarted, moment: Moment) -> commands.Done:
-        self.claims.see(command.daemon, command.incarnation)
+    def _record_start(self, command: commands.DaemonStarted, moment: Moment) -> commands.Done:
+        self.claims.record_start(command.daemon, command.incarnation)
         return commands.Done()
 
     def unreported_windows(self) -> tuple[UsageWindow, ...]:
         """
-        Find usage that is not reported yet.
+        Find the usage windows that the usage interface has not acknowledged.
 
         :return: windows that are open, or closed and not acknowledged, oldest first.
         """
@@ -181,15 +185,15 @@
 
     def open_orders(self) -> tuple[Order, ...]:
         """
-        Find orders without a known end.
+        Find the orders that are not resolved.
 
-        :return: them, by rising fencing number.
+        :return: the orders, sorted by fencing number.
         """
         return self.orders.open_orders()
 
     def draining_endpoints(self) -> tuple[str, ...]:
         """
-        Find endpoints that an operator asked to drain.
+        Find the endpoints that are being drained.
 
         :return: their ids, sorted.
         """
@@ -197,28 +201,30 @@
 
     def subscribe_view(self, callback: Callable[[], None]) -> None:
         """
-        Be told when what entries act on has changed; it decides nothing in the state.
+        Register a callback for changes of the view that is sent to entries.
 
-        :param callback: called at once, and must not apply anything.
+        :param callback: called synchronously after each change; it must not modify the state.
         """
-        self._on_view.append(callback)
+        self._view_callbacks.append(callback)
 
-    def _tell_view(self) -> None:
-        for callback in self._on_view:
+    def _notify_view_changed(self) -> None:
+        for callback in self._view_callbacks:
             callback()
 
     def first_index_of(self, request_id: str) -> int | None:
         """
-        Find where a command that is keyed by its request id was applied first.
+        Find the log index at which a command of KEYED_BY_REQUEST_ID was first applied.
 
-        :return: its log index, or None where no result is kept.
+        :return: the log index, or None if no result is stored for the request id.
         """
         known = self.requests.result_by_id.get(request_id)
         return known.index if known is not None else None
 
     def entry_view(self) -> EntryView:
         """
-        Build what entries act on; the live entries are the lease keeper's to add.
+        Build the view that entries act on, without its peers.
+
+        The service `entry_leases` adds the live entries as peers.
 
         :return: the view at `view_index`.
         """
@@ -233,7 +239,7 @@
 
     def snapshot(self) -> bytes:
         """
-        Encode the whole state; replicas at one index give the same bytes.
+        Encode the complete state; replicas with the same applied index return the same bytes.
 
         :return: msgpack with sorted keys.
         """
@@ -254,12 +260,12 @@
 
     def restore(self, data: bytes) -> None:
         """
-        Replace the whole state.
+        Replace the complete state.
 
-        :param data: bytes from `snapshot`; raises `msgspec.DecodeError` where they are broken.
+        :param data: bytes from `snapshot`; raises `msgspec.DecodeError` if they are malformed.
         """
         self._load(decode(data, Snapshot))
-        self._tell_view()
+        self._notify_view_changed()
 
     def _load(self, snapshot: Snapshot) -> None:
         self.applied_index = snapshot.applied_index
--- a/packages/ibisspring-control/src/ibisspring_control/state/moment.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/moment.py
@@ -1,4 +1,4 @@
-"""When a command is applied."""
+"""Log index and timestamp of a command."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 @dataclass(frozen=True)
 class Moment:
     """
-    The place of a command in the log.
+    Log index and timestamp of a command.
 
     :param index: log index.
-    :param stamped_s: wall-clock seconds that the leader wrote into the entry; the same on every
-        replica, but it may run back when the leader changes.
+    :param stamped_s: wall-clock seconds that the leader wrote into the log entry; the same on every
+        replica, but it may go back when the leader changes.
     """
 
     index: int
--- a/packages/ibisspring-control/src/ibisspring_control/state/orders.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the platform and to endpoints: intent first, a fencing number that rises with each."""
+"""Orders to the platform and to endpoints; each intent gets the next fencing number."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     from ibisspring_control.state.moment import Moment
 
-# Resolved orders are kept so that a resent intent or resolution finds them.
-KEPT_RESOLVED = 1_000
+# Resolved orders are kept so that a resent intent or resolution is recognized as a repetition.
+MAX_RESOLVED_ORDERS = 1_000
 
 
 @dataclass(frozen=True)
@@ -28,8 +28,11 @@
     One order.
 
     :param receiver: `platform` or `endpoint:<id>`.
-    :param body: the order as JSON, sent byte for byte.
-    :param outcome: `done`, `refused` or `unknown`; empty while it is open.
+    :param body: the order as JSON; a retry sends the same bytes.
+    :param fencing: fencing number; a receiver may reject a lower number after a higher one.
+    :param index: log index of the intent.
+    :param stamped_s: wall-clock seconds of the intent.
+    :param outcome: `done`, `refused` or `unknown`; empty while the order is open.
     """
 
     order_id: str
@@ -43,35 +46,35 @@
 
     @property
     def intent(self) -> OrderIntent:
-        """The order as it was proposed, for sending it again."""
+        """The order as it was proposed, used to send it again."""
         return OrderIntent(self.order_id, self.receiver, self.body)
 
 
 @dataclass(frozen=True)
 class OrdersSnapshot:
-    """All orders in order of their fencing numbers."""
+    """All orders, sorted by fencing number; `fencing` is the highest number that was assigned."""
 
     fencing: int = 0
     orders: tuple[Order, ...] = ()
 
 
 class Orders:
-    """Orders by id, oldest fencing number first."""
+    """Orders by id, sorted by fencing number."""
 
     def __init__(self, snapshot: OrdersSnapshot) -> None:
         self.fencing = snapshot.fencing
         self.order_by_id = {order.order_id: order for order in snapshot.orders}
 
     def snapshot(self) -> OrdersSnapshot:
-        """Everything, in an order that all replicas share."""
+        """Return all orders, in an order that is the same on all replicas."""
         return OrdersSnapshot(self.fencing, tuple(self.order_by_id.values()))
 
-    def intend(self, command: OrderIntent, moment: Moment) -> IntentRecorded | Refused:
-        """Record an order before it is sent; the same order again keeps its fencing number."""
+    def record_intent(self, command: OrderIntent, moment: Moment) -> IntentRecorded | Refused:
+        """Record an order before it is sent; a repeated intent returns its first fencing number."""
         known = self.order_by_id.get(command.order_id)
         if known is not None:
             if (known.receiver, known.body) != (command.receiver, command.body):
-                return Refused(Reason.CONFLICT.value, "this order id names another order")
+                return Refused(Reason.CONFLICT.value, "this order id was used for another order")
             return IntentRecorded(known.fencing)
         self.fencing += 1
         self.order_by_id[command.order_id] = Order(
@@ -85,25 +88,25 @@
         return IntentRecorded(self.fencing)
 
     def resolve(self, command: OrderResolved) -> Done | Refused:
-        """Record the end of an order; its first end stays."""
+        """Record the outcome of an order; later outcomes of the same order are ignored."""
         order = self.order_by_id.get(command.order_id)
         if order is None:
-            return Refused(Reason.CONFLICT.value, f"no order {command.order_id!r}")
+            return Refused(Reason.CONFLICT.value, f"unknown order {command.order_id!r}")
         if order.outcome:
             return Done()
         self.order_by_id[order.order_id] = dataclasses.replace(
             order, outcome=command.outcome, detail=command.detail
         )
-        self._forget_resolved()
+        self._remove_oldest_resolved()
         return Done()
 
     def open_orders(self) -> tuple[Order, ...]:
-        """Orders without an end, oldest fencing number first."""
+        """Return the orders that are not resolved, sorted by fencing number."""
         return tuple(order for order in self.order_by_id.values() if not order.outcome)
 
-    def _forget_resolved(self) -> None:
+    def _remove_oldest_resolved(self) -> None:
         resolved = [order.order_id for order in self.order_by_id.values() if order.outcome]
-        for order_id in resolved[:-KEPT_RESOLVED]:
+        for order_id in resolved[:-MAX_RESOLVED_ORDERS]:
             del self.order_by_id[order_id]
 
 
--- a/packages/ibisspring-control/src/ibisspring_control/state/rule_versions.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/rule_versions.py
@@ -1,4 +1,4 @@
-"""Versions of the rules file, put in force by compare-and-set."""
+"""Versions of the rules file; a new version is applied by compare-and-set."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 if TYPE_CHECKING:
     from ibisspring_control.state.moment import Moment
 
-# Enough for an operator who left a file open over lunch on a day of 260 changes.
-KEPT_VERSIONS = 20
+# Covers the versions that are accepted while an operator leaves a file open over lunch, on a day
+# with 260 changes. A conflict can then show the changes since the operator's base version.
+MAX_KEPT_VERSIONS = 20
 MAX_CHANGED_LINES = 40
 MAX_FINDINGS = 20
 
@@ -40,13 +41,13 @@
 
 @dataclass(frozen=True)
 class RulesSnapshot:
-    """The newest versions, oldest first."""
+    """The newest MAX_KEPT_VERSIONS versions, oldest first."""
 
     versions: tuple[RulesVersion, ...] = (RulesVersion(0, 0, 0.0, "", ""),)
 
 
 class RuleVersions:
-    """The rules in force and the few versions before them."""
+    """The rules in force and the versions before them."""
 
     def __init__(self, snapshot: RulesSnapshot) -> None:
         self.versions = list(snapshot.versions)
@@ -54,15 +55,15 @@
 
     @property
     def current(self) -> RulesVersion:
-        """The version in force; version 0 is empty."""
+        """The version in force; version 0 is the empty file."""
         return self.versions[-1]
 
     def snapshot(self) -> RulesSnapshot:
-        """The kept versions."""
+        """Return the kept versions, oldest first."""
         return RulesSnapshot(tuple(self.versions))
 
     def apply(self, command: ApplyRules, moment: Moment) -> RulesApplied | RulesConflict | Refused:
-        """Put a file in force unless another came first or it has findings."""
+        """Put a file in force if its base is the current version and it has no findings."""
         if command.base != self.current.version:
             return self._conflict(command.base)
         rules = parse_rules(command.text)
@@ -73,7 +74,7 @@
         self.versions.append(
             RulesVersion(version, moment.index, moment.stamped_s, command.operator, command.text)
         )
-        del self.versions[:-KEPT_VERSIONS]
+        del self.versions[:-MAX_KEPT_VERSIONS]
         self.rules = rules
         return RulesApplied(version)
 
@@ -89,8 +90,8 @@
     @staticmethod
     def _parse(text: str) -> Rules:
         rules = parse_rules(text)
-        # A file accepted by an older release may have findings in a newer one. Replicas must still
-        # agree, so a snapshot with such a file fails the start instead of running without rules.
+        # A file that an older release accepted may have findings in a newer release. Replicas must
+        # have the same rules, so the daemon does not start from such a snapshot without rules.
         if not isinstance(rules, Rules):
             raise ValueError(f"the rules in the snapshot do not parse: {rules[0]}")
         return rules
@@ -103,8 +104,8 @@
     added = [f"+ {line}" for line in new_lines if line not in set(old_lines)]
     changed = removed + added
     if len(changed) > MAX_CHANGED_LINES:
-        rest = len(changed) - MAX_CHANGED_LINES
-        changed = [*changed[:MAX_CHANGED_LINES], f"(and {rest} more lines)"]
+        omitted = len(changed) - MAX_CHANGED_LINES
+        changed = [*changed[:MAX_CHANGED_LINES], f"(and {omitted} more lines)"]
     return tuple(changed)
 
 
--- a/packages/ibisspring-control/src/ibisspring_control/state/steps.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/steps.py
@@ -1,4 +1,4 @@
-"""Training steps: one batch per step, delivered whole, fresh enough, and each sample once."""
+"""Training steps: one complete batch per step, within the staleness limit, each sample once."""
 
 from __future__ import annotations
 
@@ -26,8 +26,9 @@
 ACKNOWLEDGED = "acknowledged"
 CONFLICT = "conflict"
 
-# A trainer resends a step or two; what is older is refused by the trainer's lowest step.
-KEPT_STEPS = 8
+# A trainer resends its last one or two steps. Steps below its value in `lowest_by_trainer` are
+# refused.
+MAX_STEPS_PER_TRAINER = 8
 
 
 @dataclass(frozen=True)
@@ -35,9 +36,13 @@
     """
     One step of one trainer.
 
-    :param epoch: rises each time that the step changes hands.
+    :param digest: digest of the step's request; another digest for the same step is a conflict.
+    :param samples: number of samples in the batch.
+    :param daemon: the entry that owns the step.
+    :param epoch: incremented each time that another entry takes over the step.
+    :param state: `open`, `delivered` or `acknowledged`.
     :param sample_hashes: xxh3 of the ids of every sample that was ever delivered for the step,
-        sorted; eight bytes each instead of the ids.
+        sorted. A hash has eight bytes, less than an id.
     """
 
     trainer: str
@@ -55,38 +60,40 @@
 
 @dataclass(frozen=True)
 class StepsSnapshot:
-    """All steps sorted by trainer and step, and the lowest step that may still be opened."""
+    """All steps, sorted by trainer and step, and each trainer's lowest step that may be opened."""
 
     steps: tuple[Step, ...] = ()
     lowest_by_trainer: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 class Steps:
-    """Steps by trainer and number."""
+    """Steps by trainer and step number."""
 
     def __init__(self, snapshot: StepsSnapshot) -> None:
         self.step_by_key = {(step.trainer, step.step): step for step in snapshot.steps}
         self.lowest_by_trainer = dict(snapshot.lowest_by_trainer)
 
     def snapshot(self) -> StepsSnapshot:
-        """Everything, sorted."""
+        """Return all steps, sorted by trainer and step."""
         steps = tuple(step for _, step in sorted(self.step_by_key.items()))
         return StepsSnapshot(steps, dict(self.lowest_by_trainer))
 
     def of_trainer(self, trainer: str) -> tuple[Step, ...]:
-        """The kept steps of a trainer, lowest first."""
+        """Return the kept steps of a trainer, lowest first."""
         return tuple(step for key, step in sorted(self.step_by_key.items()) if key[0] == trainer)
 
     def open(self, command: OpenStep, rules: Rules) -> StepState | Refused:
-        """Open a step, answer with its state, or hand it to another entry."""
+        """Open a step or take it over for another entry; return its resulting state."""
         key = (command.trainer, command.step)
         step = self.step_by_key.get(key)
         if step is not None:
-            return self._open_again(step, command)
-        # A forgotten step opened anew would start at epoch 1 and could deliver its old sample ids
-        # once more.
+            return self._reopen(step, command)
+        # A removed step that is opened again would start at epoch 1 and could deliver the same
+        # sample ids a second time.
         if command.step < self.lowest_by_trainer.get(command.trainer, 0):
-            return Refused(Reason.STALE.value, f"step {command.step} is long over")
+            return Refused(
+                Reason.STALE.value, f"step {command.step} is older than the steps that are kept"
+            )
         if command.trainer not in rules.trainers_by_model.get(command.model, ()):
             detail = f"no share rule lets {command.trainer!r} use {command.model!r}"
             return Refused(Reason.NOT_ALLOWED.value, detail)
@@ -100,14 +107,14 @@
             command.incarnation,
         )
         self.step_by_key[key] = step
-        self._forget_old(command.trainer)
+        self._remove_oldest(command.trainer)
         return _state_of(step)
 
-    def _open_again(self, step: Step, command: OpenStep) -> StepState:
+    def _reopen(self, step: Step, command: OpenStep) -> StepState:
         if step.digest != command.digest:
             return dataclasses.replace(_state_of(step), state=CONFLICT)
-        # Only the state machine orders two entries that both found the owner lost: the second one
-        # comes with an epoch that is over and gets the new owner's name.
+        # Two entries may detect the loss of the owner at the same time. The log decides which one
+        # takes over: the second command has an outdated epoch and is answered with the new owner.
         taken_over = command.take_over_epoch == step.epoch and step.state != ACKNOWLEDGED
         if not taken_over:
             return _state_of(step)
@@ -126,11 +133,10 @@
         self, command: DeliverBatch, rules: Rules, trainer_version: int
     ) -> StepState | BatchStale | Refused:
         """
-        Deliver a whole batch.
+        Deliver a complete batch.
 
-        This is the check that the staleness bound rests on: the log orders it against the
-        trainer's versions, so no sample that was fresh when an entry looked can have become stale
-        before it is delivered.
+        The staleness limit is enforced here, because the log orders this command relative to the
+        trainer's published versions. A sample may have become stale since the entry checked it.
         """
         step = self.step_by_key.get((command.trainer, command.step))
         if step is None:
@@ -146,8 +152,8 @@
         if len(hashes) != step.samples or len(command.labels) != step.samples:
             detail = f"the batch needs {step.samples} different samples"
             return Refused(Reason.BAD_REQUEST.value, detail)
-        if self._delivered_already(command.trainer, hashes):
-            return Refused(Reason.CONFLICT.value, "a sample was delivered before")
+        if self._any_delivered(command.trainer, hashes):
+            return Refused(Reason.CONFLICT.value, "a sample of this batch was already delivered")
         oldest = trainer_version - trainer.staleness_versions
         stale = tuple(label.sample for label in command.labels if label.oldest_version < oldest)
         if stale:
@@ -161,12 +167,12 @@
         self.step_by_key[(step.trainer, step.step)] = step
         return _state_of(step)
 
-    def _delivered_already(self, trainer: str, hashes: set[int]) -> bool:
+    def _any_delivered(self, trainer: str, hashes: set[int]) -> bool:
         steps = self.of_trainer(trainer)
         return any(not hashes.isdisjoint(step.sample_hashes) for step in steps)
 
     def acknowledge(self, command: AckStep) -> StepState | Refused:
-        """Note that the trainer holds the batch."""
+        """Record that the trainer received the batch."""
         step = self.step_by_key.get((command.trainer, command.step))
         if step is None or step.state == OPEN:
             return Refused(Reason.CONFLICT.value, f"step {command.step} has no delivered batch")
@@ -174,12 +180,12 @@
             return dataclasses.replace(_state_of(step), state=CONFLICT)
         step = dataclasses.replace(step, state=ACKNOWLEDGED)
         self.step_by_key[(step.trainer, step.step)] = step
-        self._forget_old(step.trainer)
+        self._remove_oldest(step.trainer)
         return _state_of(step)
 
-    def _forget_old(self, trainer: str) -> None:
+    def _remove_oldest(self, trainer: str) -> None:
         steps = self.of_trainer(trainer)
-        for step in steps[:-KEPT_STEPS]:
+        for step in steps[:-MAX_STEPS_PER_TRAINER]:
             del self.step_by_key[(trainer, step.step)]
             lowest = max(self.lowest_by_trainer.get(trainer, 0), step.step + 1)
             self.lowest_by_trainer[trainer] = lowest
--- a/packages/ibisspring-control/src/ibisspring_control/state/trainers.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/trainers.py
@@ -1,4 +1,4 @@
-"""Each trainer's newest weight version; it only rises."""
+"""Each trainer's newest published weight version; it never decreases."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class TrainerVersion:
-    """The newest version that a trainer put into the weight store."""
+    """The newest version that a trainer published in the weight store."""
 
     trainer: str
     model: str
@@ -25,29 +25,29 @@
 
 @dataclass(frozen=True)
 class TrainersSnapshot:
-    """All versions, sorted by trainer."""
+    """The newest version of each trainer, sorted by trainer."""
 
     versions: tuple[TrainerVersion, ...] = ()
 
 
 class Trainers:
-    """Newest version by trainer."""
+    """Newest published version by trainer."""
 
     def __init__(self, snapshot: TrainersSnapshot) -> None:
         self.version_by_trainer = {version.trainer: version for version in snapshot.versions}
 
     def snapshot(self) -> TrainersSnapshot:
-        """Everything, sorted."""
+        """Return all versions, sorted by trainer."""
         by_trainer = self.version_by_trainer
         return TrainersSnapshot(tuple(by_trainer[trainer] for trainer in sorted(by_trainer)))
 
     def version_of(self, trainer: str) -> int:
-        """The trainer's version; 0 before it published one."""
+        """Return the trainer's newest version; 0 if it has not published one."""
         known = self.version_by_trainer.get(trainer)
         return known.version if known is not None else 0
 
     def publish(self, command: PublishVersion, rules: Rules, moment: Moment) -> Done | Refused:
-        """Take a newer version of a trainer that the rules let train this model."""
+        """Record a newer version if a share rule allows the trainer to train this model."""
         if command.trainer not in rules.trainers_by_model.get(command.model, ()):
             detail = f"no share rule lets {command.trainer!r} train {command.model!r}"
             return Refused(Reason.NOT_ALLOWED.value, detail)
@@ -55,7 +55,7 @@
         if command.version == newest:
             return Done()
         if command.version < newest:
-            return Refused(Reason.STALE.value, f"version {newest} is out already")
+            return Refused(Reason.STALE.value, f"version {newest} was already published")
         self.version_by_trainer[command.trainer] = TrainerVersion(
             command.trainer, command.model, command.version, moment.index
         )
--- a/packages/ibisspring-control/src/ibisspring_control/state/usage.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/usage.py
@@ -1,4 +1,4 @@
-"""Usage windows: each record counts once, a closed window never changes."""
+"""Usage windows: each usage record is counted once, and a closed window never changes."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 if TYPE_CHECKING:
     from ibisspring_control.state.moment import Moment
 
-# Closed windows are kept for `usage show`; four hours of windows of a minute.
-KEPT_REPORTED = 240
-# Starts of one daemon whose resends still count; a resend lives for seconds, a start for minutes.
-KEPT_INCARNATIONS = 8
-# An entry may be cut off with a batch whose acknowledgement was lost; a week outlasts any cut.
-KEEP_SEQUENCES_S = 604_800.0
+# Reported windows are kept for `usage show`: four hours at one minute per window.
+MAX_REPORTED_WINDOWS = 240
+# Starts of one daemon whose resends are still accepted. Resends end within seconds, while a daemon
+# runs for minutes or longer between two starts.
+MAX_STARTS_PER_DAEMON = 8
+# An entry may be disconnected before it receives the acknowledgement of a batch, and resend the
+# batch afterwards. One week is longer than any such disconnection.
+SEQUENCE_RETENTION_S = 604_800.0
 
 
 @dataclass(frozen=True)
@@ -32,7 +34,8 @@
     """
     Usage of one client account on one service in one window.
 
-    :param late: the work ended in a window that was closed already.
+    :param late: True if the work ended in an earlier window that was already closed.
+    :param endpoint_s: seconds that endpoints worked.
     """
 
     client_account: str
@@ -46,10 +49,12 @@
 @dataclass(frozen=True)
 class UsageWindow:
     """
-    One window.
+    One usage window.
 
-    :param closed_index: log index of its closing; 0 while it is open.
-    :param reported: the usage interface acknowledged it.
+    :param window: number of the window.
+    :param closed_index: log index of the command that closed the window; 0 while it is open.
+    :param closed_s: wall-clock seconds at which the window was closed.
+    :param reported: True once the usage interface acknowledged the window.
     """
 
     window: int
@@ -60,13 +65,13 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the figures are fixed."""
+        """Whether the window is closed, so that its figures no longer change."""
         return self.closed_index > 0
 
 
 @dataclass(frozen=True)
 class UsageSequence:
-    """Newest sequence taken from one start of a daemon and the window that took it, and when."""
+    """Newest usage sequence of one start of a daemon, the window that counted it, and when."""
 
     daemon: str
     incarnation: int
@@ -77,7 +82,7 @@
 
 @dataclass(frozen=True)
 class UsageSnapshot:
-    """All windows and sequences, sorted by key."""
+    """All windows and sequences, sorted."""
 
     closed_through: int = -1
     windows: tuple[UsageWindow, ...] = ()
@@ -88,7 +93,7 @@
 
 
 class Usage:
-    """Windows by index; lines of an open window by client account, service and lateness."""
+    """Windows by number; lines of an open window by client account, service and `late`."""
 
     def __init__(self, snapshot: UsageSnapshot) -> None:
         self.closed_through = snapshot.closed_through
@@ -104,21 +109,24 @@
             self.lines_by_window[window.window] = {_key(line): line for line in window.lines}
 
     def snapshot(self) -> UsageSnapshot:
-        """Everything, sorted."""
+        """Return all windows and sequences, sorted."""
         windows = sorted(
             [*self.closed_by_window.values(), *self._open_windows()], key=_window_index
         )
-        sequences = sorted(self.sequence_by_start.values(), key=_start_of)
+        sequences = sorted(self.sequence_by_start.values(), key=_start_key)
         return UsageSnapshot(self.closed_through, tuple(windows), tuple(sequences))
 
     def add(self, command: AddUsage, moment: Moment) -> UsageAdded | Refused:
-        """Count an entry's records once, in their window or, late, in the next open one."""
+        """Count an entry's records once: in their window, or as late in the first open window."""
         start = (command.daemon, command.incarnation)
         known = self.sequence_by_start.get(start)
         if known is not None and command.sequence <= known.sequence:
             return UsageAdded(known.window)
-        if known is None and not self._take_start(command):
-            return Refused(Reason.STALE.value, "usage of a start that was forgotten")
+        if known is None and not self._accept_start(command):
+            return Refused(
+                Reason.STALE.value,
+                "the usage is of an old start of the daemon that is no longer tracked",
+            )
         window = max(command.window, self.closed_through + 1)
         late = window != command.window
         lines = self.lines_by_window.setdefault(window, {})
@@ -129,18 +137,19 @@
         )
         return UsageAdded(window)
 
-    def _take_start(self, command: AddUsage) -> bool:
+    def _accept_start(self, command: AddUsage) -> bool:
         starts = sorted(start for start in self.sequence_by_start if start[0] == command.daemon)
-        if len(starts) < KEPT_INCARNATIONS:
+        if len(starts) < MAX_STARTS_PER_DAEMON:
             return True
-        # A forgotten start's records cannot be told from resends: taking them could bill twice.
+        # Records of a start that is no longer tracked may be resends; counting them could bill
+        # them twice.
         if command.incarnation < starts[0][1]:
             return False
         del self.sequence_by_start[starts[0]]
         return True
 
     def close(self, command: CloseWindow, moment: Moment) -> Done:
-        """Fix the figures of a window; closing it again changes nothing."""
+        """Close a window, which fixes its figures; closing it again changes nothing."""
         if command.window <= self.closed_through:
             return Done()
         lines: dict[LineKey, UsageLine] = {}
@@ -153,16 +162,16 @@
             command.window, _sorted(lines), moment.index, moment.stamped_s
         )
         self.closed_through = command.window
-        self._forget_starts(moment)
+        self._remove_expired_starts(moment)
         return Done()
 
-    def _forget_starts(self, moment: Moment) -> None:
+    def _remove_expired_starts(self, moment: Moment) -> None:
         for start, sequence in list(self.sequence_by_start.items()):
-            if moment.stamped_s - sequence.stamped_s > KEEP_SEQUENCES_S:
+            if moment.stamped_s - sequence.stamped_s > SEQUENCE_RETENTION_S:
                 del self.sequence_by_start[start]
 
     def reported(self, command: WindowReported) -> Done | Refused:
-        """Note that a closed window was taken by the usage interface."""
+        """Record that the usage interface acknowledged a closed window."""
         window = self.closed_by_window.get(command.window)
         if window is None:
             if command.window <= self.closed_through:
@@ -171,11 +180,11 @@
         self.closed_by_window[command.window] = UsageWindow(
             window.window, window.lines, window.closed_index, window.closed_s, reported=True
         )
-        self._forget_reported()
+        self._remove_oldest_reported()
         return Done()
 
     def unreported(self) -> tuple[UsageWindow, ...]:
-        """Windows that are open, or closed and not acknowledged, oldest first."""
+        """Return the windows that are open, or closed and not acknowledged, oldest first."""
         closed = [window for window in self.closed_by_window.values() if not window.reported]
         return tuple(sorted([*closed, *self._open_windows()], key=_window_index))
 
@@ -183,9 +192,9 @@
         by_window = self.lines_by_window
         return [UsageWindow(window, _sorted(lines)) for window, lines in by_window.items()]
 
-    def _forget_reported(self) -> None:
+    def _remove_oldest_reported(self) -> None:
         reported = [window for window in self.closed_by_window.values() if window.reported]
-        for window in sorted(reported, key=_window_index)[:-KEPT_REPORTED]:
+        for window in sorted(reported, key=_window_index)[:-MAX_REPORTED_WINDOWS]:
             del self.closed_by_window[window.window]
 
 
@@ -212,7 +221,7 @@
     return window.window
 
 
-def _start_of(sequence: UsageSequence) -> tuple[str, int]:
+def _start_key(sequence: UsageSequence) -> tuple[str, int]:
     return (sequence.daemon, sequence.incarnation)
 
 
--- a/tests/unit/control/state/test_machine.py
+++ b/tests/unit/control/state/test_machine.py
@@ -7,7 +7,7 @@
 
 from ibisspring_control.state import StateMachine, claims
 from ibisspring_control.state.requests import RESEND_WINDOW_S
-from ibisspring_control.state.usage import KEEP_SEQUENCES_S
+from ibisspring_control.state.usage import SEQUENCE_RETENTION_S
 from ibisspring_core.messages.codec import encode
 from ibisspring_core.messages.commands import (
     COMMANDS,
@@ -50,7 +50,7 @@
 
 
 class _Log:
-    """Feeds commands to a state machine at rising indexes."""
+    """Applies commands to a state machine at increasing log indexes."""
 
     def __init__(self) -> None:
         self.state = StateMachine.empty()
@@ -74,11 +74,13 @@
     return _Log().with_rules()
 
 
-def test_two_operators_under_one_base_one_wins_and_the_other_learns_who_and_what(log) -> None:
+def test_concurrent_applies_with_one_base_conflict_and_the_loser_gets_operator_and_diff(
+    log,
+) -> None:
     """
-    Two operators edit version 1 at the same time and apply.
+    Two operators edit version 1 at the same time and both apply their file.
 
-    Without the compare-and-set the second would undo the first one's change without a word.
+    Without the compare-and-set, the second apply would silently revert the first one's change.
     """
     added = f"timeout archive-app 2 s {ASKED}\n"
     assert log.apply(ApplyRules(1, RULES + added, "bor")) == RulesApplied(2)
@@ -89,11 +91,12 @@
     assert log.state.rules.current.text == RULES + added
 
 
-def test_a_resent_apply_gets_the_first_answer_and_changes_nothing() -> None:
+def test_a_resent_apply_returns_the_first_result_and_changes_nothing() -> None:
     """
-    The operator's answer is lost and the command line sends the same file again.
+    The answer of an apply is lost, so the command line resends the same file.
 
-    Under its base the resend would look like a conflict with the operator's own change.
+    Without the stored result, the resend's base would be outdated by the operator's own change and
+    the resend would be refused as a conflict.
     """
     log = _Log()
     first = log.apply(ApplyRules(0, RULES, "ana"), _request_id(1))
@@ -108,10 +111,11 @@
 
 def test_a_resend_after_its_result_was_forgotten_is_refused_not_applied_again() -> None:
     """
-    A resend arrives when the table of results has forgotten its first one; then a leader whose
-    clock runs ten minutes behind takes over and the resend arrives once more.
+    A command is resent after its stored result was removed, and once more after a change to a
+    leader whose clock is ten minutes behind.
 
-    Applied again it would drain an endpoint that the operator has released meanwhile.
+    If the command were applied again, it would drain an endpoint whose drain the operator has
+    cancelled since.
     """
     log = _Log()
     drain = DrainEndpoint("engine-1", "ana")
@@ -128,7 +132,7 @@
     assert sorted(log.state.drains.drain_by_endpoint) == ["engine-2"]
 
 
-def test_a_broken_rules_file_changes_nothing(log) -> None:
+def test_an_invalid_rules_file_changes_nothing(log) -> None:
     before = log.state.rules.current
 
     refused = log.apply(ApplyRules(1, RULES + "allow nobody service x\n", "ana"))
@@ -139,7 +143,7 @@
     assert log.state.view_index == 1
 
 
-def test_bytes_that_are_no_command_are_refused_and_the_log_goes_on(log) -> None:
+def test_undecodable_commands_are_refused_and_later_commands_are_applied(log) -> None:
     assert RESULTS.decode(log.state.apply(2, b"\xc1")).reason == "bad_request"
     log.entries.append(b"\xc1")
 
@@ -152,10 +156,10 @@
 
 def test_a_claimed_ticket_is_granted_once_and_answered_from_the_store(log) -> None:
     """
-    A clerk's ticket is sent, its answer is lost, and the application sends it again through another
-    entry, while it runs and after it ran.
+    The answer of a non-idempotent request is lost, and the caller resends it through another entry,
+    both while the first request runs and after it ended.
 
-    Granted twice, the bale would be paid twice.
+    If the key were granted twice, the request would run twice.
     """
     assert log.apply(_claim("r1")).state == "granted"
     assert log.apply(_claim("r1")).state == "granted"
@@ -175,9 +179,10 @@
 
 def test_what_a_restarted_entry_left_running_may_have_run(log) -> None:
     """
-    An entry dies after its claim and starts again; the caller resends.
+    An entry crashes after it claimed a key and restarts; the caller resends the request.
 
-    Nobody knows whether the first byte left, so neither "not run" nor a second run would be true.
+    It is unknown whether the request was sent, so the answer must not be "not run", and the request
+    must not run a second time.
     """
     log.apply(_claim("r1"))
     log.apply(DaemonStarted("e1", 2))
@@ -199,10 +204,11 @@
 
 def test_usage_counts_once_and_a_closed_window_never_changes(log) -> None:
     """
-    An entry's usage is resent after a lost acknowledgement, also by its earlier start after it
-    started again, and some comes after the window was closed and reported.
+    Usage is resent after a lost acknowledgement, also by an earlier start of a restarted entry, and
+    some usage arrives after its window was closed and reported.
 
-    Counted twice the foundry pays twice; put into the closed window, a second report would differ.
+    Usage that is counted twice is billed twice. Usage that is added to the closed window would make
+    a second report differ from the first.
     """
     log.apply(_usage(1, 5, 100))
     log.apply(_usage(1, 5, 100))
@@ -229,7 +235,7 @@
     assert [(line.tokens, line.late) for line in lines] == [(100, True)]
 
 
-def test_a_fencing_number_rises_with_each_intent_and_stays_with_its_order(log) -> None:
+def test_each_new_intent_gets_the_next_fencing_number_and_a_resent_one_keeps_it(log) -> None:
     first = OrderIntent("o1", "platform", b"start")
     assert log.apply(first) == IntentRecorded(1)
     assert log.apply(OrderIntent("o2", "platform", b"stop")) == IntentRecorded(2)
@@ -257,9 +263,10 @@
 
 def test_a_sample_that_became_stale_on_its_way_is_not_delivered(log) -> None:
     """
-    The samples are within the bound when the entry looks; the trainer publishes, then they arrive.
+    The samples are within the staleness limit when the entry checks them, but the trainer publishes
+    a version before the batch is delivered.
 
-    Checked anywhere but at the delivering commit, a stale score would slip into training.
+    A check anywhere else than in the delivery command would let stale samples into training.
     """
     log.apply(_open("e1"))
     log.apply(PublishVersion("reader", "scorer-lm", 4))
@@ -271,10 +278,10 @@
 
 def test_a_step_that_changed_hands_is_delivered_by_its_new_owner_only(log) -> None:
     """
-    An entry is cut off while it gathers a step; another takes the step over and delivers; the cut
-    heals and the first entry delivers too.
+    An entry is disconnected while it gathers a step. Another entry takes over the step and delivers
+    it, then the first entry reconnects and delivers too.
 
-    Both delivered, the trainer would learn from a step's samples twice.
+    If both were accepted, the trainer would train on the samples of the step twice.
     """
     assert log.apply(_open("e1")).epoch == 1
     assert log.apply(_open("e2")).daemon == "e1"
@@ -315,7 +322,7 @@
     for number in range(10):
         log.apply(DaemonStarted(f"vm-{number}", 1))
         log.apply(AddUsage(f"vm-{number}", 1, 1, number, ()))
-        log.now_s += KEEP_SEQUENCES_S / 2
+        log.now_s += SEQUENCE_RETENTION_S / 2
     log.apply(DaemonStarted("old", 2))
     log.apply(CloseWindow(10))
 
@@ -326,22 +333,22 @@
 
 def test_replicas_agree_byte_for_byte_also_when_one_started_from_a_snapshot(log) -> None:
     """
-    A replica restarts from a snapshot after some hundred commands and applies the rest.
+    A replica is restored from a snapshot several times while 300 commands are applied.
 
-    Where the order of a dict decides what is forgotten, it forgets another claim than the others
-    do, and the same resend is granted by one leader and refused by the next.
+    If the order of a dict determined which claims are removed, this replica would remove other
+    claims than the others, and one leader would grant a resend that the next leader refuses.
     """
-    whole = _Log().with_rules()
+    uninterrupted = _Log().with_rules()
     restarted = _Log().with_rules()
     for number in range(300):
         command = _mixed_command(number)
-        for replica in (whole, restarted):
+        for replica in (uninterrupted, restarted):
             replica.now_s += 400.0
             replica.apply(command)
         if number % 50 == 0:
             restarted.state.restore(restarted.state.snapshot())
 
-    assert restarted.state.snapshot() == whole.state.snapshot()
+    assert restarted.state.snapshot() == uninterrupted.state.snapshot()
 
 
 def _mixed_command(number: int) -> Any:
--- a/tests/unit/control/state/test_machine_fuzz.py
+++ b/tests/unit/control/state/test_machine_fuzz.py
@@ -48,29 +48,29 @@
 
 
 def _command(draw: random.Random, at: int) -> Any:
-    """A command that often meets what earlier ones left; numbers drift up slowly."""
-    near = at // 30 + draw.randrange(3)
+    """A random command whose keys and numbers often repeat; the numbers grow with the index."""
+    number = at // 30 + draw.randrange(3)
     daemon = draw.choice(("e1", "e2"))
     key = draw.choice(("k1", "k2"))
     digest = draw.choice(("d1", "d1", "d1", "d2"))
     name = f"r{draw.randrange(4)}"
-    label = (SampleLabel(f"{near}/{draw.randrange(3)}", "d", near - draw.randrange(3)),)
+    label = (SampleLabel(f"{number}/{draw.randrange(3)}", "d", number - draw.randrange(3)),)
     records = (UsageRecord("a", "m", draw.randrange(5), 1, 0.1),)
     return draw.choice(
         (
             ApplyRules(draw.randrange(4), draw.choice(FILES), "o"),
-            ClaimKey("a", key, digest, name, daemon, near),
+            ClaimKey("a", key, digest, name, daemon, number),
             SettleClaim("a", key, name, draw.choice(OUTCOMES)),
-            AddUsage(daemon, draw.randrange(3), near, near, records),
-            CloseWindow(near - 1),
-            WindowReported(near - 2),
-            OrderIntent(f"o{near}", "platform", draw.choice((b"x", b"y"))),
-            OrderResolved(f"o{near}", "done"),
+            AddUsage(daemon, draw.randrange(3), number, number, records),
+            CloseWindow(number - 1),
+            WindowReported(number - 2),
+            OrderIntent(f"o{number}", "platform", draw.choice((b"x", b"y"))),
+            OrderResolved(f"o{number}", "done"),
             DrainEndpoint(key, "o", draw.random() < 0.5),
-            PublishVersion("t", "m", near),
-            OpenStep("t", near, "m", digest, 1, daemon, 1, draw.randrange(3)),
-            DeliverBatch("t", near, 1 + draw.randrange(2), name, label),
-            DaemonStarted(daemon, near),
+            PublishVersion("t", "m", number),
+            OpenStep("t", number, "m", digest, 1, daemon, 1, draw.randrange(3)),
+            DeliverBatch("t", number, 1 + draw.randrange(2), name, label),
+            DaemonStarted(daemon, number),
         )
     )
 
@@ -80,8 +80,8 @@
     return sum(line.tokens for window in windows for line in window.lines)
 
 
-class _Seen:
-    """What was answered so far and may never be answered otherwise."""
+class _History:
+    """Records earlier results and checks that later results do not contradict them."""
 
     def __init__(self) -> None:
         self.fencing_by_order: dict[str, int] = {}
@@ -98,8 +98,10 @@
     def check(self, request_id: str, command: Any, result: Any, state: StateMachine) -> None:
         if isinstance(result, RulesApplied):
             known = self.version_by_request.setdefault(request_id, result.version)
-            assert result.version == known, "applied twice"
-            assert list(self.version_by_request.values()).count(known) == 1, "a version twice"
+            assert result.version == known, "a request was applied twice"
+            assert (
+                list(self.version_by_request.values()).count(known) == 1
+            ), "a version was used twice"
         if isinstance(command, AddUsage) and isinstance(result, UsageAdded):
             start = (command.daemon, command.incarnation)
             if command.sequence > self.sequence_by_start.get(start, -1):
@@ -119,7 +121,7 @@
         late = [
             window for window in state.usage.lines_by_window if window <= state.usage.closed_through
         ]
-        assert not late, "usage in a window that is closed"
+        assert not late, "usage was added to a closed window"
         assert state.rules.current.version >= self.version
         assert state.view_index >= self.view_index
         assert _tokens(state) == self.tokens, "usage was counted twice or lost"
@@ -129,7 +131,7 @@
     def _check_claim(self, command: Any, result: ClaimState) -> None:
         if result.state == "granted":
             holder = self.holder_by_key.setdefault(command.key, command.request_id)
-            assert holder == command.request_id, "granted to two requests"
+            assert holder == command.request_id, "a key was granted to two requests"
         if result.state == "released":
             self.holder_by_key.pop(command.key, None)
 
@@ -139,14 +141,16 @@
             return
         self.batches.add(batch)
         (label,) = command.labels
-        assert command.epoch == result.epoch, "delivered by an owner that lost the step"
+        assert command.epoch == result.epoch, "a batch was delivered by a former owner"
         assert label.sample not in self.samples, "a sample was delivered twice"
-        assert label.oldest_version >= state.trainers.version_of("t") - 1, "a stale sample"
+        assert (
+            label.oldest_version >= state.trainers.version_of("t") - 1
+        ), "a stale sample was delivered"
         self.samples.add(label.sample)
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_fuzz_answers_stand_and_replicas_agree(block: int) -> None:
+def test_fuzz_results_are_consistent_and_replicas_agree(block: int) -> None:
     for seed in range(block, SEEDS, 4):
         try:
             _run(random.Random(seed))
@@ -157,7 +161,7 @@
 def _run(draw: random.Random) -> None:
     first = StateMachine.empty()
     second = StateMachine.empty()
-    seen = _Seen()
+    history = _History()
     now_s = NOW_S
     for index in range(1, STEPS):
         command = ApplyRules(0, RULES, "o") if index == 1 else _command(draw, index)
@@ -166,8 +170,8 @@
         request_id = f"{int(created_s * 1000):013d}-{draw.randrange(8):016x}"
         data = encode(Envelope(request_id, now_s, msgspec.Raw(COMMANDS.encode(command))))
         answer = first.apply(index, data)
-        assert second.apply(index, data) == answer, f"answers differ at {index}"
+        assert second.apply(index, data) == answer, f"results differ at log index {index}"
         if draw.random() < 0.1:
             second.restore(second.snapshot())
-        seen.check(request_id, command, RESULTS.decode(answer), first)
-    assert second.snapshot() == first.snapshot(), "snapshots differ"
+        history.check(request_id, command, RESULTS.decode(answer), first)
+    assert second.snapshot() == first.snapshot(), "snapshots of the replicas differ"
