--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/__init__.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/__init__.py
@@ -1,4 +1,4 @@
-"""The duties of the leader: platform orders, engine orders, usage reports, drains, capacity."""
+"""Duties that only the leader performs: orders, usage reports, drains and fleet capacity."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/backoff.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/backoff.py
@@ -1,17 +1,17 @@
-"""Spaces out tries against a receiver that does not answer."""
+"""Exponential backoff for requests to a receiver that does not answer."""
 
 from __future__ import annotations
 
 FIRST_PAUSE_S = 0.5
-LONGEST_PAUSE_S = 10.0
+MAX_PAUSE_S = 10.0
 
 
 class Backoff:
     """
-    Pauses by key, doubled with each failure.
+    Pause before the next attempt by key, doubled after each failure up to MAX_PAUSE_S.
 
-    Without it a receiver that is down for an hour is sent a fresh connection several times a
-    second, and its first minute back is spent on them.
+    Without this, a receiver that is down for an hour would be sent several new connections per
+    second, and would be busy with them for its first minute after it is up again.
     """
 
     def __init__(self) -> None:
@@ -20,19 +20,20 @@
 
     def ready(self, key: str, now: float) -> bool:
         """
-        Tell whether to try again.
+        Check whether the pause before the next attempt is over.
 
         :param key: the receiver.
         :param now: boot-clock seconds.
+        :return: True if the next attempt may be made now.
         """
         return now >= self._next_s_by_key.get(key, 0.0)
 
-    def note(self, key: str, failed: bool, now: float) -> None:
+    def record_attempt(self, key: str, failed: bool, now: float) -> None:
         """
-        Note how a try ended.
+        Record the result of an attempt.
 
         :param key: the receiver.
-        :param failed: it gave no answer that ends the matter.
+        :param failed: True if the attempt has to be repeated; False resets the pause.
         :param now: boot-clock seconds.
         """
         if not failed:
@@ -41,7 +42,7 @@
             return
         pause_s = self._pause_s_by_key.get(key, FIRST_PAUSE_S)
         self._next_s_by_key[key] = now + pause_s
-        self._pause_s_by_key[key] = min(LONGEST_PAUSE_S, pause_s * 2)
+        self._pause_s_by_key[key] = min(MAX_PAUSE_S, pause_s * 2)
 
 
-__all__ = ["FIRST_PAUSE_S", "LONGEST_PAUSE_S", "Backoff"]
+__all__ = ["FIRST_PAUSE_S", "MAX_PAUSE_S", "Backoff"]
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/drains.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/drains.py
@@ -1,4 +1,4 @@
-"""Drains: no new work, then idle or at the deadline, then the stop order to the platform."""
+"""Drains: sends the stop order once a draining endpoint is idle or its deadline has passed."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
     from ibisspring_core.counters import Counters
     from ibisspring_core.messages.endpoints import EndpointRecord
 
-# An endpoint that was drained and never came back is forgotten, so that its id may be used again.
-FORGET_ABSENT_S = 600.0
+# The drain of an endpoint that no entry reports for this long is cancelled, so that a new endpoint
+# may use the same id.
+CANCEL_ABSENT_AFTER_S = 600.0
 OPERATOR = "leader_duties"
 SERVING = "serving"
 
 
 class Drains:
-    """Follows the drains in the replicated state through to the stop order."""
+    """Advances the drains in the replicated state up to the stop order and their removal."""
 
     def __init__(
         self,
@@ -45,18 +46,19 @@
         self._orders = orders
         self._counters = counters
         self._limits = limits
-        # What one leadership has seen; another leader sees it anew and waits a little longer.
+        # Observations of the current term. A new leader starts without them, which only makes its
+        # drains take longer.
         self._term = 0
         self._in_force_by_endpoint: dict[str, tuple[float, int]] = {}
         self._absent_since_by_endpoint: dict[str, float] = {}
 
     async def run(self, leadership: Leadership, now: float, wall_s: float) -> None:
         """
-        Take each drain one step on.
+        Advance each drain: wait, send the stop order, or cancel the drain of a removed endpoint.
 
         :param leadership: the leadership under which stop orders are sent.
         :param now: boot-clock seconds.
-        :param wall_s: wall-clock seconds, the clock of the commands' stamps.
+        :param wall_s: wall-clock seconds, comparable to `stamped_s` of the drains.
         """
         if self._term != leadership.term:
             self._term = leadership.term
@@ -64,16 +66,16 @@
             self._absent_since_by_endpoint.clear()
         for drain in tuple(self._state.drains.drain_by_endpoint.values()):
             record = self._leases.endpoint_by_id.get(drain.endpoint)
-            # Leaving is final for an incarnation, so one that was stopped and leaves is as good as
-            # gone; entries go on speaking of it.
-            stopped = self._stopped(drain.endpoint)
+            # An endpoint that has left `serving` never returns to it in the same incarnation, so a
+            # stopped endpoint counts as removed, although entries may still report it.
+            stopped = self._is_stopped(drain.endpoint)
             if record is None or (stopped and record.state != SERVING):
-                await self._absent(drain, stopped, now)
+                await self._cancel_if_absent(drain, stopped, now)
                 continue
             self._absent_since_by_endpoint.pop(drain.endpoint, None)
             step = await self._decide(drain, record, now, wall_s)
             if step is not DrainStep.WAIT:
-                await self._stop(leadership, record, step)
+                await self._send_stop_order(leadership, record, step)
 
     async def _decide(
         self, drain: Drain, record: EndpointRecord, now: float, wall_s: float
@@ -91,8 +93,10 @@
         )
         return next_step(draining, self._limits, now)
 
-    async def _stop(self, leadership: Leadership, record: EndpointRecord, step: DrainStep) -> None:
-        order_id = self._order_id(record)
+    async def _send_stop_order(
+        self, leadership: Leadership, record: EndpointRecord, step: DrainStep
+    ) -> None:
+        order_id = self._next_stop_order_id(record)
         if order_id is None:
             return
         order = {
@@ -108,14 +112,14 @@
         eliot.log_message("drain:stop", endpoint=record.endpoint, step=step.value)
         await self._orders.send(leadership, PLATFORM, order_id, order)
 
-    def _order_id(self, record: EndpointRecord) -> str | None:
+    def _next_stop_order_id(self, record: EndpointRecord) -> str | None:
         """
-        Find the id of the stop order.
+        Return the id of the stop order to send for an endpoint.
 
-        It follows from the replicated state alone, so that a new leader goes on with the order of
-        the old one and never sends a second one under another id.
+        The id depends only on the endpoint's record and the replicated state, so that a new leader
+        continues the order of its predecessor instead of sending a second order with another id.
 
-        :return: None while the order is open (it is resolved under its own id) or when it is done.
+        :return: the order id, or None if the order is open (`Orders.resume` resolves it) or done.
         """
         order_by_id = self._state.orders.order_by_id
         attempt = 0
@@ -128,20 +132,21 @@
                 return None
             attempt += 1
 
-    def _stopped(self, endpoint: str) -> bool:
+    def _is_stopped(self, endpoint: str) -> bool:
         return any(
             order.outcome == "done" and order.order_id.rsplit("-", 2)[0] == f"stop-{endpoint}"
             for order in self._state.orders.order_by_id.values()
         )
 
-    async def _absent(self, drain: Drain, stopped: bool, now: float) -> None:
+    async def _cancel_if_absent(self, drain: Drain, stopped: bool, now: float) -> None:
         since_s = self._absent_since_by_endpoint.setdefault(drain.endpoint, now)
-        # A new leader's table fills within seconds; until then every endpoint looks absent.
-        wait_s = self._limits.settle_s if stopped else FORGET_ABSENT_S
+        # Within seconds, entries send all endpoints to a new leader; until then, every endpoint is
+        # missing from its table.
+        wait_s = self._limits.settle_s if stopped else CANCEL_ABSENT_AFTER_S
         if now - since_s < wait_s:
             return
-        lift = DrainEndpoint(drain.endpoint, OPERATOR, cancel=True)
-        await commit(self._consensus, lift, new_request_id())
+        cancellation = DrainEndpoint(drain.endpoint, OPERATOR, cancel=True)
+        await commit(self._consensus, cancellation, new_request_id())
 
 
 __all__ = ["Drains"]
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoints as the `place` rules say: starts them, has them drained."""
+"""Starts and drains endpoints so that the fleet matches the `place` rules."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
     from ibisspring_core.counters import Counters
     from ibisspring_core.messages.endpoints import EndpointRecord
 
-# Entries hand all their endpoints to a new leader with their first renewals; planned on before, an
-# empty table would look like a lost fleet and be ordered anew.
-TABLE_FILL_S = 6.0
-# An endpoint that was ordered and has not announced itself by then is taken as failed.
-START_PATIENCE_S = 120.0
+# Entries send all their endpoints to a new leader with their first renewals. A plan made earlier
+# would treat the empty table as a lost fleet and order the complete fleet again.
+TABLE_SYNC_S = 6.0
+# An ordered endpoint that has not announced itself within this time counts as failed.
+START_TIMEOUT_S = 120.0
 OPERATOR = "leader_duties"
 SERVING = "serving"
 
 
 @dataclass(frozen=True)
-class _Seen:
+class _KnownEndpoint:
     place: Place
     service: str
     since_s: float
 
 
 class Fleet:
-    """Plans each placed service and carries the steps out."""
+    """Plans the endpoints of each service that has a `place` rule, and executes the plan."""
 
     def __init__(
         self,
@@ -57,27 +57,27 @@
         self._counters = counters
         self._term = 0
         self._capacity = Capacity()
-        self._seen_by_endpoint: dict[str, _Seen] = {}
+        self._known_by_endpoint: dict[str, _KnownEndpoint] = {}
         self._order_number = 0
 
     async def run(self, leadership: Leadership, now: float, wall_s: float) -> None:
         """
-        Plan once.
+        Plan each service once and execute the resulting steps.
 
         :param leadership: the leadership under which orders are sent.
         :param now: boot-clock seconds.
-        :param wall_s: wall-clock seconds, the clock of the orders' stamps.
+        :param wall_s: wall-clock seconds, comparable to `stamped_s` of the orders.
         """
         if self._term != leadership.term:
             self._term = leadership.term
             self._capacity = Capacity()
-            self._seen_by_endpoint = {}
+            self._known_by_endpoint = {}
             self._order_number = 0
-        # Endpoints are known through live entries alone: without one, a fleet that serves well
-        # would look lost.
-        if now < leadership.acts_from_s + TABLE_FILL_S or not self._leases.live():
+        # Only live entries report endpoints. While no entry is live, a fleet that is serving would
+        # appear to be lost.
+        if now < leadership.acts_from_s + TABLE_SYNC_S or not self._leases.live():
             return
-        self._look(now, wall_s)
+        self._update_known_endpoints(now, wall_s)
         placements = self._state.rules.rules.placement_by_service
         for service, placement in sorted(placements.items()):
             wanted = Wanted(placement.data_centres, placement.count, placement.cheap_share)
@@ -85,28 +85,31 @@
                 service, wanted, self._running(service), self._pending(service, wall_s), now
             )
             for step in steps:
-                await self._carry_out(leadership, service, step, now)
+                await self._execute(leadership, service, step, now)
 
-    def _look(self, now: float, wall_s: float) -> None:
+    def _update_known_endpoints(self, now: float, wall_s: float) -> None:
         serving = {
             endpoint: record
             for endpoint, record in self._leases.endpoint_by_id.items()
             if record.state == SERVING
         }
         draining = self._state.drains.drain_by_endpoint
-        for endpoint in [known for known in self._seen_by_endpoint if known not in serving]:
-            seen = self._seen_by_endpoint.pop(endpoint)
+        for endpoint in [known for known in self._known_by_endpoint if known not in serving]:
+            seen = self._known_by_endpoint.pop(endpoint)
             if endpoint in draining:
                 continue
             self._counters.add("endpoint.lost")
             eliot.log_message("fleet:lost", endpoint=endpoint, kind=seen.place.kind)
             self._capacity.note_lost(seen.place, now)
-        first_look = not self._seen_by_endpoint
+        first_update = not self._known_by_endpoint
         for endpoint, record in serving.items():
-            if endpoint not in self._seen_by_endpoint:
-                # What a new leader finds at its first look may be old: it proves no order's end.
-                since_s = 0.0 if first_look else wall_s
-                self._seen_by_endpoint[endpoint] = _Seen(_place_of(record), record.service, since_s)
+            if endpoint not in self._known_by_endpoint:
+                # Endpoints in the first table of a new leader may be older than the open orders, so
+                # they must not be matched to an order.
+                since_s = 0.0 if first_update else wall_s
+                self._known_by_endpoint[endpoint] = _KnownEndpoint(
+                    _place_of(record), record.service, since_s
+                )
 
     def _running(self, service: str) -> tuple[Running, ...]:
         draining = self._state.drains.drain_by_endpoint
@@ -117,12 +120,12 @@
         )
 
     def _pending(self, service: str, wall_s: float) -> tuple[Place, ...]:
-        """Places of ordered endpoints that have not announced themselves."""
-        arrivals = [seen for seen in self._seen_by_endpoint.values() if seen.service == service]
+        """Return the places of ordered endpoints that have not announced themselves."""
+        arrivals = [seen for seen in self._known_by_endpoint.values() if seen.service == service]
         pending = []
         for order in self._state.orders.order_by_id.values():
-            place = _started_place(order, service)
-            if place is None or wall_s - order.stamped_s > START_PATIENCE_S:
+            place = _place_of_start_order(order, service)
+            if place is None or wall_s - order.stamped_s > START_TIMEOUT_S:
                 continue
             arrived = next(
                 (
@@ -138,7 +141,7 @@
             pending.append(place)
         return tuple(pending)
 
-    async def _carry_out(
+    async def _execute(
         self, leadership: Leadership, service: str, step: Start | Stop, now: float
     ) -> None:
         if isinstance(step, Stop):
@@ -165,8 +168,8 @@
     return Place(record.data_centre, record.kind)
 
 
-def _started_place(order: Order, service: str) -> Place | None:
-    """Where an order starts an endpoint of the service; None for other orders and refused ones."""
+def _place_of_start_order(order: Order, service: str) -> Place | None:
+    """Return the place at which an order starts an endpoint; None for refused and other orders."""
     if order.outcome == "refused" or not order.order_id.startswith(f"start-{service}-"):
         return None
     body = json.loads(order.body)
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/leadership.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/leadership.py
@@ -1,4 +1,4 @@
-"""When this replica may act as the one process in charge."""
+"""Determines when this replica may send orders and reports as the leader."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 @dataclass(frozen=True)
 class Leadership:
     """
-    One spell of leadership.
+    Leadership of this replica in one term.
 
-    :param term: the term in which this replica leads.
-    :param acts_from_s: boot-clock seconds from which it may send.
+    :param term: the term in which this replica is the leader.
+    :param acts_from_s: boot-clock seconds from which this replica may send.
     """
 
     term: int
@@ -23,7 +23,7 @@
 
 
 class LeadershipWatch:
-    """Follows the leadership of this replica and says what is left of its lease."""
+    """Tracks whether this replica is the leader, and the remaining time of its lease."""
 
     def __init__(self, consensus: Any, wait_s: float) -> None:
         self._consensus = consensus
@@ -35,23 +35,24 @@
         """
         Build the watch.
 
-        A new leader sends nothing until the old leader's lease and one whole order timeout are
-        over. Without that wait an order which the old leader sent in its last moment could still be
-        under way when the new leader's first one arrives: the receiver would hear two senders, and
-        one that ignores fencing numbers could not tell which to follow.
+        A new leader sends nothing for the length of its predecessor's lease plus one order timeout.
+        Without this wait, an order that the predecessor sent at the end of its lease could still be
+        in flight when the new leader's first order arrives. The receiver would get orders from two
+        senders, and a receiver that ignores fencing numbers could not tell which one is current.
 
         :param consensus: the service `consensus`.
-        :param settings: lease and order timeout, equal on all control daemons.
+        :param settings: leader lease and order timeout, equal on all control daemons.
         :return: the watch.
         """
         return cls(consensus, settings.leader_lease_s + settings.order_timeout_s)
 
     def current(self, now: float) -> Leadership | None:
         """
-        Find the leadership in which this replica may send right now.
+        Return the leadership in which this replica may send now.
 
         :param now: boot-clock seconds.
-        :return: the leadership, or None while it follows or still waits for its predecessor.
+        :return: the leadership, or None if this replica is a follower or is still waiting for the
+            end of its predecessor's lease and orders.
         """
         if not self._consensus.is_leader:
             self._leadership = None
@@ -65,11 +66,11 @@
 
     def lease_left_s(self, leadership: Leadership) -> float:
         """
-        Read what is left of the lease under which a leadership acts.
+        Return the remaining time of the leader lease.
 
         :param leadership: from `current`.
-        :return: seconds; 0 once the lease lapsed or another term began, also if this replica leads
-            again.
+        :return: seconds; 0 once the lease lapsed or another term began, also if this replica is the
+            leader of that term.
         """
         if not self._consensus.is_leader or self._consensus.term != leadership.term:
             return 0.0
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/orders.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the platform and to engines: committed first, then sent under the lease."""
+"""Orders to the platform and to engines: committed first, then sent under the leader lease."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 @dataclass(frozen=True)
 class OrderEnd:
     """
-    The known end of an order.
+    The final outcome of an order.
 
     :param outcome: `done`, `refused`, `unavailable` or `unknown`.
-    :param detail: what the receiver said.
+    :param detail: explanation from the receiver, or of the outcome `unknown`.
     """
 
     outcome: str
@@ -49,12 +49,12 @@
 @dataclass(frozen=True)
 class OrderSettings:
     """
-    How orders are sent.
+    Settings for sending orders.
 
     :param sender: this daemon's id, for the receiver's log.
     :param platform_url: base URL of the platform.
-    :param timeout_s: longest wait for an answer.
-    :param least_lease_s: seconds of lease that must be left when bytes are written.
+    :param timeout_s: time limit for an answer.
+    :param least_lease_s: minimum remaining lease, in seconds, when bytes are written.
     """
 
     sender: str
@@ -68,21 +68,21 @@
 
 def wire_body(body: bytes, fencing: int) -> bytes:
     """
-    Put the fencing number into an order's body.
+    Insert the fencing number into an order's body.
 
-    The number is known only once the intent is committed, so the log holds the body without it.
-    Both stand in the log, so every leader sends the same bytes under an order id.
+    The number is assigned when the intent is committed, so the logged body does not contain it.
+    The state keeps both, so every leader sends the same bytes for an order id.
 
     :param body: a JSON object as committed.
     :param fencing: the committed fencing number.
-    :return: the bytes on the wire.
+    :return: the request body to send.
     """
     separator = b"" if body[1:2] == b"}" else b","
     return b'{"fencing":%d%s%s' % (fencing, separator, body[1:])
 
 
 class Orders:
-    """Commits, sends and resolves orders, one at a time for each receiver."""
+    """Commits, sends and resolves orders, one at a time per receiver."""
 
     def __init__(
         self,
@@ -99,31 +99,35 @@
         self._counters = counters
         self._settings = settings
         self._url_of = url_of
-        # A receiver that checks fencing numbers refuses a lower one after a higher one, so the
-        # orders to one receiver go out in the order of their numbers.
+        # A receiver that checks fencing numbers refuses a lower number after a higher one, so the
+        # orders to a receiver are sent in the order of their fencing numbers.
         self._lock_by_receiver: dict[str, asyncio.Lock] = {}
 
     async def send(
         self, leadership: Leadership, receiver: str, order_id: str, order: dict[str, Any]
     ) -> OrderEnd | Refusal:
         """
-        Commit an order's intent, send it and record its end.
+        Commit an order's intent, send the order and record its outcome.
 
-        :param leadership: the leadership under which it is sent.
+        :param leadership: the leadership under which the order is sent.
         :param receiver: `platform` or `endpoint:<id>`.
-        :param order_id: its idempotency key, unique for ever.
-        :param order: the order's fields but for `fencing`.
-        :return: its end, or a refusal; after `MAY_HAVE_RUN` the intent stays open and is resolved
-            by `resume`; `IN_PROGRESS` while an earlier order to this receiver has no end.
+        :param order_id: idempotency key of the order; never reused for another order.
+        :param order: the order's fields without `order_id` and `fencing`.
+        :return: the outcome, or a refusal. After `MAY_HAVE_RUN` the order stays open and `resume`
+            resolves it. `IN_PROGRESS` if an earlier order to this receiver is open.
         """
         if self._url_of(receiver) is None:
-            return Refusal(Reason.NO_ENDPOINT, not_run=True, detail=f"{receiver} is not known")
+            return Refusal(Reason.NO_ENDPOINT, not_run=True, detail=f"unknown receiver {receiver}")
         body = json.dumps({"order_id": order_id, **order}, separators=(",", ":")).encode()
         intent = OrderIntent(order_id, receiver, body)
-        async with self._lock(receiver):
-            if self._others_open(receiver, order_id):
+        async with self._lock_of(receiver):
+            if self._has_other_open_order(receiver, order_id):
                 self._counters.refused(Reason.IN_PROGRESS)
-                return Refusal(Reason.IN_PROGRESS, not_run=True, detail="an order has no end yet")
+                return Refusal(
+                    Reason.IN_PROGRESS,
+                    not_run=True,
+                    detail="an earlier order is open",
+                )
             recorded = await commit(self._consensus, intent, f"intent-{order_id}")
             if isinstance(recorded, Refusal):
                 return recorded
@@ -133,17 +137,17 @@
 
     async def resume(self, leadership: Leadership, order: Order) -> OrderEnd | Refusal:
         """
-        Find the end of an order that was left open, under its own id.
+        Find the outcome of an open order, or send the order again under the same id.
 
-        :param leadership: the leadership under which it is asked about or sent again.
+        :param leadership: the leadership under which the requests are sent.
         :param order: the open order.
         :return: as for `send`.
         """
-        async with self._lock(order.intent.receiver):
+        async with self._lock_of(order.intent.receiver):
             if not self._is_open(order.intent.order_id):
-                return OrderEnd("done", "it ended in the meantime")
+                return OrderEnd("done", "the order was resolved meanwhile")
             if order.intent.receiver == PLATFORM:
-                end = await self._ask(leadership, order.intent.order_id)
+                end = await self._query_platform(leadership, order.intent.order_id)
                 if isinstance(end, Refusal):
                     return end
                 if end is not None:
@@ -154,19 +158,20 @@
     def _is_open(self, order_id: str) -> bool:
         return any(order.intent.order_id == order_id for order in self._state.open_orders())
 
-    def _others_open(self, receiver: str, order_id: str) -> bool:
+    def _has_other_open_order(self, receiver: str, order_id: str) -> bool:
         """
-        Tell whether another order to a receiver is still open.
+        Check whether another order to a receiver is open.
 
-        Sent now, the new one would overtake it under a higher fencing number, and a receiver that
-        checks would refuse the older one for good though it may have been needed.
+        A new order that is sent now would overtake the open order with a higher fencing number. A
+        receiver that checks fencing numbers would then always refuse the open order, although the
+        order may still be needed.
         """
         return any(
             order.intent.receiver == receiver and order.intent.order_id != order_id
             for order in self._state.open_orders()
         )
 
-    def _lock(self, receiver: str) -> asyncio.Lock:
+    def _lock_of(self, receiver: str) -> asyncio.Lock:
         return self._lock_by_receiver.setdefault(receiver, asyncio.Lock())
 
     async def _send_committed(
@@ -174,37 +179,39 @@
     ) -> OrderEnd | Refusal:
         base_url = self._url_of(intent.receiver)
         if base_url is None:
-            return await self._resolve(intent, OrderEnd("unknown", "the receiver is gone"))
+            return await self._resolve(intent, OrderEnd("unknown", "the receiver no longer exists"))
         headers = {
             "Content-Type": "application/json",
             "Idempotency-Key": intent.order_id,
             "X-Sender": f"{self._settings.sender}/{leadership.term}",
         }
         body = wire_body(intent.body, fencing)
-        answer = await self._exchange(
+        answer = await self._send_http(
             leadership, HttpRequest("POST", f"{base_url}/orders", body, headers)
         )
         if isinstance(answer, NoAnswer):
-            return self._unanswered(intent, answer)
-        end = read_end(answer)
+            return self._refuse_unanswered(intent, answer)
+        end = parse_order_end(answer)
         if end is None:
-            return self._unanswered(intent, NoAnswer(True, f"HTTP {answer.status}"))
+            return self._refuse_unanswered(intent, NoAnswer(True, f"HTTP {answer.status}"))
         return await self._resolve(intent, end)
 
-    async def _ask(self, leadership: Leadership, order_id: str) -> OrderEnd | Refusal | None:
+    async def _query_platform(
+        self, leadership: Leadership, order_id: str
+    ) -> OrderEnd | Refusal | None:
         url = f"{self._settings.platform_url}/orders/{order_id}"
-        answer = await self._exchange(leadership, HttpRequest("GET", url))
+        answer = await self._send_http(leadership, HttpRequest("GET", url))
         if isinstance(answer, NoAnswer):
             self._counters.retried(Reason.TIMEOUT)
             return Refusal(Reason.MAY_HAVE_RUN, not_run=False, detail=answer.detail)
         if answer.status == HTTP_NOT_FOUND:
             return None
-        end = read_end(answer)
+        end = parse_order_end(answer)
         if end is None:
             return Refusal(Reason.MAY_HAVE_RUN, not_run=False, detail=f"HTTP {answer.status}")
         return end
 
-    async def _exchange(
+    async def _send_http(
         self, leadership: Leadership, request: HttpRequest
     ) -> HttpAnswer | NoAnswer:
         return await send_guarded(
@@ -214,7 +221,7 @@
             self._settings.timeout_s,
         )
 
-    def _unanswered(self, intent: OrderIntent, answer: NoAnswer) -> Refusal:
+    def _refuse_unanswered(self, intent: OrderIntent, answer: NoAnswer) -> Refusal:
         reason = Reason.MAY_HAVE_RUN if answer.sent else Reason.LEASE_LAPSED
         self._counters.refused(reason)
         eliot.log_message(
@@ -232,12 +239,12 @@
         return end
 
 
-def read_end(answer: HttpAnswer) -> OrderEnd | None:
+def parse_order_end(answer: HttpAnswer) -> OrderEnd | None:
     """
-    Read a receiver's answer.
+    Parse a receiver's answer.
 
     :param answer: from the platform or an engine.
-    :return: the order's end; None where the answer does not tell it.
+    :return: the order's outcome; None if the answer does not contain one.
     """
     if answer.status == HTTP_CONFLICT:
         return OrderEnd("refused", "the receiver saw a higher fencing number")
@@ -255,4 +262,4 @@
     return OrderEnd(outcome, str(fields.get("detail", "")))
 
 
-__all__ = ["PLATFORM", "OrderEnd", "OrderSettings", "Orders", "read_end", "wire_body"]
+__all__ = ["PLATFORM", "OrderEnd", "OrderSettings", "Orders", "parse_order_end", "wire_body"]
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/proposals.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/proposals.py
@@ -18,7 +18,7 @@
 
     :param consensus: the service `consensus`.
     :param command: a command of `COMMANDS`.
-    :param request_id: its idempotency key; a repetition after `MAY_HAVE_RUN` uses the same one.
+    :param request_id: idempotency key; a retry after `MAY_HAVE_RUN` must use the same one.
     :return: the state machine's result, or a refusal.
     """
     envelope = Envelope(request_id, wall_now(), msgspec.Raw(COMMANDS.encode(command)))
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/service.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/service.py
@@ -1,4 +1,4 @@
-"""The service `leader_duties`: runs the leader's duties while its lease lasts."""
+"""The service `leader_duties`: performs the leader's duties while its lease is valid."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 ORDERS_TICK_S = 0.25
 USAGE_TICK_S = 0.5
 ENDPOINTS_TICK_S = 1.0
-# Receivers that are asked about open orders at the same time; a silent one holds its place for a
-# whole order timeout.
-RESUMED_AT_A_TIME = 16
-# Longer than entries take to hand all their endpoints to a new leader.
-ABSENT_S = 30.0
+# Open orders that are resumed concurrently. A receiver that does not answer occupies one of these
+# slots for the complete order timeout.
+MAX_CONCURRENT_RESUMES = 16
+# Longer than entries take to send all their endpoints to a new leader.
+UNKNOWN_RECEIVER_WAIT_S = 30.0
 ENDPOINT_RECEIVER = "endpoint:"
 USAGE = "usage"
 
 
 class LeaderDuties:
     """
-    Sends platform orders, engine orders and usage reports, in the leader alone.
+    Sends platform orders, engine orders and usage reports, on the leader only.
 
-    A replica that only follows, or that still waits for its predecessor's last order to be over,
-    sends nothing.
+    A follower sends nothing, and neither does a new leader while it waits for the end of its
+    predecessor's lease and orders.
     """
 
     name = "leader_duties"
@@ -68,7 +68,7 @@
         if control.usage_url:
             callback_by_name["usage"] = (USAGE_TICK_S, self._report_usage)
         if control.platform_url:
-            callback_by_name["endpoints"] = (ENDPOINTS_TICK_S, self._keep_endpoints)
+            callback_by_name["endpoints"] = (ENDPOINTS_TICK_S, self._manage_endpoints)
         for name, (interval_s, callback) in callback_by_name.items():
             subscription = timer.subscribe(f"leader_duties:{name}", interval_s, callback)
             self._subscriptions.append(subscription)
@@ -96,15 +96,15 @@
         self._fleet = Fleet(consensus, state, self._leases, self._orders, counters)
 
     async def stop(self) -> None:
-        """End the duties; an order under way is aborted and stays open in the log."""
+        """Cancel the duties; an order in flight is aborted and stays open in the state."""
         for subscription in self._subscriptions:
             subscription.cancel()
 
     def leadership(self) -> Leadership | None:
         """
-        Find the leadership in which this replica may act now.
+        Return the leadership in which this replica may act now.
 
-        :return: None while it follows or waits out its predecessor.
+        :return: None if this replica is a follower or waits for the end of its predecessor's lease.
         """
         return self._watch.current(boot_now())
 
@@ -112,17 +112,20 @@
         self, receiver: str, order_id: str, order: dict[str, Any]
     ) -> OrderEnd | Refusal:
         """
-        Send one order as the process in charge.
+        Send one order as the leader.
 
         :param receiver: `platform` or `endpoint:<id>`.
-        :param order_id: its idempotency key, unique for ever; the same one after a refusal.
-        :param order: the order's fields but for `order_id` and `fencing`, see docs/API.md.
-        :return: its end; `NO_LEADER` when not in charge, `MAY_HAVE_RUN` when no answer came (it
-            is resolved later under the same id).
+        :param order_id: idempotency key of the order; never reused for another order, but a retry
+            after a refusal uses the same one.
+        :param order: the order's fields without `order_id` and `fencing`, see docs/API.md.
+        :return: the outcome, or a refusal: `NO_LEADER` if this replica may not act as the leader,
+            `MAY_HAVE_RUN` if no answer came (the order is resolved later under the same id).
         """
         leadership = self.leadership()
         if leadership is None:
-            return Refusal(Reason.NO_LEADER, not_run=True, detail="not in charge")
+            return Refusal(
+                Reason.NO_LEADER, not_run=True, detail="this replica may not act as the leader"
+            )
         return await self._orders.send(leadership, receiver, order_id, order)
 
     def _url_of(self, receiver: str) -> str | None:
@@ -141,31 +144,36 @@
         order_by_receiver: dict[str, Order] = {}
         for order in self._state.open_orders():
             order_by_receiver.setdefault(order.intent.receiver, order)
-        limit = asyncio.Semaphore(RESUMED_AT_A_TIME)
+        limit = asyncio.Semaphore(MAX_CONCURRENT_RESUMES)
         await asyncio.gather(
-            *(self._resume(leadership, order, limit) for order in order_by_receiver.values())
+            *(self._resume_order(leadership, order, limit) for order in order_by_receiver.values())
         )
 
-    async def _resume(self, leadership: Leadership, order: Order, limit: asyncio.Semaphore) -> None:
+    async def _resume_order(
+        self, leadership: Leadership, order: Order, limit: asyncio.Semaphore
+    ) -> None:
         receiver = order.intent.receiver
         now = boot_now()
         if not self._backoff.ready(receiver, now):
             return
-        # To a new leader, whose table of endpoints still fills, each receiver looks gone.
-        if self._url_of(receiver) is None and now < leadership.acts_from_s + ABSENT_S:
+        # Until the entries have sent their endpoints to a new leader, every receiver is unknown.
+        if (
+            self._url_of(receiver) is None
+            and now < leadership.acts_from_s + UNKNOWN_RECEIVER_WAIT_S
+        ):
             return
         async with limit:
             end = await self._orders.resume(leadership, order)
-        self._backoff.note(receiver, isinstance(end, Refusal), boot_now())
+        self._backoff.record_attempt(receiver, isinstance(end, Refusal), boot_now())
 
     async def _report_usage(self, now: float) -> None:
         leadership = self._watch.current(now)
         if leadership is None or not self._backoff.ready(USAGE, now):
             return
-        whole = await self._usage.run(leadership, wall_now())
-        self._backoff.note(USAGE, not whole, boot_now())
+        complete = await self._usage.run(leadership, wall_now())
+        self._backoff.record_attempt(USAGE, not complete, boot_now())
 
-    async def _keep_endpoints(self, now: float) -> None:
+    async def _manage_endpoints(self, now: float) -> None:
         leadership = self._watch.current(now)
         if leadership is None:
             return
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/usage_reports.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/usage_reports.py
@@ -1,4 +1,4 @@
-"""Usage windows: closed by a log entry that fixes the figures, then reported, then recorded."""
+"""Closes usage windows in the replicated log, reports them and records the acknowledgement."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
     from ibisspring_control.state.usage import UsageWindow
     from ibisspring_core.counters import Counters
 
-# Entries flush every second; what they flush after this is marked late in the next window.
+# Seconds between the end of a window and its closing. Entries flush usage every second; usage that
+# arrives after the closing is counted as late in the next window.
 CLOSE_AFTER_S = 3.0
 HTTP_OK = 200
 HTTP_CONFLICT = 409
@@ -28,13 +29,13 @@
 @dataclass(frozen=True)
 class ReportSettings:
     """
-    How usage is reported.
+    Settings for usage reports.
 
     :param reporter: this daemon's id.
     :param usage_url: base URL of the usage interface.
-    :param window_s: seconds that one window spans.
-    :param timeout_s: longest wait for an answer.
-    :param least_lease_s: seconds of lease that must be left when bytes are written.
+    :param window_s: length of a window in seconds.
+    :param timeout_s: time limit for an answer.
+    :param least_lease_s: minimum remaining lease, in seconds, when bytes are written.
     """
 
     reporter: str
@@ -60,15 +61,15 @@
         self._watch = watch
         self._counters = counters
         self._settings = settings
-        self._conflicts: set[int] = set()
+        self._conflicting_windows: set[int] = set()
 
     async def run(self, leadership: Leadership, wall_s: float) -> bool:
         """
-        Close the windows that are over and report the closed ones.
+        Close the windows that have ended, and report the closed windows.
 
         :param leadership: the leadership under which reports are sent.
         :param wall_s: wall-clock seconds.
-        :return: False when a report or a commit has to be tried again.
+        :return: False if a report or a commit has to be retried.
         """
         for window in self._state.unreported_windows():
             if window.closed:
@@ -81,7 +82,7 @@
             if isinstance(closed, Refusal):
                 return False
         for window in self._state.unreported_windows():
-            if not window.closed or window.window in self._conflicts:
+            if not window.closed or window.window in self._conflicting_windows:
                 continue
             if not await self._report(leadership, window):
                 return False
@@ -89,7 +90,7 @@
 
     async def _report(self, leadership: Leadership, window: UsageWindow) -> bool:
         answer = await send_guarded(
-            self._request(leadership, window),
+            self._build_request(leadership, window),
             lambda: self._watch.lease_left_s(leadership),
             self._settings.least_lease_s,
             self._settings.timeout_s,
@@ -99,9 +100,10 @@
             eliot.log_message("usage:unanswered", window=window.window, detail=answer.detail)
             return False
         if answer.status == HTTP_CONFLICT:
-            # Only a report from outside this log can have got there first. A person must look;
-            # it stays unreported in `ibisspring usage show` and does not hold up the others.
-            self._conflicts.add(window.window)
+            # The usage interface already has a different report for this window, which can only
+            # come from outside this log. An operator must investigate; until then, the window stays
+            # unreported in `ibisspring usage show` and does not block the other windows.
+            self._conflicting_windows.add(window.window)
             self._counters.refused(Reason.CONFLICT)
             eliot.log_message("usage:conflict", window=window.window)
             return True
@@ -113,7 +115,7 @@
         eliot.log_message("usage:reported", window=window.window)
         return not isinstance(recorded, Refusal)
 
-    def _request(self, leadership: Leadership, window: UsageWindow) -> HttpRequest:
+    def _build_request(self, leadership: Leadership, window: UsageWindow) -> HttpRequest:
         report = {
             "window": window.window,
             "from": window.window * self._settings.window_s,
--- a/tests/unit/control/leader_duties/conftest.py
+++ b/tests/unit/control/leader_duties/conftest.py
@@ -35,7 +35,7 @@
 
 @dataclass
 class Control:
-    """Consensus and state machine in one, in memory."""
+    """In-memory stand-in for both the consensus service and the state machine."""
 
     is_leader: bool = True
     term: int = 1
--- a/tests/unit/control/leader_duties/test_fleet.py
+++ b/tests/unit/control/leader_duties/test_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ibisspring_control.leader_duties.fleet import START_PATIENCE_S, TABLE_FILL_S, Fleet
+from ibisspring_control.leader_duties.fleet import START_TIMEOUT_S, TABLE_SYNC_S, Fleet
 from ibisspring_control.leader_duties.orders import OrderEnd
 from ibisspring_control.state.orders import Order
 from ibisspring_core.messages.commands import DrainEndpoint
@@ -14,13 +14,13 @@
 from ibisspring_core.rules import Rules
 from ibisspring_core.rules.model import Placement
 
-READY_S = TABLE_FILL_S + 1.0
+READY_S = TABLE_SYNC_S + 1.0
 WALL_S = 1_000_000.0
 
 
 @dataclass
 class _System:
-    """The parts that a fleet reads, and the orders that it sends."""
+    """Stand-in for the leases, the state and the orders that `Fleet` uses."""
 
     endpoint_by_id: dict[str, EndpointRecord] = field(default_factory=dict)
     entries: tuple[str, ...] = ("e1",)
@@ -43,7 +43,7 @@
         return OrderEnd(self.outcome)
 
     def announce(self, endpoint: str, order: dict) -> None:
-        """What an order started announces itself."""
+        """Announce the endpoint that an order started."""
         self.endpoint_by_id[endpoint] = EndpointRecord(
             endpoint, 1, 1, "lm", "engine", order["kind"], order["data_centre"], "127.0.0.1:1"
         )
@@ -68,9 +68,9 @@
 async def test_a_new_leader_does_not_order_a_fleet_that_it_cannot_see(
     fleet, system, leadership
 ) -> None:
-    # The table of endpoints is empty at first, and stays empty while no entry lives: a leader that
-    # planned on it would pay for the whole fleet a second time.
-    await fleet.run(leadership, TABLE_FILL_S - 1.0, WALL_S)
+    # The endpoint table of a new leader is empty until entries renew, and while no entry is live. A
+    # leader that plans from the empty table would order the complete fleet again.
+    await fleet.run(leadership, TABLE_SYNC_S - 1.0, WALL_S)
     system.entries = ()
     await fleet.run(leadership, READY_S, WALL_S)
 
@@ -78,8 +78,8 @@
 
 
 async def test_what_was_ordered_counts_until_it_announces_itself(fleet, system, leadership) -> None:
-    # Endpoints take a minute to start. A leader that counted only announced ones would order them
-    # again with each look.
+    # Endpoints take a minute to start. A leader that counts only announced endpoints would order
+    # them again with each plan.
     await fleet.run(leadership, READY_S, WALL_S)
     await fleet.run(leadership, READY_S + 1.0, WALL_S + 1.0)
     assert len(system.sent) == 4
@@ -88,8 +88,8 @@
     await fleet.run(leadership, READY_S + 60.0, WALL_S + 60.0)
     assert len(system.sent) == 4
 
-    # The fourth never came; it is ordered again once its time is over.
-    late_s = START_PATIENCE_S + 1.0
+    # The fourth endpoint never announced itself; it is ordered again after START_TIMEOUT_S.
+    late_s = START_TIMEOUT_S + 1.0
     await fleet.run(leadership, READY_S + late_s, WALL_S + late_s)
 
     assert len(system.sent) == 5
@@ -98,7 +98,7 @@
 async def test_a_reclaimed_endpoint_is_replaced_by_the_standard_kind(
     fleet, system, leadership, counters
 ) -> None:
-    # Both cheap endpoints of derby are reclaimed in one moment.
+    # Both cheap endpoints of derby are reclaimed at the same time.
     for number in range(4):
         kind = "cheap" if number < 2 else "standard"
         system.announce(f"lm-{number}", {"kind": kind, "data_centre": "derby"})
--- a/tests/unit/control/leader_duties/test_orders.py
+++ b/tests/unit/control/leader_duties/test_orders.py
@@ -50,8 +50,8 @@
 async def test_an_order_whose_answer_was_lost_ends_under_its_own_id_and_bytes(
     control, orders, leadership, fake_platform
 ) -> None:
-    # The platform carries an order out and its answer is lost; the order stays open in the log.
-    # A new attempt under a new id, or with other bytes, would start a second endpoint.
+    # The platform executes an order and its answer is lost, so the order stays open in the state.
+    # A retry with a new id or with other bytes would start a second endpoint.
     fake_platform.faults.drop_answer = True
     refusal = await orders.send(leadership, "platform", "o1", START)
     assert refusal.reason is Reason.MAY_HAVE_RUN
@@ -94,8 +94,8 @@
 async def test_a_new_order_does_not_overtake_an_open_one(
     control, orders, leadership, fake_platform
 ):
-    # The first order's answer is lost. Sent now, a second one would carry a higher fencing number,
-    # and a platform that checks would refuse the first for good when it is resolved.
+    # The answer of the first order is lost. A second order that is sent now would have a higher
+    # fencing number, and a platform that checks it would always refuse the first order afterwards.
     fake_platform.faults.drop_answer = True
     await orders.send(leadership, "platform", "o1", START)
 
@@ -108,8 +108,8 @@
 async def test_an_order_that_ended_while_it_waited_is_not_sent_again(
     control, orders, leadership, fake_platform
 ) -> None:
-    # The tick that resumes open orders sees one that `send` has under way: without a second look
-    # behind the lock it would go out twice.
+    # The periodic resume of open orders finds an order that `send` is still sending. If `resume`
+    # did not check again under the lock that the order is open, the order would be sent twice.
     fake_platform.faults.answer_late_s = 0.3
     sending = asyncio.create_task(orders.send(leadership, "platform", "o1", START))
     await wait_until(lambda: fake_platform.sent, "the order to arrive")
--- a/tests/unit/control/leader_duties/test_usage_reports.py
+++ b/tests/unit/control/leader_duties/test_usage_reports.py
@@ -5,7 +5,7 @@
 from ibisspring_control.leader_duties.usage_reports import ReportSettings, UsageReports
 from ibisspring_core.messages.commands import CloseWindow, WindowReported
 
-OVER_S = 6 * 60 + 10.0
+AFTER_CLOSE_S = 6 * 60 + 10.0
 
 
 @pytest.fixture
@@ -20,7 +20,7 @@
     reports_at_commit = []
     control.on_commit = lambda command: reports_at_commit.append(len(fake_usage.reports))
 
-    await reports.run(leadership, OVER_S)
+    await reports.run(leadership, AFTER_CLOSE_S)
 
     assert control.commands == [CloseWindow(5), WindowReported(5)]
     assert reports_at_commit == [0, 1]
@@ -41,12 +41,12 @@
 async def test_a_report_whose_answer_was_lost_comes_again_with_the_same_figures(
     control, reports, leadership, fake_usage
 ) -> None:
-    # The interface takes a report and its answer is lost. The next try carries the figures that
-    # the log fixed and the same key, so nothing is counted twice and nothing differs.
+    # The usage interface accepts a report and its answer is lost. The retry must have the same key
+    # and the figures that the log fixed, so that no usage is counted twice and no figure differs.
     fake_usage.faults.drop_answer = True
-    await reports.run(leadership, OVER_S)
+    await reports.run(leadership, AFTER_CLOSE_S)
     fake_usage.faults.drop_answer = False
-    await reports.run(leadership, OVER_S)
+    await reports.run(leadership, AFTER_CLOSE_S)
 
     first, second = fake_usage.reports
     assert first["lines"] == second["lines"]
@@ -59,6 +59,6 @@
 ) -> None:
     control.lease_s = 0.0
 
-    await reports.run(leadership, OVER_S)
+    await reports.run(leadership, AFTER_CLOSE_S)
 
     assert fake_usage.reports == []
