--- a/packages/ibisspring-control/src/ibisspring_control/__init__.py
+++ b/packages/ibisspring-control/src/ibisspring_control/__init__.py
@@ -1,3 +1,3 @@
-"""Replicated log, state machine and the leader's duties."""
+"""The control role: replicated state machine, entry leases and the leader's duties."""
 
 from __future__ import annotations
--- a/packages/ibisspring-control/src/ibisspring_control/endpoint_table.py
+++ b/packages/ibisspring-control/src/ibisspring_control/endpoint_table.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the endpoints, from the entries' renewals."""
+"""The leader's table of endpoints, built from the entries' renewals."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
     from collections.abc import Iterable
 
 GONE = "gone"
-# Each entry hands over all of its endpoints once per this many seconds at the latest, more with
-# many entries; what nobody speaks of for three rounds is gone.
-FORGET_AFTER_S = 15.0
-FORGET_PER_ENTRY_S = 3.0
+# An endpoint is removed if no entry reports it for three rounds. In a round, every entry sends all
+# its endpoints: every 5 s, or every 1 s per entry if that is longer (ALL_ENDPOINTS_EVERY_S and
+# ALL_ENDPOINTS_SPACING_S in `entry_leases`).
+REMOVE_AFTER_S = 15.0
+REMOVE_AFTER_PER_ENTRY_S = 3.0
 
 
 class EndpointTable:
-    """Newest record by endpoint id."""
+    """The newest record of each endpoint, by endpoint id."""
 
     def __init__(self) -> None:
         self.record_by_id: dict[str, EndpointRecord] = {}
-        self._heard_s_by_id: dict[str, float] = {}
+        self._received_s_by_id: dict[str, float] = {}
         self._disproofs: set[Disproof] = set()
 
     def merge(self, data: bytes, now: float) -> None:
         """
-        Take a record from an entry; the newest of an endpoint wins.
+        Merge a record from an entry; the newest record of an endpoint is kept.
 
-        :param data: an `EndpointRecord`, encoded.
+        :param data: an `EndpointRecord`, encoded; undecodable data is ignored.
         :param now: boot-clock seconds.
         """
         try:
@@ -40,57 +41,57 @@
             return
         known = self.record_by_id.get(record.endpoint)
         if known is not None and record.order() < known.order():
-            # An older word of the same start still proves that the endpoint is spoken of.
+            # An older record of the same incarnation still shows that entries report the endpoint.
             if record.incarnation == known.incarnation:
-                self._heard_s_by_id[record.endpoint] = now
+                self._received_s_by_id[record.endpoint] = now
             return
         if record.state == GONE:
-            self._drop(record.endpoint)
+            self._remove(record.endpoint)
             return
         self.record_by_id[record.endpoint] = record
-        self._heard_s_by_id[record.endpoint] = now
+        self._received_s_by_id[record.endpoint] = now
 
-    def note_disproofs(self, data: Iterable[bytes]) -> None:
+    def add_disproofs(self, data: Iterable[bytes]) -> None:
         """
-        Take what an entry tells of disproved announcements.
+        Add disproofs that an entry reports.
 
-        :param data: each a `Disproof`, encoded; only those of records that are known are kept.
+        :param data: encoded `Disproof` messages; those of unknown endpoints are ignored.
         """
-        for one in data:
+        for encoded in data:
             try:
-                disproof = decode(one, Disproof)
+                disproof = decode(encoded, Disproof)
             except msgspec.DecodeError:
                 continue
             if disproof.endpoint in self.record_by_id:
                 self._disproofs.add(disproof)
 
-    def take_disproofs(self) -> tuple[Disproof, ...]:
-        """Hand over the disproofs noted since the last call."""
-        taken = tuple(self._disproofs)
+    def pop_disproofs(self) -> tuple[Disproof, ...]:
+        """Return and remove the disproofs that were added since the last call."""
+        disproofs = tuple(self._disproofs)
         self._disproofs.clear()
-        return taken
+        return disproofs
 
     def sweep(self, now: float, entries: int) -> None:
         """
-        Forget what no entry speaks of any more.
+        Remove endpoints that no entry reports any more.
 
         :param now: boot-clock seconds.
-        :param entries: how many entries renew.
+        :param entries: number of entries that renew their lease.
         """
-        bound_s = max(FORGET_AFTER_S, entries * FORGET_PER_ENTRY_S)
-        for endpoint, heard_s in list(self._heard_s_by_id.items()):
-            if now - heard_s > bound_s:
-                self._drop(endpoint)
+        remove_after_s = max(REMOVE_AFTER_S, entries * REMOVE_AFTER_PER_ENTRY_S)
+        for endpoint, received_s in list(self._received_s_by_id.items()):
+            if now - received_s > remove_after_s:
+                self._remove(endpoint)
 
     def clear(self) -> None:
-        """Forget everything, when this daemon becomes the leader."""
+        """Remove all records and disproofs, when this daemon becomes the leader."""
         self.record_by_id.clear()
-        self._heard_s_by_id.clear()
+        self._received_s_by_id.clear()
         self._disproofs.clear()
 
-    def _drop(self, endpoint: str) -> None:
+    def _remove(self, endpoint: str) -> None:
         self.record_by_id.pop(endpoint, None)
-        self._heard_s_by_id.pop(endpoint, None)
+        self._received_s_by_id.pop(endpoint, None)
 
 
 __all__ = ["EndpointTable"]
--- a/packages/ibisspring-control/src/ibisspring_control/engine_orders/__init__.py
+++ b/packages/ibisspring-control/src/ibisspring_control/engine_orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines: weight versions in waves, adapters and roles."""
+"""Orders to engines: loading of adapter weight versions in waves, and changes of role."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-control/src/ibisspring_control/engine_orders/loads.py
+++ b/packages/ibisspring-control/src/ibisspring_control/engine_orders/loads.py
@@ -1,4 +1,4 @@
-"""Which weight loads are under way and which have failed; no network and no clock of its own."""
+"""Table of weight loads in progress and failed loads; uses neither the network nor a clock."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """The version that every engine of a model should use for an adapter."""
+    """The weight version that every engine of a model should use for an adapter."""
 
     model: str
     adapter: str
@@ -29,8 +29,10 @@
     """
     One load to be ordered.
 
-    :param attempt: unique in its table; a retry goes out under an order id of its own, since a
-        receiver answers a known id without doing the work again.
+    :param incarnation: incarnation of the engine that is to load the version.
+    :param address: `host:port` of the engine.
+    :param attempt: unique number in its table. It makes the order id of a retry unique, because a
+        receiver answers a known order id without executing the order again.
     """
 
     target: Target
@@ -43,10 +45,16 @@
 @dataclass(frozen=True)
 class _Attempt:
     """
-    The last load at one place.
-
-    :param disproved: the version is announced already and tokens said otherwise, so that its
-        announcement no longer shows whether a load worked.
+    The last load of one adapter on one engine.
+
+    :param incarnation: incarnation of the engine.
+    :param version: the version that was ordered.
+    :param started_s: when the order was planned, seconds on the lease clock.
+    :param failures: number of consecutive failures of this version.
+    :param failed_s: when the last failure was recorded, seconds on the lease clock.
+    :param loading: True while the load is in progress.
+    :param disproved: the engine announces the version, but its tokens were of another version. Its
+        announcement then does not show whether a load succeeded.
     """
 
     incarnation: int
@@ -60,75 +68,77 @@
 
 class LoadTable:
     """
-    The loads of a leader, judged by what engines announce.
+    The loads that a leader ordered, evaluated by the versions that engines announce.
 
-    An order's 202 only says that the engine took it. Whether the swap worked shows in the version
-    that the engine announces afterwards; without it the load has failed once its time is over. A
-    wrong judgement here costs time and never a label: labels come from the engine's tokens alone.
+    The answer 202 to an order only means that the engine accepted it. A load succeeded once the
+    engine announces the version, and failed if it does not announce it within `load_timeout_s`.
+    An error in this table only costs time and never produces a wrong label, because labels are
+    derived only from the engine's tokens.
     """
 
-    def __init__(self, store_places: int, load_timeout_s: float) -> None:
-        self._store_places = store_places
+    def __init__(self, max_store_loads: int, load_timeout_s: float) -> None:
+        self._max_store_loads = max_store_loads
         self._load_timeout_s = load_timeout_s
-        self._attempt_by_place: dict[tuple[str, str], _Attempt] = {}
-        self._disproofs_by_place: dict[tuple[str, str, int], int] = {}
+        self._attempt_by_adapter_key: dict[tuple[str, str], _Attempt] = {}
+        self._disproof_count_by_version_key: dict[tuple[str, str, int], int] = {}
         self._numbers = itertools.count(1)
 
     def plan(
         self, target: Target, engines: tuple[EndpointRecord, ...], now: float
     ) -> tuple[Load, ...]:
         """
-        Take in what the engines announce and choose the loads to order now.
+        Update the table from the engines' announcements and choose the loads to order now.
 
-        :param target: what is wanted.
+        :param target: the wanted version.
         :param engines: the model's engines.
         :param now: seconds on the lease clock.
-        :return: loads that count as under way from now on.
+        :return: the loads to order; the table counts them as in progress from now on.
         """
         for engine in engines:
             self._update(target, engine, now)
         views = tuple(self._view(target, engine) for engine in engines)
-        places = self._store_places - self.loading()
+        free_slots = self._max_store_loads - self.loading_count()
         record_by_endpoint = {engine.endpoint: engine for engine in engines}
         loads = []
-        for endpoint in plan_wave(views, target.version, places, now):
-            loads.append(self._begin(target, record_by_endpoint[endpoint], now))
+        for endpoint in plan_wave(views, target.version, free_slots, now):
+            loads.append(self._start_load(target, record_by_endpoint[endpoint], now))
         return tuple(loads)
 
-    def loading(self) -> int:
-        """Loads that are under way."""
-        return sum(1 for attempt in self._attempt_by_place.values() if attempt.loading)
+    def loading_count(self) -> int:
+        """Return the number of loads in progress."""
+        return sum(1 for attempt in self._attempt_by_adapter_key.values() if attempt.loading)
 
-    def failed(self, load: Load, now: float) -> None:
+    def record_failure(self, load: Load, now: float) -> None:
         """
-        Note that the engine refused a load or that its order was not delivered.
+        Record that the engine refused a load or that its order was not delivered.
 
+        :param load: a load from `plan`; ignored if a newer version was ordered since.
         :param now: seconds on the lease clock.
         """
-        place = (load.endpoint, load.target.adapter)
-        attempt = self._attempt_by_place.get(place)
+        adapter_key = (load.endpoint, load.target.adapter)
+        attempt = self._attempt_by_adapter_key.get(adapter_key)
         if attempt is None or attempt.version != load.target.version or not attempt.loading:
             return
-        self._attempt_by_place[place] = _failed(attempt, now)
+        self._attempt_by_adapter_key[adapter_key] = _with_failure(attempt, now)
 
-    def disprove(self, disproof: Disproof, now: float) -> None:
+    def record_disproof(self, disproof: Disproof, now: float) -> None:
         """
-        Note that an engine's tokens disproved a version that it announces.
+        Record that an engine's tokens disproved a version that the engine announces.
 
-        The swap is ordered again, each time after a longer pause. Its announcement can't show
-        whether that worked; entries find out by the next labels.
+        The load is ordered again, each time after a longer pause. The announcement cannot show
+        whether the repeated load succeeded; entries detect it by the engine's next labels.
 
-        :param disproof: from an entry.
+        :param disproof: reported by an entry.
         :param now: seconds on the lease clock.
         """
-        place = (disproof.endpoint, disproof.adapter)
-        attempt = self._attempt_by_place.get(place)
+        adapter_key = (disproof.endpoint, disproof.adapter)
+        attempt = self._attempt_by_adapter_key.get(adapter_key)
         if attempt is not None and (attempt.loading or attempt.version > disproof.version):
             return
-        counted = (*place, disproof.version)
-        failures = self._disproofs_by_place.get(counted, 0) + 1
-        self._disproofs_by_place[counted] = failures
-        self._attempt_by_place[place] = _Attempt(
+        version_key = (*adapter_key, disproof.version)
+        failures = self._disproof_count_by_version_key.get(version_key, 0) + 1
+        self._disproof_count_by_version_key[version_key] = failures
+        self._attempt_by_adapter_key[adapter_key] = _Attempt(
             disproof.incarnation,
             disproof.version,
             now,
@@ -138,20 +148,20 @@
             disproved=True,
         )
 
-    def keep_only(self, engines: Iterable[EndpointRecord]) -> None:
-        """Forget engines that are gone; their loads free their places in the weight store."""
+    def retain(self, engines: Iterable[EndpointRecord]) -> None:
+        """Remove all other engines, which frees the weight store slots of their loads."""
         known = {(engine.endpoint, engine.incarnation) for engine in engines}
-        for place, attempt in tuple(self._attempt_by_place.items()):
-            if (place[0], attempt.incarnation) not in known:
-                del self._attempt_by_place[place]
+        for adapter_key, attempt in tuple(self._attempt_by_adapter_key.items()):
+            if (adapter_key[0], attempt.incarnation) not in known:
+                del self._attempt_by_adapter_key[adapter_key]
         endpoints = {endpoint for endpoint, _ in known}
-        for counted in tuple(self._disproofs_by_place):
-            if counted[0] not in endpoints:
-                del self._disproofs_by_place[counted]
+        for version_key in tuple(self._disproof_count_by_version_key):
+            if version_key[0] not in endpoints:
+                del self._disproof_count_by_version_key[version_key]
 
     def _update(self, target: Target, engine: EndpointRecord, now: float) -> None:
-        place = (engine.endpoint, target.adapter)
-        attempt = self._attempt_by_place.get(place)
+        adapter_key = (engine.endpoint, target.adapter)
+        attempt = self._attempt_by_adapter_key.get(adapter_key)
         if attempt is None:
             return
         announced = engine.version_by_adapter.get(target.adapter)
@@ -159,15 +169,15 @@
         over = attempt.loading and now - attempt.started_s > self._load_timeout_s
         if attempt.disproved and announced == attempt.version and not restarted:
             if over:
-                # Its word is taken again, until tokens disprove it once more.
-                del self._attempt_by_place[place]
+                # Trust the announcement again until tokens disprove it once more.
+                del self._attempt_by_adapter_key[adapter_key]
         elif restarted or (announced is not None and announced >= attempt.version):
-            del self._attempt_by_place[place]
+            del self._attempt_by_adapter_key[adapter_key]
         elif over:
-            self._attempt_by_place[place] = _failed(attempt, now)
+            self._attempt_by_adapter_key[adapter_key] = _with_failure(attempt, now)
 
     def _view(self, target: Target, engine: EndpointRecord) -> EngineView:
-        attempt = self._attempt_by_place.get((engine.endpoint, target.adapter))
+        attempt = self._attempt_by_adapter_key.get((engine.endpoint, target.adapter))
         version = engine.version_by_adapter.get(target.adapter)
         if attempt is None:
             return EngineView(engine.endpoint, version, running=engine.load.running)
@@ -181,11 +191,11 @@
             running=engine.load.running,
         )
 
-    def _begin(self, target: Target, engine: EndpointRecord, now: float) -> Load:
-        place = (engine.endpoint, target.adapter)
-        earlier = self._attempt_by_place.get(place)
+    def _start_load(self, target: Target, engine: EndpointRecord, now: float) -> Load:
+        adapter_key = (engine.endpoint, target.adapter)
+        earlier = self._attempt_by_adapter_key.get(adapter_key)
         same = earlier is not None and earlier.version == target.version
-        self._attempt_by_place[place] = _Attempt(
+        self._attempt_by_adapter_key[adapter_key] = _Attempt(
             engine.incarnation,
             target.version,
             now,
@@ -199,7 +209,7 @@
         )
 
 
-def _failed(attempt: _Attempt, now: float) -> _Attempt:
+def _with_failure(attempt: _Attempt, now: float) -> _Attempt:
     return dataclasses.replace(attempt, failures=attempt.failures + 1, failed_s=now, loading=False)
 
 
--- a/packages/ibisspring-control/src/ibisspring_control/engine_orders/service.py
+++ b/packages/ibisspring-control/src/ibisspring_control/engine_orders/service.py
@@ -1,4 +1,4 @@
-"""The service `engine_orders`: the leader has engines load weights, adapters and roles."""
+"""The service `engine_orders`: the leader orders engines to load weights and change roles."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class EngineOrders:
-    """Orders loads in waves while this replica is in charge."""
+    """Orders weight loads in waves while this replica acts as the leader."""
 
     name = "engine_orders"
 
     def __init__(self, settings: ControlSettings) -> None:
         self._settings = settings
-        self._loads = self._no_loads()
+        self._loads = self._new_load_table()
         self._term: int | None = None
-        self._turn = 0
+        self._first_target = 0
         self._sending: set[asyncio.Task[None]] = set()
 
     @classmethod
@@ -43,9 +43,9 @@
 
     async def start(self, kernel: Kernel) -> None:
         """
-        Subscribe to the timer.
+        Find the services and subscribe to the timer.
 
-        :param kernel: holds state, entry_leases, leader_duties, timer, counters.
+        :param kernel: provides state, entry_leases, leader_duties, timer and counters.
         """
         self._state = kernel.find("state")
         self._entry_leases = kernel.find("entry_leases")
@@ -55,7 +55,7 @@
         self._subscription = self._timer.subscribe("engine_orders", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Send no more; `leader_duties` aborts an order under way, which stays open in the log."""
+        """Cancel the timer and the orders in flight; an aborted order stays open in the state."""
         self._subscription.cancel()
         for task in tuple(self._sending):
             task.cancel()
@@ -66,8 +66,8 @@
         Order an engine to change its role.
 
         :param endpoint: id of the engine.
-        :param role: the role, in the engine's own words.
-        :return: the order's end or a refusal, as for `leader_duties.send_order`.
+        :param role: name of the role as the engine defines it.
+        :return: the outcome of the order or a refusal, as from `LeaderDuties.send_order`.
         """
         record = self._entry_leases.endpoint_by_id.get(endpoint)
         if record is None:
@@ -82,19 +82,20 @@
             self._term = None
             return
         if self._term != leadership.term:
-            # What an earlier leader had under way is not known here; engines answer what they hold.
+            # The loads that an earlier leader ordered are not known here. The announcements of the
+            # engines show which versions they have.
             self._term = leadership.term
-            self._loads = self._no_loads()
+            self._loads = self._new_load_table()
         engines = self._engines()
-        self._loads.keep_only(engines)
-        for disproof in self._entry_leases.take_disproofs():
-            self._loads.disprove(disproof, now)
+        self._loads.retain(engines)
+        for disproof in self._entry_leases.pop_disproofs():
+            self._loads.record_disproof(disproof, now)
         for target in self._targets():
             of_model = tuple(engine for engine in engines if engine.service == target.model)
             for load in self._loads.plan(target, of_model, now):
-                self._order(load, leadership.term)
+                self._start_sending(load, leadership.term)
 
-    def _no_loads(self) -> LoadTable:
+    def _new_load_table(self) -> LoadTable:
         return LoadTable(self._settings.weight_store_concurrency, self._settings.load_timeout_s)
 
     def _engines(self) -> tuple[EndpointRecord, ...]:
@@ -105,7 +106,7 @@
         )
 
     def _targets(self) -> tuple[Target, ...]:
-        """Every adapter's wanted version, another one first each time so that none starves."""
+        """Return every adapter's wanted version, rotated at each call so that none is starved."""
         targets = []
         for model, trainers in sorted(self._state.rules.rules.trainers_by_model.items()):
             for trainer in trainers:
@@ -114,10 +115,10 @@
                     targets.append(Target(model, trainer, version))
         if not targets:
             return ()
-        self._turn = (self._turn + 1) % len(targets)
-        return tuple(targets[self._turn :] + targets[: self._turn])
+        self._first_target = (self._first_target + 1) % len(targets)
+        return tuple(targets[self._first_target :] + targets[: self._first_target])
 
-    def _order(self, load: Load, term: int) -> None:
+    def _start_sending(self, load: Load, term: int) -> None:
         task = asyncio.create_task(self._send(load, term))
         self._sending.add(task)
         task.add_done_callback(self._sending.discard)
@@ -139,21 +140,21 @@
         if isinstance(end, Refusal):
             if end.reason is Reason.MAY_HAVE_RUN:
                 return
-            self._fail(load, end.reason.value)
+            self._record_failure(load, end.reason.value)
             return
         if end.outcome != "done":
-            self._fail(load, end.outcome)
+            self._record_failure(load, end.outcome)
 
-    def _fail(self, load: Load, why: str) -> None:
+    def _record_failure(self, load: Load, cause: str) -> None:
         self._counters.retried(Reason.ENDPOINT_REFUSED)
         eliot.log_message(
             "engine_orders:load_failed",
             endpoint=load.endpoint,
             adapter=load.target.adapter,
             version=load.target.version,
-            why=why,
+            why=cause,
         )
-        self._loads.failed(load, self._timer.now())
+        self._loads.record_failure(load, self._timer.now())
 
     def _weights_url(self, target: Target) -> str:
         if not self._settings.weight_store_url:
--- a/packages/ibisspring-control/src/ibisspring_control/entry_lease.py
+++ b/packages/ibisspring-control/src/ibisspring_control/entry_lease.py
@@ -1,4 +1,4 @@
-"""One entry's lease, as the leader knows it."""
+"""An entry's lease as recorded by the leader."""
 
 from __future__ import annotations
 
@@ -8,11 +8,13 @@
 @dataclass(frozen=True)
 class EntryLease:
     """
-    One start of an entry, as the leader knows it.
+    Lease of one start of an entry, as recorded by the leader.
 
-    :param view_index: index of the view that it acts on.
-    :param lapses_s: boot-clock second at which its lease has lapsed for sure.
-    :param asked_s: when it was last asked for all endpoints.
+    :param view_index: index of the view that the entry acts on.
+    :param rules_version: version of the rules that the entry acts on.
+    :param lapses_s: boot-clock seconds at which the lease has lapsed even with clock drift.
+    :param all_requested_s: boot-clock seconds at which the leader last requested all endpoints from
+        the entry.
     """
 
     daemon: str
@@ -22,7 +24,7 @@
     view_index: int
     rules_version: int
     lapses_s: float
-    asked_s: float = 0.0
+    all_requested_s: float = 0.0
 
 
 __all__ = ["EntryLease"]
--- a/packages/ibisspring-control/src/ibisspring_control/entry_leases.py
+++ b/packages/ibisspring-control/src/ibisspring_control/entry_leases.py
@@ -1,10 +1,10 @@
 """
 Leases of the entries, granted by the leader.
 
-A lease lasts from the moment at which the entry sent its renewal. The leader grants it only after a
-quorum confirmed, in a round begun after the renewal came in, that it leads; so every lease granted
-by an old leader was sent for before the next leader rose, and a new leader that waits one lease
-length knows that all of its predecessors' leases have lapsed.
+A lease starts when the entry sends its renewal. The leader grants the lease only after a quorum has
+confirmed its leadership in a round that began after the renewal was received. The renewal of every
+lease that an old leader granted was therefore sent before the next leader was elected, and a new
+leader that waits one lease length knows that all leases of its predecessors have lapsed.
 """
 
 from __future__ import annotations
@@ -26,15 +26,16 @@
     from ibisspring_core.messages.endpoints import Disproof, EndpointRecord
     from ibisspring_core.settings import Settings
 
-# Clocks of two VMs may run at rates that differ by some 100 ppm; one percent and a little is ample.
-DRIFT = 1.01
-MARGIN_S = 0.05
+# The clock rates of two VMs may differ by about 100 ppm; one percent and LEASE_MARGIN_S is ample.
+CLOCK_DRIFT_FACTOR = 1.01
+LEASE_MARGIN_S = 0.05
 SWEEP_EVERY_S = 0.25
-# A held call must end long before a client takes its connection for silent.
+# A held call must end long before the client treats its connection as unresponsive.
 MAX_HOLD_S = 5.0
 HOLD_TICK_S = 0.25
-# Each entry is asked for all its endpoints at least this far apart, so that the cost does not grow
-# with the number of entries.
+# Minimum interval between two requests for all endpoints of one entry: ALL_ENDPOINTS_EVERY_S, or
+# ALL_ENDPOINTS_SPACING_S per entry if that is longer. The total rate then does not grow with the
+# number of entries.
 ALL_ENDPOINTS_EVERY_S = 5.0
 ALL_ENDPOINTS_SPACING_S = 1.0
 
@@ -58,7 +59,7 @@
     @classmethod
     def from_config(cls, settings: Settings) -> EntryLeases:
         """
-        Build the keeper of leases.
+        Build the service.
 
         :param settings: checked settings of the control role.
         :return: the service.
@@ -67,29 +68,29 @@
 
     @property
     def endpoint_by_id(self) -> dict[str, EndpointRecord]:
-        """Endpoints that live entries know; only complete on the leader."""
+        """Endpoints that live entries reported; complete on the leader only."""
         return self._endpoints.record_by_id
 
-    def take_disproofs(self) -> tuple[Disproof, ...]:
-        """Hand over what entries told of disproved announcements since the last call."""
-        return self._endpoints.take_disproofs()
+    def pop_disproofs(self) -> tuple[Disproof, ...]:
+        """Return and remove the disproofs that entries reported since the last call."""
+        return self._endpoints.pop_disproofs()
 
     async def start(self, kernel: Kernel) -> None:
-        """Find consensus and the state."""
+        """Find the services and subscribe to view changes and the timer."""
         self._consensus = kernel.find("consensus")
         self._state = kernel.find("state")
         self._views = EntryViews(self._state, self._usage_window_s)
-        self._state.subscribe_view(self._tell_view_changed)
+        self._state.subscribe_view(self._notify_view_changed)
         kernel.find("timer").subscribe("entry_leases", SWEEP_EVERY_S, self._sweep)
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: the sweep ends when the service `timer` stops."""
 
     def live(self) -> tuple[EntryLease, ...]:
         """
-        Find the entries whose lease may be in force.
+        Find the leases that may be in force.
 
-        :return: their leases, sorted by daemon.
+        :return: the leases, sorted by daemon and incarnation.
         """
         now = boot_now()
         leases = [lease for lease in self.lease_by_start.values() if lease.lapses_s > now]
@@ -97,71 +98,74 @@
 
     async def renew(self, request: control_pb2.RenewRequest) -> control_pb2.RenewReply:
         """
-        Renew a lease, once a quorum confirmed this leader after the renewal came in.
+        Renew a lease after a quorum confirmed the leadership of this replica.
 
-        The answer is held for as long as the entry allows while nothing changes for it. Without the
-        hold a change waits for each entry's next renewal.
+        The answer is held for at most `hold_s` while the entry's view is current. Without the hold,
+        a change would reach an entry only at its next renewal.
 
         :param request: the entry's renewal.
-        :return: the grant, with the view where the entry's is old.
+        :return: the grant, with the newest view if the entry's view is outdated.
         """
         if not self._consensus.is_leader:
             return self._not_leader()
         received_s = boot_now()
-        self._note_leadership()
-        # Noted before any answer leaves: a lease that is granted but unknown here would let
-        # `wait_in_force` answer while its entry still serves a withdrawn key. Noted for nothing,
-        # when the quorum then fails, it only makes that wait longer.
-        lease = self._note(request, received_s)
+        self._update_leadership()
+        # The lease is recorded before any answer is sent. If a granted lease were not recorded,
+        # `wait_in_force` could return while its entry still accepts a withdrawn key. If the quorum
+        # does not confirm the leadership, the record only makes that wait longer.
+        lease = self._record_renewal(request, received_s)
         for data in request.endpoints:
             self._endpoints.merge(data, received_s)
-        self._endpoints.note_disproofs(request.disproofs)
+        self._endpoints.add_disproofs(request.disproofs)
         self._changed.set()
         await self._hold(request, received_s)
         confirmed = await self._confirm_after_now()
         if isinstance(confirmed, Refusal) or not self._consensus.is_leader:
             return self._not_leader()
         if request.view_index > self._state.view_index:
-            return self._ahead(request)
+            return self._refuse_ahead(request)
         return control_pb2.RenewReply(
             status=control_pb2.OK,
             lease_s=self.lease_s,
             view=b"" if self._views.is_current(request) else self._views.encoded(),
-            want_all_endpoints=lease.asked_s == received_s,
+            want_all_endpoints=lease.all_requested_s == received_s,
             peers_digest=self._views.peers_digest,
         )
 
-    async def wait_in_force(self, index: int, bound_s: float) -> int | Refusal:
+    async def wait_in_force(self, index: int, wait_limit_s: float) -> int | Refusal:
         """
-        Wait until no entry acts on a state older than an index.
+        Wait until every entry that may hold a lease acts on at least a log index.
 
         :param index: log index of the accepted change.
-        :param bound_s: longest wait in seconds.
-        :return: the index, or a refusal where it is not in force everywhere yet.
+        :param wait_limit_s: time limit in seconds.
+        :return: the index, or a refusal: `IN_PROGRESS` after the time limit, `NO_LEADER` if this
+            replica is no longer the leader.
         """
-        end = boot_now() + bound_s
+        end = boot_now() + wait_limit_s
         while True:
             if not self._consensus.is_leader:
-                return Refusal(Reason.NO_LEADER, False, 0.0, "this replica stopped leading")
-            self._note_leadership()
+                return Refusal(Reason.NO_LEADER, False, 0.0, "this replica is no longer the leader")
+            self._update_leadership()
             now = boot_now()
             behind = [lease for lease in self.live() if lease.view_index < index]
-            if not behind and now >= self._known_from_s():
+            if not behind and now >= self._predecessors_lapsed_s():
                 return index
             if now >= end:
-                names = ", ".join(lease.daemon for lease in behind) or "entries of the last leader"
+                names = (
+                    ", ".join(lease.daemon for lease in behind) or "entries of the previous leader"
+                )
                 return Refusal(Reason.IN_PROGRESS, False, 0.0, f"not yet in force on {names}")
             self._changed.clear()
             await self._wait_for_change(min(end - now, SWEEP_EVERY_S))
 
-    async def _wait_for_change(self, bound_s: float) -> None:
+    async def _wait_for_change(self, wait_limit_s: float) -> None:
         try:
-            await asyncio.wait_for(self._changed.wait(), bound_s)
+            await asyncio.wait_for(self._changed.wait(), wait_limit_s)
         except TimeoutError:
             return
 
     async def _hold(self, request: control_pb2.RenewRequest, received_s: float) -> None:
-        """Keep an up-to-date entry waiting, so that a change reaches it at once."""
+        """Wait while the entry's view is current, so that a change is sent to it at once."""
         end = hold_end_s(received_s, min(request.hold_s, MAX_HOLD_S, self.lease_s / 2))
         while self._views.is_current(request) and boot_now() < end:
             changed = self._view_changed
@@ -170,21 +174,22 @@
             except TimeoutError:
                 return
 
-    def _tell_view_changed(self) -> None:
-        """Wake all held renewals; each then waits for an event of its own time."""
+    def _notify_view_changed(self) -> None:
+        """Wake all held renewals; later holds wait for a new event."""
         self._view_changed.set()
         self._view_changed = asyncio.Event()
 
     async def _confirm_after_now(self) -> int | Refusal:
-        """Share one quorum round among all renewals that came in before it began."""
+        """Confirm the leadership in a quorum round shared by all renewals received before it."""
         if self._confirming is not None and not self._confirming.done():
-            # This round began before the renewal came in, so it proves nothing about it.
+            # This round began before the renewal was received, so it does not confirm that this
+            # replica was the leader at that time.
             await asyncio.wait([self._confirming])
         if self._confirming is None or self._confirming.done():
             self._confirming = asyncio.create_task(self._consensus.confirm_read())
         return await asyncio.shield(self._confirming)
 
-    def _note_leadership(self) -> None:
+    def _update_leadership(self) -> None:
         term = self._consensus.term
         if term == self._leader_term:
             return
@@ -195,13 +200,13 @@
         self._update_peers()
         eliot.log_message("entry_leases:leader", term=term)
 
-    def _longest_s(self) -> float:
-        return self.lease_s * DRIFT + MARGIN_S
+    def _max_lease_s(self) -> float:
+        return self.lease_s * CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
 
-    def _note(self, request: control_pb2.RenewRequest, received_s: float) -> EntryLease:
+    def _record_renewal(self, request: control_pb2.RenewRequest, received_s: float) -> EntryLease:
         start = (request.daemon, request.incarnation)
         known = self.lease_by_start.get(start)
-        asked_s = known.asked_s if known is not None else 0.0
+        all_requested_s = known.all_requested_s if known is not None else 0.0
         lease = EntryLease(
             request.daemon,
             request.incarnation,
@@ -209,49 +214,50 @@
             request.peer_address,
             request.view_index,
             request.rules_version,
-            received_s + self._longest_s(),
-            received_s if self._wants_all(asked_s, received_s) else asked_s,
+            received_s + self._max_lease_s(),
+            received_s if self._all_endpoints_due(all_requested_s, received_s) else all_requested_s,
         )
         self.lease_by_start[start] = lease
         if known is None or known.peer_address != lease.peer_address:
             self._update_peers()
         return lease
 
-    def _wants_all(self, asked_s: float, now: float) -> bool:
+    def _all_endpoints_due(self, all_requested_s: float, now: float) -> bool:
         spacing_s = len(self.lease_by_start) * ALL_ENDPOINTS_SPACING_S
-        return now - asked_s >= max(ALL_ENDPOINTS_EVERY_S, spacing_s)
+        return now - all_requested_s >= max(ALL_ENDPOINTS_EVERY_S, spacing_s)
 
     def _update_peers(self) -> None:
-        self._views.set_peers(self.live(), boot_now() >= self._known_from_s())
-        self._tell_view_changed()
+        self._views.set_peers(self.live(), boot_now() >= self._predecessors_lapsed_s())
+        self._notify_view_changed()
 
-    def _known_from_s(self) -> float:
-        """From then on no entry can hold a lease of an earlier leader."""
-        return self._leader_since_s + self._longest_s()
+    def _predecessors_lapsed_s(self) -> float:
+        """Return the boot-clock seconds from which all leases of earlier leaders have lapsed."""
+        return self._leader_since_s + self._max_lease_s()
 
     async def _sweep(self, now: float) -> None:
-        """Forget lapsed leases and endpoints that no entry speaks of any more."""
-        # Without it leadership would count from the first renewal or apply: an apply to a system
-        # without entries would wait a whole lease, however long the leader has led.
+        """Remove lapsed leases and endpoints that no entry reports any more."""
+        # Without this update, the leadership would start with the first renewal or apply. An apply
+        # to a system without entries would then wait for a complete lease, even on a leader that
+        # was elected long before.
         if self._consensus.is_leader:
-            self._note_leadership()
+            self._update_leadership()
         lapsed = [start for start, lease in self.lease_by_start.items() if lease.lapses_s <= now]
         for start in lapsed:
             del self.lease_by_start[start]
-        complete = now >= self._known_from_s()
+        complete = now >= self._predecessors_lapsed_s()
         if lapsed or complete != self._views.peers_complete:
             self._update_peers()
         self._endpoints.sweep(now, len(self.lease_by_start))
         self._changed.set()
 
-    def _ahead(self, request: control_pb2.RenewRequest) -> control_pb2.RenewReply:
+    def _refuse_ahead(self, request: control_pb2.RenewRequest) -> control_pb2.RenewReply:
         """
-        Refuse an entry that acts on more than was ever committed here.
+        Refuse an entry that acts on a higher index than this state has.
 
-        It shows when control VMs were set up anew over a running system: granting the lease would
-        take accepted configuration back.
+        This happens if control VMs were set up again, without their data, in a running system.
+        Granting the lease would revert accepted configuration.
         """
-        detail = f"the entry acts on index {request.view_index}, this state ends before it"
+        detail = f"the entry acts on index {request.view_index}, which this state does not have"
         eliot.log_message("entry_leases:entry_ahead", daemon=request.daemon, detail=detail)
         return control_pb2.RenewReply(status=control_pb2.INVALID, detail=detail)
 
@@ -260,18 +266,18 @@
         return control_pb2.RenewReply(status=control_pb2.NOT_LEADER, leader_hint=hint or "")
 
 
-def hold_end_s(received_s: float, longest_s: float) -> float:
+def hold_end_s(received_s: float, max_hold_s: float) -> float:
     """
-    Find when a held renewal is answered at the latest.
+    Return the time at which a held renewal is answered at the latest.
 
-    Holds end at common ticks: the answers of all entries then share one quorum round, and the
-    rounds a second do not grow with the number of entries.
+    Holds end at multiples of HOLD_TICK_S. The answers to all entries then share quorum rounds, and
+    the number of rounds per second does not grow with the number of entries.
 
-    :param received_s: boot-clock second at which the renewal came in.
-    :param longest_s: longest hold that is allowed.
-    :return: boot-clock second.
+    :param received_s: boot-clock seconds at which the renewal was received.
+    :param max_hold_s: maximum hold in seconds.
+    :return: boot-clock seconds.
     """
-    return (received_s + longest_s) // HOLD_TICK_S * HOLD_TICK_S
+    return (received_s + max_hold_s) // HOLD_TICK_S * HOLD_TICK_S
 
 
 __all__ = ["EntryLease", "EntryLeases", "hold_end_s"]
--- a/packages/ibisspring-control/src/ibisspring_control/entry_views.py
+++ b/packages/ibisspring-control/src/ibisspring_control/entry_views.py
@@ -1,4 +1,4 @@
-"""The views that the leader hands to entries: the replicated state and the live entries."""
+"""The views that the leader sends to entries: the replicated state and the live entries."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
     def set_peers(self, live: tuple[EntryLease, ...], complete: bool) -> None:
         """
-        Take other live entries into the view.
+        Replace the live entries in the view.
 
-        :param live: their leases, sorted.
-        :param complete: no further entry can hold a lease.
+        :param live: leases of the live entries, sorted by daemon and incarnation.
+        :param complete: True if no other entry can hold a lease.
         """
         self._peer_by_daemon = {
             lease.daemon: PeerRecord(
@@ -47,16 +47,16 @@
 
     def is_current(self, request: control_pb2.RenewRequest) -> bool:
         """
-        Tell whether an entry acts on the newest view.
+        Check whether an entry acts on the newest view.
 
-        :param request: its renewal.
-        :return: True where it needs no other.
+        :param request: the entry's renewal.
+        :return: True if the entry's view is the newest one.
         """
         return (request.view_index, request.peers_digest) == self._key()
 
     def encoded(self) -> bytes:
         """
-        Encode the newest view.
+        Return the newest view, encoded on the first call after a change.
 
         :return: an `EntryView`, encoded.
         """
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
@@ -95,12 +95,12 @@
         }
         draining = self._state.drains.drain_by_endpoint
         for endpoint in [known for known in self._known_by_endpoint if known not in serving]:
-            seen = self._known_by_endpoint.pop(endpoint)
+            removed = self._known_by_endpoint.pop(endpoint)
             if endpoint in draining:
                 continue
             self._counters.add("endpoint.lost")
-            eliot.log_message("fleet:lost", endpoint=endpoint, kind=seen.place.kind)
-            self._capacity.note_lost(seen.place, now)
+            eliot.log_message("fleet:lost", endpoint=endpoint, kind=removed.place.kind)
+            self._capacity.note_lost(removed.place, now)
         first_update = not self._known_by_endpoint
         for endpoint, record in serving.items():
             if endpoint not in self._known_by_endpoint:
@@ -121,7 +121,9 @@
 
     def _pending(self, service: str, wall_s: float) -> tuple[Place, ...]:
         """Return the places of ordered endpoints that have not announced themselves."""
-        arrivals = [seen for seen in self._known_by_endpoint.values() if seen.service == service]
+        arrivals = [
+            arrival for arrival in self._known_by_endpoint.values() if arrival.service == service
+        ]
         pending = []
         for order in self._state.orders.order_by_id.values():
             place = _place_of_start_order(order, service)
@@ -129,9 +131,9 @@
                 continue
             arrived = next(
                 (
-                    seen
-                    for seen in arrivals
-                    if seen.place == place and seen.since_s >= order.stamped_s
+                    arrival
+                    for arrival in arrivals
+                    if arrival.place == place and arrival.since_s >= order.stamped_s
                 ),
                 None,
             )
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/orders.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/orders.py
@@ -123,11 +123,7 @@
         async with self._lock_of(receiver):
             if self._has_other_open_order(receiver, order_id):
                 self._counters.refused(Reason.IN_PROGRESS)
-                return Refusal(
-                    Reason.IN_PROGRESS,
-                    not_run=True,
-                    detail="an earlier order is open",
-                )
+                return Refusal(Reason.IN_PROGRESS, not_run=True, detail="an earlier order is open")
             recorded = await commit(self._consensus, intent, f"intent-{order_id}")
             if isinstance(recorded, Refusal):
                 return recorded
--- a/packages/ibisspring-control/src/ibisspring_control/rpc/control_service.py
+++ b/packages/ibisspring-control/src/ibisspring_control/rpc/control_service.py
@@ -18,14 +18,14 @@
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
 
-# The client asks again under the same request id, so that no call is held as long as a silent
-# connection.
-IN_FORCE_POLL_S = 1.0
-MAX_REQUEST_ID = 200
+# A call waits for this long and the client then repeats it with the same request id. A longer call
+# would look like an unresponsive connection to the client.
+IN_FORCE_WAIT_S = 1.0
+MAX_REQUEST_ID_CHARS = 200
 
 
 class ControlService(control_pb2_grpc.ControlServicer):
-    """Answers on the leader; every other replica names the leader it knows."""
+    """Answers requests on the leader; other replicas return the leader that they know."""
 
     def __init__(self, consensus: Any, state: Any, leases: Any, counters: Any) -> None:
         self._consensus = consensus
@@ -38,7 +38,7 @@
         """
         Build the service.
 
-        :param kernel: holds consensus, state, entry_leases and counters.
+        :param kernel: provides consensus, state, entry_leases and counters.
         :return: the servicer.
         """
         return cls(
@@ -51,22 +51,23 @@
     async def Propose(  # noqa: N802
         self, request: control_pb2.ProposeRequest, context: Any
     ) -> control_pb2.ProposeReply:
-        """Commit one command; an operator's change is answered once it is in force everywhere."""
-        command = _parse(request)
+        """Commit one command; an operator's change is acknowledged once every entry acts on it."""
+        command = _parse_command(request)
         if isinstance(command, Refusal):
             return control_pb2.ProposeReply(status=control_pb2.INVALID, detail=command.detail)
         envelope = Envelope(request.request_id, wall_now(), msgspec.Raw(request.command))
         committed = await self._consensus.propose(encode(envelope))
         if isinstance(committed, Refusal):
-            return self._refused(committed)
+            return self._refused_reply(committed)
         index = committed.index
         changed = isinstance(RESULTS.decode(committed.result), RulesApplied | Done)
-        # An operator acts on the answer: told that an endpoint is drained while an entry has not
-        # heard of it, requests that come after the answer would still begin there.
+        # Operators rely on the answer. If a drain were acknowledged before every entry received it,
+        # requests that start after the answer could still be sent to the endpoint.
         if isinstance(command, KEYED_BY_REQUEST_ID) and changed:
-            # A resend finds the first result; what has to be in force is the first index.
+            # A resend returns the result of the first application, so the first log index is the
+            # one that has to be in force.
             index = self._state.first_index_of(request.request_id) or index
-            waited = await self._leases.wait_in_force(index, IN_FORCE_POLL_S)
+            waited = await self._leases.wait_in_force(index, IN_FORCE_WAIT_S)
             if isinstance(waited, Refusal):
                 return control_pb2.ProposeReply(status=control_pb2.UNKNOWN, detail=waited.detail)
         return control_pb2.ProposeReply(status=control_pb2.OK, result=committed.result, index=index)
@@ -74,7 +75,7 @@
     async def Read(  # noqa: N802
         self, request: control_pb2.ReadRequest, context: Any
     ) -> control_pb2.ReadReply:
-        """Answer a query from state that a quorum confirmed after the question came."""
+        """Answer a query from the state, after a quorum confirmed this replica's leadership."""
         query = QUERY_BY_NAME.get(request.query)
         if query is None:
             known = ", ".join(sorted(QUERY_BY_NAME))
@@ -99,7 +100,7 @@
         """Renew an entry's lease."""
         return await self._leases.renew(request)
 
-    def _refused(self, refusal: Refusal) -> control_pb2.ProposeReply:
+    def _refused_reply(self, refusal: Refusal) -> control_pb2.ProposeReply:
         self._counters.refused(refusal.reason)
         if not refusal.not_run:
             return control_pb2.ProposeReply(status=control_pb2.UNKNOWN, detail=refusal.detail)
@@ -110,9 +111,9 @@
         )
 
 
-def _parse(request: control_pb2.ProposeRequest) -> Any:
-    if not request.request_id or len(request.request_id) > MAX_REQUEST_ID:
-        detail = f"a request id has 1 to {MAX_REQUEST_ID} characters"
+def _parse_command(request: control_pb2.ProposeRequest) -> Any:
+    if not request.request_id or len(request.request_id) > MAX_REQUEST_ID_CHARS:
+        detail = f"a request id has 1 to {MAX_REQUEST_ID_CHARS} characters"
         return Refusal(Reason.BAD_REQUEST, True, None, detail)
     try:
         return COMMANDS.decode(request.command)
--- a/packages/ibisspring-control/src/ibisspring_control/rpc/queries.py
+++ b/packages/ibisspring-control/src/ibisspring_control/rpc/queries.py
@@ -1,4 +1,4 @@
-"""Named queries of the service `Control`; each answers with a JSON object."""
+"""Named queries of the gRPC service `Control`; each returns a JSON object."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     from ibisspring_control.entry_leases import EntryLeases
     from ibisspring_control.state import StateMachine
 
-SHOWN_DIGEST = 12
+SHOWN_DIGEST_CHARS = 12
 MAX_SHOWN_CLAIMS = 100
 
 
 @dataclass(frozen=True)
 class QueryContext:
-    """What a query reads; a quorum confirmed it before."""
+    """The services that a query reads, after a quorum confirmed the leadership."""
 
     consensus: Any
     state: StateMachine
@@ -65,7 +65,7 @@
 
 def _keys(context: QueryContext, arguments: dict[str, Any]) -> dict[str, Any]:
     keys = [
-        {"client_account": account.name, "digest": f"sha256:{digest[:SHOWN_DIGEST]}"}
+        {"client_account": account.name, "digest": f"sha256:{digest[:SHOWN_DIGEST_CHARS]}"}
         for account in context.state.rules.rules.client_account_by_name.values()
         for digest in account.key_digests
     ]
--- a/packages/ibisspring-control/src/ibisspring_control/rpc/server.py
+++ b/packages/ibisspring-control/src/ibisspring_control/rpc/server.py
@@ -19,9 +19,10 @@
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", TCP_USER_TIMEOUT_MS),
-    # Peers send a ping every ten seconds; the library's default would take that for an attack.
+    # Peers send a ping every ten seconds. With the library's default minimum interval, the server
+    # would close their connections because of too many pings.
     ("grpc.http2.min_ping_interval_without_data_ms", 5_000),
-    # A second daemon on the same port must fail to start, not share the port.
+    # A second daemon on the same port must fail to start instead of sharing the port.
     ("grpc.so_reuseport", 0),
 )
 STOP_GRACE_S = 1.0
@@ -29,7 +30,10 @@
 
 class ControlRpc:
     """
-    The server; it starts last of the role and stops first, so that no call meets a stopped part.
+    The gRPC server of the role.
+
+    It starts after and stops before the other services of the role, so that no call reaches a
+    service that is not running.
     """
 
     name = "control_rpc"
@@ -43,21 +47,21 @@
         """
         Build the service.
 
-        :param settings: where it listens.
+        :param settings: settings of a daemon with the control role.
         :return: the service.
         """
         return cls(settings.control.listen)
 
     async def start(self, kernel: Kernel) -> None:
-        """Listen."""
+        """Start the gRPC server with the services `Consensus` and `Control`."""
         from ibisspring_consensus.rpc_service import ConsensusService
 
         self._server = grpc.aio.server(options=SERVER_OPTIONS)
         consensus_pb2_grpc.add_ConsensusServicer_to_server(
             ConsensusService.from_kernel(kernel), self._server
         )
-        # A replica without our state machine, as in the tests of the consensus, has no
-        # Control.
+        # A replica without this package's state machine, as in the tests of the consensus, does not
+        # serve `Control`.
         if kernel.find_optional("entry_leases") is not None:
             from ibisspring_control.rpc.control_service import ControlService
 
@@ -68,7 +72,7 @@
         await self._server.start()
 
     async def stop(self) -> None:
-        """Take no new calls and give those under way a moment."""
+        """Refuse new calls and give calls in progress STOP_GRACE_S to finish."""
         await self._server.stop(STOP_GRACE_S)
 
 
--- a/tests/unit/control/engine_orders/test_loads.py
+++ b/tests/unit/control/engine_orders/test_loads.py
@@ -36,11 +36,11 @@
     assert [load.endpoint for load in second] == ["n2"]
 
 
-def test_a_swap_that_never_shows_is_ordered_again_under_another_attempt() -> None:
+def test_a_load_that_is_never_announced_is_ordered_again_as_another_attempt() -> None:
     """
-    An engine takes the order with 202 and does not swap.
+    An engine accepts the order with 202 but does not load the version.
 
-    The leader would count it as swapped for ever, had it believed the 202.
+    A leader that treats the 202 as success would never order the load again.
     """
     table = LoadTable(1, LOAD_TIMEOUT_S)
     (first,) = table.plan(TARGET, (_engine(0),), 0.0)
@@ -50,12 +50,12 @@
     assert (first.attempt, second.attempt) == (1, 2)
 
 
-def test_a_restarted_engine_is_ordered_at_once_and_frees_its_place() -> None:
+def test_a_restarted_engine_frees_its_slot_and_is_ordered_at_once() -> None:
     table = LoadTable(1, LOAD_TIMEOUT_S)
     table.plan(TARGET, (_engine(0),), 0.0)
     restarted = _engine(0, incarnation=2)
 
-    table.keep_only((restarted,))
+    table.retain((restarted,))
 
     assert [load.incarnation for load in table.plan(TARGET, (restarted,), 0.1)] == [2]
 
@@ -63,31 +63,32 @@
 def test_an_older_refusal_does_not_fail_a_newer_load() -> None:
     table = LoadTable(1, LOAD_TIMEOUT_S)
     (old,) = table.plan(TARGET, (_engine(0),), 0.0)
-    table.failed(old, 0.1)
+    table.record_failure(old, 0.1)
     newer = Target("scorer-lm", "scan-reader", 3)
     (load,) = table.plan(newer, (_engine(0),), 0.2)
-    table.failed(old, 0.3)
+    table.record_failure(old, 0.3)
 
-    assert table.loading() == 1
+    assert table.loading_count() == 1
     assert load.attempt != old.attempt
 
 
-def test_a_disproved_announcement_is_ordered_again_after_a_pause_that_grows() -> None:
+def test_a_disproved_version_is_ordered_again_after_an_increasing_pause() -> None:
     """
-    An engine announces version 2 and its tokens are of version 1; told again, it lies again.
+    An engine announces version 2 but its tokens are of version 1, also after the load is repeated.
 
-    Its word taken, it would stay on old weights until the next version; ordered at once each time,
-    it would keep a place of the weight store for ever.
+    If the leader trusted the announcement, the engine would stay on old weights until the next
+    version. If the leader repeated the load without a pause, it would permanently occupy a slot of
+    the weight store.
     """
     table = LoadTable(1, LOAD_TIMEOUT_S)
-    liar = _engine(0, version=2)
-    lie = Disproof("n0", 1, "scan-reader", 2)
-
-    table.disprove(lie, 0.0)
-    assert table.plan(TARGET, (liar,), 0.5) == ()
-    assert len(table.plan(TARGET, (liar,), 1.1)) == 1
-    table.disprove(lie, 1.2)
-    assert table.plan(TARGET, (liar,), 1.1 + LOAD_TIMEOUT_S + 0.1) == ()
-    table.disprove(lie, 40.0)
-    assert table.plan(TARGET, (liar,), 41.1) == ()
-    assert len(table.plan(TARGET, (liar,), 42.1)) == 1
+    engine = _engine(0, version=2)
+    disproof = Disproof("n0", 1, "scan-reader", 2)
+
+    table.record_disproof(disproof, 0.0)
+    assert table.plan(TARGET, (engine,), 0.5) == ()
+    assert len(table.plan(TARGET, (engine,), 1.1)) == 1
+    table.record_disproof(disproof, 1.2)
+    assert table.plan(TARGET, (engine,), 1.1 + LOAD_TIMEOUT_S + 0.1) == ()
+    table.record_disproof(disproof, 40.0)
+    assert table.plan(TARGET, (engine,), 41.1) == ()
+    assert len(table.plan(TARGET, (engine,), 42.1)) == 1
--- a/tests/unit/control/rpc/test_control_service.py
+++ b/tests/unit/control/rpc/test_control_service.py
@@ -30,7 +30,7 @@
 
 
 class _Consensus:
-    """Stand-in: applies at once, or refuses."""
+    """Stand-in: applies each command at once, or refuses it."""
 
     leader_hint = "c2"
     term = 3
@@ -50,7 +50,7 @@
 
 
 class _Leases:
-    """Stand-in: in force everywhere up to an index."""
+    """Stand-in: every entry acts on `in_force`."""
 
     endpoint_by_id: dict = {}
 
@@ -60,7 +60,7 @@
     def live(self) -> tuple:
         return ()
 
-    async def wait_in_force(self, index: int, bound_s: float) -> int | Refusal:
+    async def wait_in_force(self, index: int, wait_limit_s: float) -> int | Refusal:
         return index if index <= self.in_force else Refusal(Reason.IN_PROGRESS, False)
 
 
@@ -92,12 +92,12 @@
     return _Service()
 
 
-async def test_accepted_is_said_once_the_first_application_is_in_force(served) -> None:
+async def test_an_apply_is_acknowledged_once_its_first_index_is_in_force(served) -> None:
     """
-    An apply is committed, but an entry still acts on the old rules; the command line asks again
-    under the same request id, through which its log index moves on.
+    An apply is committed while an entry still acts on the old rules. The command line repeats the
+    request with the same request id, and the repetition gets a higher log index.
 
-    Waiting for the resend's index would wait for a view that no entry will ever be sent.
+    A wait for the log index of the repetition would never end, because no view has that index.
     """
     request_id = new_request_id()
     assert (await served.apply(request_id)).status == control_pb2.UNKNOWN
@@ -110,11 +110,12 @@
     assert RESULTS.decode(reply.result) == RulesApplied(1)
 
 
-async def test_an_operator_who_came_second_is_told_at_once(served) -> None:
+async def test_a_conflicting_apply_is_answered_at_once(served) -> None:
     """
-    Two operators apply under one base; the second one waits and is told that nothing is known.
+    Two operators apply with the same base, and the second one gets a conflict.
 
-    What was refused changed nothing: no entry will ever act on its log index.
+    A refused command changes nothing, so no entry will ever act on its log index. If the service
+    waited for that index, the second operator would get `UNKNOWN` instead of the conflict.
     """
     served.leases.in_force = 1
     await served.apply(new_request_id())
@@ -126,12 +127,12 @@
 
 
 @pytest.mark.parametrize("cancel", [False, True])
-async def test_a_drain_is_acknowledged_once_no_entry_gives_the_endpoint_work(served, cancel):
+async def test_a_drain_is_acknowledged_once_every_entry_acts_on_it(served, cancel):
     """
-    An operator drains an engine, gets the acknowledgement and starts a generation: it runs on the
-    drained engine.
+    A drain is committed, but an entry between two renewals has not received it.
 
-    The drain is committed, but an entry that was between two renewals has not heard of it yet.
+    If the drain were acknowledged then, a generation that the operator starts after the
+    acknowledgement could run on the drained engine.
     """
     request_id = new_request_id()
     drain = DrainEndpoint("engine-1", "ana", cancel)
@@ -146,13 +147,15 @@
 @pytest.mark.parametrize(
     ("not_run", "status"), [(True, control_pb2.NOT_LEADER), (False, control_pb2.UNKNOWN)]
 )
-async def test_a_refused_proposal_says_truly_whether_it_may_commit(served, not_run, status):
+async def test_the_status_of_a_refused_proposal_shows_whether_it_may_commit(
+    served, not_run, status
+):
     served.consensus.refusal = Refusal(Reason.NO_LEADER, not_run)
 
     assert (await served.apply(new_request_id())).status == status
 
 
-async def test_a_broken_command_is_invalid_and_never_logged(served) -> None:
+async def test_an_undecodable_command_is_invalid_and_not_logged(served) -> None:
     request = control_pb2.ProposeRequest(request_id="r", command=b"\xc1")
 
     assert (await served.service.Propose(request, None)).status == control_pb2.INVALID
--- a/tests/unit/control/test_entry_leases.py
+++ b/tests/unit/control/test_entry_leases.py
@@ -27,7 +27,7 @@
 
 @dataclass
 class _Consensus:
-    """Stand-in: leads, and confirms at once."""
+    """Stand-in: is the leader, and confirms reads after 10 ms."""
 
     name = "consensus"
     is_leader: bool = True
@@ -77,9 +77,9 @@
 
 async def test_a_change_is_in_force_once_every_live_entry_acts_on_it(system) -> None:
     """
-    An operator withdraws a key; one entry has the new rules, another has not renewed yet.
+    An operator withdraws a key. One entry has the new rules, another one has not renewed since.
 
-    Answered after the commit alone, "accepted" would be said while the second still takes the key.
+    If the change were acknowledged after its commit, the second entry would still accept the key.
     """
     await system.renew("e1", 0)
     await system.renew("e2", 0)
@@ -96,7 +96,9 @@
     assert await waiting == index
 
 
-async def test_a_silent_entry_is_waited_for_until_its_lease_has_lapsed(system) -> None:
+async def test_a_change_waits_for_an_entry_without_renewals_until_its_lease_has_lapsed(
+    system,
+) -> None:
     await system.renew("e1", 0)
     lapses_s = system.leases.live()[0].lapses_s
     index = system.apply_rules()
@@ -108,9 +110,9 @@
 
 async def test_a_new_leader_waits_out_leases_that_it_never_heard_of(system) -> None:
     """
-    The old leader granted a lease, died, and the new one has heard from no entry yet.
+    The old leader granted a lease and crashed; the new leader has not received a renewal.
 
-    Asked right then, an empty table would look as if no entry were behind.
+    With its empty table, the new leader would conclude that no entry acts on an older index.
     """
     index = system.apply_rules()
     assert await system.leases.wait_in_force(index, LONG_S) == index
@@ -122,7 +124,7 @@
     assert await system.leases.wait_in_force(index, LONG_S) == index
 
 
-async def test_a_reign_counts_from_its_beginning_not_from_its_first_apply(system) -> None:
+async def test_a_leadership_starts_with_the_election_not_with_the_first_apply(system) -> None:
     await wait_until(lambda: system.leases._leader_term == 1, "the leadership to be noted")
     since_s = system.leases._leader_since_s
     index = system.apply_rules()
@@ -141,11 +143,11 @@
     assert not system.leases.live()
 
 
-async def test_a_grant_needs_a_quorum_round_begun_after_its_renewal(system) -> None:
+async def test_a_grant_needs_a_quorum_round_that_began_after_its_renewal(system) -> None:
     """
-    A renewal comes in while a round of an earlier one is under way.
+    A renewal is received during the quorum round of an earlier renewal.
 
-    That round proves nothing about the time after it began: a new leader may have risen since.
+    That round does not confirm the leadership after its start: a new leader may have been elected.
     """
     first = asyncio.create_task(system.renew("e1", 0))
     await asyncio.sleep(0)
@@ -174,11 +176,11 @@
 
 
 @pytest.mark.parametrize("system", [2 * LONG_S], indirect=True)
-async def test_a_held_renewal_is_answered_as_soon_as_something_changed(system) -> None:
+async def test_a_held_renewal_is_answered_when_the_view_changes(system) -> None:
     """
-    Nothing changes for an entry, whose renewal is held; then a rule is accepted.
+    The renewal of an entry is held because its view is current; then a rules file is accepted.
 
-    Unheld, the change would reach the entry with its next renewal only.
+    Without the hold, the change would reach the entry only at its next renewal.
     """
     first = await system.renew("e1", 0)
     current = {"peers_digest": first.peers_digest, "hold_s": LONG_S}
@@ -205,11 +207,11 @@
     assert system.consensus.confirms - before <= 2
 
 
-def test_holds_end_together_and_never_after_their_time() -> None:
+def test_holds_end_at_common_ticks_within_their_limit() -> None:
     """
-    A thousand renewals come in over a second and each may be held for half a second.
+    1000 renewals are received within one second, and each may be held for half a second.
 
-    Ended one by one, each would ask for a quorum round of its own.
+    If each hold ended at its own time, each renewal would need its own quorum round.
     """
     received = [1000.0 + number / 1000 for number in range(1000)]
 
@@ -219,7 +221,7 @@
     assert all(at + 0.25 <= end <= at + 0.5 for at, end in zip(received, ends, strict=True))
 
 
-async def test_the_leader_knows_the_endpoints_that_entries_speak_of(system) -> None:
+async def test_the_leader_merges_the_endpoints_that_entries_report(system) -> None:
     def record(sequence: int, state: str = "serving") -> bytes:
         return encode(
             EndpointRecord("engine-1", 1, sequence, "m", "engine", "cheap", "derby", "a", state)
