--- a/packages/ibisspring-control/src/ibisspring_control/endpoint_table.py
+++ b/packages/ibisspring-control/src/ibisspring_control/endpoint_table.py
@@ -53,7 +53,7 @@
 
     def add_disproofs(self, data: Iterable[bytes]) -> None:
         """
-        Add disproofs that an entry reports.
+        Add disproofs, which are announced weight versions that an engine's tokens contradicted.
 
         :param data: encoded `Disproof` messages; those of unknown endpoints are ignored.
         """
--- a/packages/ibisspring-control/src/ibisspring_control/engine_orders/loads.py
+++ b/packages/ibisspring-control/src/ibisspring_control/engine_orders/loads.py
@@ -166,14 +166,14 @@
             return
         announced = engine.version_by_adapter.get(target.adapter)
         restarted = attempt.incarnation != engine.incarnation
-        over = attempt.loading and now - attempt.started_s > self._load_timeout_s
+        timed_out = attempt.loading and now - attempt.started_s > self._load_timeout_s
         if attempt.disproved and announced == attempt.version and not restarted:
-            if over:
+            if timed_out:
                 # Trust the announcement again until tokens disprove it once more.
                 del self._attempt_by_adapter_key[adapter_key]
         elif restarted or (announced is not None and announced >= attempt.version):
             del self._attempt_by_adapter_key[adapter_key]
-        elif over:
+        elif timed_out:
             self._attempt_by_adapter_key[adapter_key] = _with_failure(attempt, now)
 
     def _view(self, target: Target, engine: EndpointRecord) -> EngineView:
@@ -181,28 +181,28 @@
         version = engine.version_by_adapter.get(target.adapter)
         if attempt is None:
             return EngineView(engine.endpoint, version, running=engine.load.running)
-        same = attempt.version == target.version
+        same_version = attempt.version == target.version
         return EngineView(
             engine.endpoint,
             None if attempt.disproved else version,
             loading=attempt.loading,
-            failures=attempt.failures if same else 0,
-            failed_s=attempt.failed_s if same else 0.0,
+            failures=attempt.failures if same_version else 0,
+            failed_s=attempt.failed_s if same_version else 0.0,
             running=engine.load.running,
         )
 
     def _start_load(self, target: Target, engine: EndpointRecord, now: float) -> Load:
         adapter_key = (engine.endpoint, target.adapter)
-        earlier = self._attempt_by_adapter_key.get(adapter_key)
-        same = earlier is not None and earlier.version == target.version
+        previous = self._attempt_by_adapter_key.get(adapter_key)
+        same_version = previous is not None and previous.version == target.version
         self._attempt_by_adapter_key[adapter_key] = _Attempt(
             engine.incarnation,
             target.version,
             now,
-            earlier.failures if same else 0,
+            previous.failures if same_version else 0,
             0.0,
             loading=True,
-            disproved=same and earlier.disproved,
+            disproved=same_version and previous.disproved,
         )
         return Load(
             target, engine.endpoint, engine.incarnation, engine.address, next(self._numbers)
--- a/packages/ibisspring-control/src/ibisspring_control/engine_orders/service.py
+++ b/packages/ibisspring-control/src/ibisspring_control/engine_orders/service.py
@@ -91,8 +91,8 @@
         for disproof in self._entry_leases.pop_disproofs():
             self._loads.record_disproof(disproof, now)
         for target in self._targets():
-            of_model = tuple(engine for engine in engines if engine.service == target.model)
-            for load in self._loads.plan(target, of_model, now):
+            model_engines = tuple(engine for engine in engines if engine.service == target.model)
+            for load in self._loads.plan(target, model_engines, now):
                 self._start_sending(load, leadership.term)
 
     def _new_load_table(self) -> LoadTable:
--- a/packages/ibisspring-control/src/ibisspring_control/entry_leases.py
+++ b/packages/ibisspring-control/src/ibisspring_control/entry_leases.py
@@ -41,7 +41,7 @@
 
 
 class EntryLeases:
-    """The service `entry_leases`."""
+    """The service `entry_leases`: grants leases to entries and merges the endpoints they report."""
 
     name = "entry_leases"
 
@@ -86,7 +86,7 @@
     async def stop(self) -> None:
         """No-op: the sweep ends when the service `timer` stops."""
 
-    def live(self) -> tuple[EntryLease, ...]:
+    def live_leases(self) -> tuple[EntryLease, ...]:
         """
         Find the leases that may be in force.
 
@@ -134,7 +134,7 @@
 
     async def wait_in_force(self, index: int, wait_limit_s: float) -> int | Refusal:
         """
-        Wait until every entry that may hold a lease acts on at least a log index.
+        Wait until every entry that may hold a lease acts on a view of at least a given log index.
 
         :param index: log index of the accepted change.
         :param wait_limit_s: time limit in seconds.
@@ -147,12 +147,13 @@
                 return Refusal(Reason.NO_LEADER, False, 0.0, "this replica is no longer the leader")
             self._update_leadership()
             now = boot_now()
-            behind = [lease for lease in self.live() if lease.view_index < index]
-            if not behind and now >= self._predecessors_lapsed_s():
+            outdated = [lease for lease in self.live_leases() if lease.view_index < index]
+            if not outdated and now >= self._predecessors_lapsed_s():
                 return index
             if now >= end:
                 names = (
-                    ", ".join(lease.daemon for lease in behind) or "entries of the previous leader"
+                    ", ".join(lease.daemon for lease in outdated)
+                    or "entries of the previous leader"
                 )
                 return Refusal(Reason.IN_PROGRESS, False, 0.0, f"not yet in force on {names}")
             self._changed.clear()
@@ -227,7 +228,7 @@
         return now - all_requested_s >= max(ALL_ENDPOINTS_EVERY_S, spacing_s)
 
     def _update_peers(self) -> None:
-        self._views.set_peers(self.live(), boot_now() >= self._predecessors_lapsed_s())
+        self._views.set_peers(self.live_leases(), boot_now() >= self._predecessors_lapsed_s())
         self._notify_view_changed()
 
     def _predecessors_lapsed_s(self) -> float:
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/backoff.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/backoff.py
@@ -8,7 +8,7 @@
 
 class Backoff:
     """
-    Pause before the next attempt by key, doubled after each failure up to MAX_PAUSE_S.
+    Tracks a pause between attempts for each key; failures double it up to MAX_PAUSE_S.
 
     Without this, a receiver that is down for an hour would be sent several new connections per
     second, and would be busy with them for its first minute after it is up again.
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/drains.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/drains.py
@@ -73,11 +73,11 @@
                 await self._cancel_if_absent(drain, stopped, now)
                 continue
             self._absent_since_by_endpoint.pop(drain.endpoint, None)
-            step = await self._decide(drain, record, now, wall_s)
+            step = await self._next_drain_step(drain, record, now, wall_s)
             if step is not DrainStep.WAIT:
                 await self._send_stop_order(leadership, record, step)
 
-    async def _decide(
+    async def _next_drain_step(
         self, drain: Drain, record: EndpointRecord, now: float, wall_s: float
     ) -> DrainStep:
         if drain.endpoint not in self._in_force_by_endpoint:
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
@@ -34,6 +34,13 @@
 
 @dataclass(frozen=True)
 class _KnownEndpoint:
+    """
+    A serving endpoint that this leader knows.
+
+    :param since_s: wall-clock seconds at which the endpoint was first found in the table; 0 if it
+        was in the first table of this leader.
+    """
+
     place: Place
     service: str
     since_s: float
@@ -75,7 +82,7 @@
             self._order_number = 0
         # Only live entries report endpoints. While no entry is live, a fleet that is serving would
         # appear to be lost.
-        if now < leadership.acts_from_s + TABLE_SYNC_S or not self._leases.live():
+        if now < leadership.may_send_from_s + TABLE_SYNC_S or not self._leases.live_leases():
             return
         self._update_known_endpoints(now, wall_s)
         placements = self._state.rules.rules.placement_by_service
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/leadership.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/leadership.py
@@ -15,11 +15,11 @@
     Leadership of this replica in one term.
 
     :param term: the term in which this replica is the leader.
-    :param acts_from_s: boot-clock seconds from which this replica may send.
+    :param may_send_from_s: boot-clock seconds from which this replica may send.
     """
 
     term: int
-    acts_from_s: float
+    may_send_from_s: float
 
 
 class LeadershipWatch:
@@ -60,7 +60,7 @@
         term = self._consensus.term
         if self._leadership is None or self._leadership.term != term:
             self._leadership = Leadership(term, now + self._wait_s)
-        if now < self._leadership.acts_from_s:
+        if now < self._leadership.may_send_from_s:
             return None
         return self._leadership
 
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/orders.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/orders.py
@@ -54,13 +54,13 @@
     :param sender: this daemon's id, for the receiver's log.
     :param platform_url: base URL of the platform.
     :param timeout_s: time limit for an answer.
-    :param least_lease_s: minimum remaining lease, in seconds, when bytes are written.
+    :param min_lease_s: minimum remaining lease, in seconds, when bytes are written.
     """
 
     sender: str
     platform_url: str
     timeout_s: float
-    least_lease_s: float
+    min_lease_s: float
 
 
 UrlOf = Callable[[str], str | None]
@@ -213,7 +213,7 @@
         return await send_guarded(
             request,
             lambda: self._watch.lease_left_s(leadership),
-            self._settings.least_lease_s,
+            self._settings.min_lease_s,
             self._settings.timeout_s,
         )
 
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/service.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/service.py
@@ -78,9 +78,9 @@
         daemon = self._settings.daemon
         state = self._state
         self._watch = LeadershipWatch.from_config(consensus, control)
-        least_lease_s = min(control.order_timeout_s, control.leader_lease_s / 2)
+        min_lease_s = min(control.order_timeout_s, control.leader_lease_s / 2)
         order_settings = OrderSettings(
-            daemon, control.platform_url, control.order_timeout_s, least_lease_s
+            daemon, control.platform_url, control.order_timeout_s, min_lease_s
         )
         self._orders = Orders(consensus, state, self._watch, counters, order_settings, self._url_of)
         report_settings = ReportSettings(
@@ -88,7 +88,7 @@
             control.usage_url,
             control.usage_window_s,
             control.order_timeout_s,
-            least_lease_s,
+            min_lease_s,
         )
         self._usage = UsageReports(consensus, state, self._watch, counters, report_settings)
         limits = DrainLimits(control.drain_settle_s, control.drain_deadline_s)
@@ -159,7 +159,7 @@
         # Until the entries have sent their endpoints to a new leader, every receiver is unknown.
         if (
             self._url_of(receiver) is None
-            and now < leadership.acts_from_s + UNKNOWN_RECEIVER_WAIT_S
+            and now < leadership.may_send_from_s + UNKNOWN_RECEIVER_WAIT_S
         ):
             return
         async with limit:
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/usage_reports.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/usage_reports.py
@@ -35,14 +35,14 @@
     :param usage_url: base URL of the usage interface.
     :param window_s: length of a window in seconds.
     :param timeout_s: time limit for an answer.
-    :param least_lease_s: minimum remaining lease, in seconds, when bytes are written.
+    :param min_lease_s: minimum remaining lease, in seconds, when bytes are written.
     """
 
     reporter: str
     usage_url: str
     window_s: float
     timeout_s: float
-    least_lease_s: float
+    min_lease_s: float
 
 
 class UsageReports:
@@ -92,7 +92,7 @@
         answer = await send_guarded(
             self._build_request(leadership, window),
             lambda: self._watch.lease_left_s(leadership),
-            self._settings.least_lease_s,
+            self._settings.min_lease_s,
             self._settings.timeout_s,
         )
         if isinstance(answer, NoAnswer):
--- a/packages/ibisspring-control/src/ibisspring_control/role.py
+++ b/packages/ibisspring-control/src/ibisspring_control/role.py
@@ -1,4 +1,4 @@
-"""The services of the control role."""
+"""Builds the services of the control role."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-control/src/ibisspring_control/rpc/control_service.py
+++ b/packages/ibisspring-control/src/ibisspring_control/rpc/control_service.py
@@ -67,9 +67,9 @@
             # A resend returns the result of the first application, so the first log index is the
             # one that has to be in force.
             index = self._state.first_index_of(request.request_id) or index
-            waited = await self._leases.wait_in_force(index, IN_FORCE_WAIT_S)
-            if isinstance(waited, Refusal):
-                return control_pb2.ProposeReply(status=control_pb2.UNKNOWN, detail=waited.detail)
+            in_force = await self._leases.wait_in_force(index, IN_FORCE_WAIT_S)
+            if isinstance(in_force, Refusal):
+                return control_pb2.ProposeReply(status=control_pb2.UNKNOWN, detail=in_force.detail)
         return control_pb2.ProposeReply(status=control_pb2.OK, result=committed.result, index=index)
 
     async def Read(  # noqa: N802
--- a/packages/ibisspring-control/src/ibisspring_control/rpc/queries.py
+++ b/packages/ibisspring-control/src/ibisspring_control/rpc/queries.py
@@ -37,7 +37,7 @@
             "view_index": lease.view_index,
             "lease_left_s": round(lease.lapses_s - now, 2),
         }
-        for lease in context.leases.live()
+        for lease in context.leases.live_leases()
     ]
     return {
         "leader": context.consensus.leader_hint or "",
@@ -85,7 +85,7 @@
     state = context.state
     trainers = []
     for name, trainer in sorted(state.rules.rules.trainer_by_name.items()):
-        steps = state.steps.of_trainer(name)
+        steps = state.steps.steps_of(name)
         trainers.append(
             {
                 "trainer": name,
--- a/packages/ibisspring-control/src/ibisspring_control/state/claims.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/claims.py
@@ -10,7 +10,7 @@
 from ibisspring_core.messages.commands import ClaimKey, ClaimState, Refused, SettleClaim
 
 if TYPE_CHECKING:
-    from ibisspring_control.state.moment import Moment
+    from ibisspring_control.state.moment import LogPosition
 
 RUNNING = "running"
 DONE = "done"
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class ClaimsSnapshot:
-    """All claims, ordered by log index."""
+    """All claims, ordered by log index, and the newest known incarnation of each daemon."""
 
     claims: tuple[Claim, ...] = ()
     incarnation_by_daemon: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -96,17 +96,17 @@
         starts = self.incarnation_by_daemon
         self.incarnation_by_daemon = {name: starts[name] for name in sorted(needed & set(starts))}
 
-    def claim(self, command: ClaimKey, moment: Moment) -> ClaimState | Refused:
+    def claim(self, command: ClaimKey, position: LogPosition) -> ClaimState | Refused:
         """Claim a free key for a request, or return the state of the existing claim."""
         self.record_start(command.daemon, command.incarnation)
-        self._remove_expired(moment)
+        self._remove_expired(position)
         if command.incarnation < self.incarnation_by_daemon[command.daemon]:
             return Refused(Reason.CONFLICT.value, "this daemon has since been restarted")
         claim_key = (command.client_account, command.key)
         claim = self.claim_by_key.get(claim_key)
         if claim is not None:
-            return self._existing_claim_state(claim, command, moment)
-        if len(self.claim_by_key) >= MAX_CLAIMS and not self._evict_oldest_settled(moment):
+            return self._existing_claim_state(claim, command, position)
+        if len(self.claim_by_key) >= MAX_CLAIMS and not self._evict_oldest_settled(position):
             return Refused(Reason.QUEUE_FULL.value, TABLE_FULL_DETAIL)
         self.claim_by_key[claim_key] = Claim(
             command.client_account,
@@ -115,8 +115,8 @@
             command.request_id,
             command.daemon,
             command.incarnation,
-            moment.index,
-            moment.stamped_s,
+            position.index,
+            position.stamped_s,
         )
         return ClaimState("granted", command.request_id, command.daemon)
 
@@ -153,7 +153,9 @@
             stored=fits,
         )
 
-    def _existing_claim_state(self, claim: Claim, command: ClaimKey, moment: Moment) -> ClaimState:
+    def _existing_claim_state(
+        self, claim: Claim, command: ClaimKey, position: LogPosition
+    ) -> ClaimState:
         if claim.digest != command.digest:
             return self._with_state(claim, "conflict")
         if claim.state != RUNNING:
@@ -165,7 +167,7 @@
         # restarted since, or the claim is older than any request may take, it is unknown whether
         # the request ran.
         restarted = claim.incarnation < self.incarnation_by_daemon.get(claim.daemon, 0)
-        if restarted or moment.stamped_s - claim.stamped_s > RUNNING_LIMIT_S:
+        if restarted or position.stamped_s - claim.stamped_s > RUNNING_LIMIT_S:
             return self._with_state(claim, MAY_HAVE_RUN)
         return self._with_state(claim, RUNNING)
 
@@ -180,16 +182,16 @@
             claim.stored,
         )
 
-    def _remove_expired(self, moment: Moment) -> None:
+    def _remove_expired(self, position: LogPosition) -> None:
         while self.claim_by_key:
             claim_key, claim = next(iter(self.claim_by_key.items()))
-            if moment.stamped_s - claim.stamped_s <= CLAIM_RETENTION_S:
+            if position.stamped_s - claim.stamped_s <= CLAIM_RETENTION_S:
                 return
             self._remove(claim_key)
 
-    def _evict_oldest_settled(self, moment: Moment) -> bool:
+    def _evict_oldest_settled(self, position: LogPosition) -> bool:
         claim_key, claim = next(iter(self.claim_by_key.items()))
-        if claim.state == RUNNING or moment.stamped_s - claim.stamped_s <= MIN_CLAIM_RETENTION_S:
+        if claim.state == RUNNING or position.stamped_s - claim.stamped_s <= MIN_CLAIM_RETENTION_S:
             return False
         self._remove(claim_key)
         return True
--- a/packages/ibisspring-control/src/ibisspring_control/state/drains.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/drains.py
@@ -9,7 +9,7 @@
 from ibisspring_core.messages.commands import Done, DrainEndpoint, Refused
 
 if TYPE_CHECKING:
-    from ibisspring_control.state.moment import Moment
+    from ibisspring_control.state.moment import LogPosition
 
 # More than the number of endpoints in a system. Every entry receives the complete list.
 MAX_DRAINS = 1_000
@@ -43,7 +43,7 @@
         by_endpoint = self.drain_by_endpoint
         return DrainsSnapshot(tuple(by_endpoint[endpoint] for endpoint in sorted(by_endpoint)))
 
-    def apply(self, command: DrainEndpoint, moment: Moment) -> Done | Refused:
+    def apply(self, command: DrainEndpoint, position: LogPosition) -> Done | Refused:
         """Start or cancel a drain; repeating the command changes nothing."""
         if command.cancel:
             self.drain_by_endpoint.pop(command.endpoint, None)
@@ -53,7 +53,7 @@
         if len(self.drain_by_endpoint) >= MAX_DRAINS:
             return Refused(Reason.QUEUE_FULL.value, f"{MAX_DRAINS} endpoints are draining already")
         self.drain_by_endpoint[command.endpoint] = Drain(
-            command.endpoint, command.operator, moment.index, moment.stamped_s
+            command.endpoint, command.operator, position.index, position.stamped_s
         )
         return Done()
 
--- a/packages/ibisspring-control/src/ibisspring_control/state/machine.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/machine.py
@@ -16,7 +16,7 @@
 
 from ibisspring_control.state.claims import Claims, ClaimsSnapshot
 from ibisspring_control.state.drains import Drains, DrainsSnapshot
-from ibisspring_control.state.moment import Moment
+from ibisspring_control.state.moment import LogPosition
 from ibisspring_control.state.orders import Order, Orders, OrdersSnapshot
 from ibisspring_control.state.requests import (
     RequestResult,
@@ -66,22 +66,24 @@
     name = "state"
 
     def __init__(self, snapshot: Snapshot) -> None:
-        self._load(snapshot)
+        self._set_state(snapshot)
         self._view_callbacks: list[Callable[[], None]] = []
-        self._run_by_type: dict[type[Any], Callable[[Any, Moment], Any]] = {
-            commands.ApplyRules: lambda command, at: self.rules.apply(command, at),
-            commands.ClaimKey: lambda command, at: self.claims.claim(command, at),
-            commands.SettleClaim: lambda command, at: self.claims.settle(command),
-            commands.AddUsage: lambda command, at: self.usage.add(command, at),
-            commands.CloseWindow: lambda command, at: self.usage.close(command, at),
-            commands.WindowReported: lambda command, at: self.usage.reported(command),
-            commands.OrderIntent: lambda command, at: self.orders.record_intent(command, at),
-            commands.OrderResolved: lambda command, at: self.orders.resolve(command),
-            commands.DrainEndpoint: lambda command, at: self.drains.apply(command, at),
+        self._run_by_type: dict[type[Any], Callable[[Any, LogPosition], Any]] = {
+            commands.ApplyRules: lambda command, position: self.rules.apply(command, position),
+            commands.ClaimKey: lambda command, position: self.claims.claim(command, position),
+            commands.SettleClaim: lambda command, position: self.claims.settle(command),
+            commands.AddUsage: lambda command, position: self.usage.add(command, position),
+            commands.CloseWindow: lambda command, position: self.usage.close(command, position),
+            commands.WindowReported: lambda command, position: self.usage.mark_reported(command),
+            commands.OrderIntent: lambda command, position: self.orders.record_intent(
+                command, position
+            ),
+            commands.OrderResolved: lambda command, position: self.orders.resolve(command),
+            commands.DrainEndpoint: lambda command, position: self.drains.apply(command, position),
             commands.PublishVersion: self._publish,
             commands.OpenStep: self._open_step,
             commands.DeliverBatch: self._deliver,
-            commands.AckStep: lambda command, at: self.steps.acknowledge(command),
+            commands.AckStep: lambda command, position: self.steps.acknowledge(command),
             commands.DaemonStarted: self._record_start,
         }
 
@@ -130,12 +132,12 @@
             # Every replica returns the same refusal for these bytes. Raising an exception would
             # stop every replica at this log entry, also after each restart.
             return RESULTS.encode(Refused(Reason.BAD_REQUEST.value, str(error)))
-        moment = Moment(index, envelope.stamped_s)
+        position = LogPosition(index, envelope.stamped_s)
         if not isinstance(command, KEYED_BY_REQUEST_ID):
-            return RESULTS.encode(self._execute(command, moment))
-        return self._execute_once(envelope, command, moment)
+            return RESULTS.encode(self._execute(command, position))
+        return self._execute_once(envelope, command, position)
 
-    def _execute_once(self, envelope: Envelope, command: Any, moment: Moment) -> bytes:
+    def _execute_once(self, envelope: Envelope, command: Any, position: LogPosition) -> bytes:
         digest = xxhash.xxh3_64_intdigest(bytes(envelope.command))
         known = self.requests.result_by_id.get(envelope.request_id)
         if known is not None and known.command_digest != digest:
@@ -143,35 +145,37 @@
             return RESULTS.encode(Refused(Reason.CONFLICT.value, detail))
         if known is not None:
             return known.result
-        refused = self.requests.check(envelope.request_id, moment)
+        refused = self.requests.check(envelope.request_id, position)
         if refused is not None:
             return RESULTS.encode(refused)
-        result = RESULTS.encode(self._execute(command, moment))
+        result = RESULTS.encode(self._execute(command, position))
         self.requests.store(
-            RequestResult(envelope.request_id, moment.index, digest, result), moment
+            RequestResult(envelope.request_id, position.index, digest, result), position
         )
         return result
 
-    def _execute(self, command: Any, moment: Moment) -> Any:
-        result = self._run_by_type[type(command)](command, moment)
+    def _execute(self, command: Any, position: LogPosition) -> Any:
+        result = self._run_by_type[type(command)](command, position)
         if isinstance(command, CHANGES_VIEW) and isinstance(
             result, commands.RulesApplied | commands.Done
         ):
-            self.view_index = moment.index
+            self.view_index = position.index
             self._notify_view_changed()
         return result
 
-    def _publish(self, command: commands.PublishVersion, moment: Moment) -> Any:
-        return self.trainers.publish(command, self.rules.rules, moment)
+    def _publish(self, command: commands.PublishVersion, position: LogPosition) -> Any:
+        return self.trainers.publish(command, self.rules.rules, position)
 
-    def _open_step(self, command: commands.OpenStep, moment: Moment) -> Any:
+    def _open_step(self, command: commands.OpenStep, position: LogPosition) -> Any:
         return self.steps.open(command, self.rules.rules)
 
-    def _deliver(self, command: commands.DeliverBatch, moment: Moment) -> Any:
+    def _deliver(self, command: commands.DeliverBatch, position: LogPosition) -> Any:
         version = self.trainers.version_of(command.trainer)
         return self.steps.deliver(command, self.rules.rules, version)
 
-    def _record_start(self, command: commands.DaemonStarted, moment: Moment) -> commands.Done:
+    def _record_start(
+        self, command: commands.DaemonStarted, position: LogPosition
+    ) -> commands.Done:
         self.claims.record_start(command.daemon, command.incarnation)
         return commands.Done()
 
@@ -181,7 +185,7 @@
 
         :return: windows that are open, or closed and not acknowledged, oldest first.
         """
-        return self.usage.unreported()
+        return self.usage.unreported_windows()
 
     def open_orders(self) -> tuple[Order, ...]:
         """
@@ -264,10 +268,10 @@
 
         :param data: bytes from `snapshot`; raises `msgspec.DecodeError` if they are malformed.
         """
-        self._load(decode(data, Snapshot))
+        self._set_state(decode(data, Snapshot))
         self._notify_view_changed()
 
-    def _load(self, snapshot: Snapshot) -> None:
+    def _set_state(self, snapshot: Snapshot) -> None:
         self.applied_index = snapshot.applied_index
         self.view_index = snapshot.view_index
         self.requests = RequestResults(snapshot.requests)
--- a/packages/ibisspring-control/src/ibisspring_control/state/moment.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/moment.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class Moment:
+class LogPosition:
     """
     Log index and timestamp of a command.
 
@@ -19,4 +19,4 @@
     stamped_s: float
 
 
-__all__ = ["Moment"]
+__all__ = ["LogPosition"]
--- a/packages/ibisspring-control/src/ibisspring_control/state/orders.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/orders.py
@@ -16,7 +16,7 @@
 )
 
 if TYPE_CHECKING:
-    from ibisspring_control.state.moment import Moment
+    from ibisspring_control.state.moment import LogPosition
 
 # Resolved orders are kept so that a resent intent or resolution is recognized as a repetition.
 MAX_RESOLVED_ORDERS = 1_000
@@ -69,7 +69,9 @@
         """Return all orders, in an order that is the same on all replicas."""
         return OrdersSnapshot(self.fencing, tuple(self.order_by_id.values()))
 
-    def record_intent(self, command: OrderIntent, moment: Moment) -> IntentRecorded | Refused:
+    def record_intent(
+        self, command: OrderIntent, position: LogPosition
+    ) -> IntentRecorded | Refused:
         """Record an order before it is sent; a repeated intent returns its first fencing number."""
         known = self.order_by_id.get(command.order_id)
         if known is not None:
@@ -82,8 +84,8 @@
             command.receiver,
             command.body,
             self.fencing,
-            moment.index,
-            moment.stamped_s,
+            position.index,
+            position.stamped_s,
         )
         return IntentRecorded(self.fencing)
 
--- a/packages/ibisspring-control/src/ibisspring_control/state/requests.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/requests.py
@@ -16,7 +16,7 @@
 from ibisspring_core.request_ids import created_s_of
 
 if TYPE_CHECKING:
-    from ibisspring_control.state.moment import Moment
+    from ibisspring_control.state.moment import LogPosition
 
 # An operator who did not receive the answer resends the command within minutes.
 RESEND_WINDOW_S = 600.0
@@ -61,7 +61,7 @@
         """Return all results, in an order that is the same on all replicas."""
         return RequestsSnapshot(self.floor_s, tuple(self.result_by_id.values()))
 
-    def check(self, request_id: str, moment: Moment) -> Refused | None:
+    def check(self, request_id: str, position: LogPosition) -> Refused | None:
         """
         Check whether a command whose request id has no stored result may be applied.
 
@@ -70,10 +70,10 @@
         created_s = created_s_of(request_id)
         if created_s is None:
             return Refused(Reason.BAD_REQUEST.value, "the request id contains no creation time")
-        if created_s > moment.stamped_s + MAX_CLOCK_SKEW_S:
+        if created_s > position.stamped_s + MAX_CLOCK_SKEW_S:
             detail = "the request id is from the future: check the clocks of this VM and the leader"
             return Refused(Reason.BAD_REQUEST.value, detail)
-        if created_s <= max(self.floor_s, moment.stamped_s - RESEND_WINDOW_S):
+        if created_s <= max(self.floor_s, position.stamped_s - RESEND_WINDOW_S):
             detail = (
                 "the request id is too old to know whether the command was applied:"
                 " check, then use a new request id"
@@ -81,14 +81,14 @@
             return Refused(Reason.MAY_HAVE_RUN.value, detail)
         return None
 
-    def store(self, result: RequestResult, moment: Moment) -> None:
+    def store(self, result: RequestResult, position: LogPosition) -> None:
         """Store a first result and remove results above MAX_RESULTS or RESEND_WINDOW_S."""
         self.result_by_id[result.request_id] = result
         while self.result_by_id:
             oldest = next(iter(self.result_by_id))
             created_s = created_s_of(oldest) or 0.0
             too_many = len(self.result_by_id) > MAX_RESULTS
-            if not too_many and created_s > moment.stamped_s - RESEND_WINDOW_S:
+            if not too_many and created_s > position.stamped_s - RESEND_WINDOW_S:
                 return
             # `stamped_s` may go back at a change of leader, so the age alone does not prevent that
             # a resend of a removed id is applied again. `floor_s` never decreases and prevents it.
--- a/packages/ibisspring-control/src/ibisspring_control/state/rule_versions.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/rule_versions.py
@@ -15,7 +15,7 @@
 from ibisspring_core.rules import Rules, parse_rules
 
 if TYPE_CHECKING:
-    from ibisspring_control.state.moment import Moment
+    from ibisspring_control.state.moment import LogPosition
 
 # Covers the versions that are accepted while an operator leaves a file open over lunch, on a day
 # with 260 changes. A conflict can then show the changes since the operator's base version.
@@ -62,7 +62,9 @@
         """Return the kept versions, oldest first."""
         return RulesSnapshot(tuple(self.versions))
 
-    def apply(self, command: ApplyRules, moment: Moment) -> RulesApplied | RulesConflict | Refused:
+    def apply(
+        self, command: ApplyRules, position: LogPosition
+    ) -> RulesApplied | RulesConflict | Refused:
         """Put a file in force if its base is the current version and it has no findings."""
         if command.base != self.current.version:
             return self._conflict(command.base)
@@ -72,7 +74,9 @@
             return Refused(Reason.BAD_REQUEST.value, detail)
         version = self.current.version + 1
         self.versions.append(
-            RulesVersion(version, moment.index, moment.stamped_s, command.operator, command.text)
+            RulesVersion(
+                version, position.index, position.stamped_s, command.operator, command.text
+            )
         )
         del self.versions[:-MAX_KEPT_VERSIONS]
         self.rules = rules
--- a/packages/ibisspring-control/src/ibisspring_control/state/steps.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/steps.py
@@ -78,7 +78,7 @@
         steps = tuple(step for _, step in sorted(self.step_by_key.items()))
         return StepsSnapshot(steps, dict(self.lowest_by_trainer))
 
-    def of_trainer(self, trainer: str) -> tuple[Step, ...]:
+    def steps_of(self, trainer: str) -> tuple[Step, ...]:
         """Return the kept steps of a trainer, lowest first."""
         return tuple(step for key, step in sorted(self.step_by_key.items()) if key[0] == trainer)
 
@@ -142,8 +142,8 @@
         if step is None:
             return Refused(Reason.CONFLICT.value, f"step {command.step} is not open")
         if step.state != OPEN or step.epoch != command.epoch:
-            same = step.batch_digest == command.batch_digest
-            state = step.state if same and step.state != OPEN else CONFLICT
+            same_batch = step.batch_digest == command.batch_digest
+            state = step.state if same_batch and step.state != OPEN else CONFLICT
             return dataclasses.replace(_state_of(step), state=state)
         trainer = rules.trainer_by_name.get(command.trainer)
         if trainer is None:
@@ -154,8 +154,10 @@
             return Refused(Reason.BAD_REQUEST.value, detail)
         if self._any_delivered(command.trainer, hashes):
             return Refused(Reason.CONFLICT.value, "a sample of this batch was already delivered")
-        oldest = trainer_version - trainer.staleness_versions
-        stale = tuple(label.sample for label in command.labels if label.oldest_version < oldest)
+        oldest_allowed = trainer_version - trainer.staleness_versions
+        stale = tuple(
+            label.sample for label in command.labels if label.oldest_version < oldest_allowed
+        )
         if stale:
             return BatchStale(trainer_version, stale)
         step = dataclasses.replace(
@@ -168,7 +170,7 @@
         return _state_of(step)
 
     def _any_delivered(self, trainer: str, hashes: set[int]) -> bool:
-        steps = self.of_trainer(trainer)
+        steps = self.steps_of(trainer)
         return any(not hashes.isdisjoint(step.sample_hashes) for step in steps)
 
     def acknowledge(self, command: AckStep) -> StepState | Refused:
@@ -184,7 +186,7 @@
         return _state_of(step)
 
     def _remove_oldest(self, trainer: str) -> None:
-        steps = self.of_trainer(trainer)
+        steps = self.steps_of(trainer)
         for step in steps[:-MAX_STEPS_PER_TRAINER]:
             del self.step_by_key[(trainer, step.step)]
             lowest = max(self.lowest_by_trainer.get(trainer, 0), step.step + 1)
--- a/packages/ibisspring-control/src/ibisspring_control/state/trainers.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/trainers.py
@@ -9,7 +9,7 @@
 from ibisspring_core.messages.commands import Done, PublishVersion, Refused
 
 if TYPE_CHECKING:
-    from ibisspring_control.state.moment import Moment
+    from ibisspring_control.state.moment import LogPosition
     from ibisspring_core.rules import Rules
 
 
@@ -46,7 +46,9 @@
         known = self.version_by_trainer.get(trainer)
         return known.version if known is not None else 0
 
-    def publish(self, command: PublishVersion, rules: Rules, moment: Moment) -> Done | Refused:
+    def publish(
+        self, command: PublishVersion, rules: Rules, position: LogPosition
+    ) -> Done | Refused:
         """Record a newer version if a share rule allows the trainer to train this model."""
         if command.trainer not in rules.trainers_by_model.get(command.model, ()):
             detail = f"no share rule lets {command.trainer!r} train {command.model!r}"
@@ -57,7 +59,7 @@
         if command.version < newest:
             return Refused(Reason.STALE.value, f"version {newest} was already published")
         self.version_by_trainer[command.trainer] = TrainerVersion(
-            command.trainer, command.model, command.version, moment.index
+            command.trainer, command.model, command.version, position.index
         )
         return Done()
 
--- a/packages/ibisspring-control/src/ibisspring_control/state/usage.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/usage.py
@@ -17,7 +17,7 @@
 )
 
 if TYPE_CHECKING:
-    from ibisspring_control.state.moment import Moment
+    from ibisspring_control.state.moment import LogPosition
 
 # Reported windows are kept for `usage show`: four hours at one minute per window.
 MAX_REPORTED_WINDOWS = 240
@@ -116,7 +116,7 @@
         sequences = sorted(self.sequence_by_start.values(), key=_start_key)
         return UsageSnapshot(self.closed_through, tuple(windows), tuple(sequences))
 
-    def add(self, command: AddUsage, moment: Moment) -> UsageAdded | Refused:
+    def add(self, command: AddUsage, position: LogPosition) -> UsageAdded | Refused:
         """Count an entry's records once: in their window, or as late in the first open window."""
         start = (command.daemon, command.incarnation)
         known = self.sequence_by_start.get(start)
@@ -133,7 +133,7 @@
         for record in command.records:
             _merge(lines, record, late)
         self.sequence_by_start[start] = UsageSequence(
-            *start, command.sequence, window, moment.stamped_s
+            *start, command.sequence, window, position.stamped_s
         )
         return UsageAdded(window)
 
@@ -148,7 +148,7 @@
         del self.sequence_by_start[starts[0]]
         return True
 
-    def close(self, command: CloseWindow, moment: Moment) -> Done:
+    def close(self, command: CloseWindow, position: LogPosition) -> Done:
         """Close a window, which fixes its figures; closing it again changes nothing."""
         if command.window <= self.closed_through:
             return Done()
@@ -159,18 +159,18 @@
             for line in self.lines_by_window.pop(window).values():
                 _merge(lines, line, line.late or window < command.window)
         self.closed_by_window[command.window] = UsageWindow(
-            command.window, _sorted(lines), moment.index, moment.stamped_s
+            command.window, _sorted(lines), position.index, position.stamped_s
         )
         self.closed_through = command.window
-        self._remove_expired_starts(moment)
+        self._remove_expired_starts(position)
         return Done()
 
-    def _remove_expired_starts(self, moment: Moment) -> None:
+    def _remove_expired_starts(self, position: LogPosition) -> None:
         for start, sequence in list(self.sequence_by_start.items()):
-            if moment.stamped_s - sequence.stamped_s > SEQUENCE_RETENTION_S:
+            if position.stamped_s - sequence.stamped_s > SEQUENCE_RETENTION_S:
                 del self.sequence_by_start[start]
 
-    def reported(self, command: WindowReported) -> Done | Refused:
+    def mark_reported(self, command: WindowReported) -> Done | Refused:
         """Record that the usage interface acknowledged a closed window."""
         window = self.closed_by_window.get(command.window)
         if window is None:
@@ -183,7 +183,7 @@
         self._remove_oldest_reported()
         return Done()
 
-    def unreported(self) -> tuple[UsageWindow, ...]:
+    def unreported_windows(self) -> tuple[UsageWindow, ...]:
         """Return the windows that are open, or closed and not acknowledged, oldest first."""
         closed = [window for window in self.closed_by_window.values() if not window.reported]
         return tuple(sorted([*closed, *self._open_windows()], key=_window_index))
@@ -200,12 +200,12 @@
 
 def _merge(lines: dict[LineKey, UsageLine], line: UsageLine | UsageRecord, late: bool) -> None:
     key = (line.client_account, line.service, late)
-    old = lines.get(key, UsageLine(*key, tokens=0, calls=0, endpoint_s=0.0))
+    previous = lines.get(key, UsageLine(*key, tokens=0, calls=0, endpoint_s=0.0))
     lines[key] = UsageLine(
         *key,
-        tokens=old.tokens + line.tokens,
-        calls=old.calls + line.calls,
-        endpoint_s=old.endpoint_s + line.endpoint_s,
+        tokens=previous.tokens + line.tokens,
+        calls=previous.calls + line.calls,
+        endpoint_s=previous.endpoint_s + line.endpoint_s,
     )
 
 
--- a/tests/unit/control/engine_orders/test_loads.py
+++ b/tests/unit/control/engine_orders/test_loads.py
@@ -23,7 +23,7 @@
     )
 
 
-def test_waves_follow_what_the_engines_announce() -> None:
+def test_loads_are_ordered_in_waves_as_engines_announce_the_version() -> None:
     engines = tuple(_engine(number) for number in range(4))
     table = LoadTable(2, LOAD_TIMEOUT_S)
 
--- a/tests/unit/control/leader_duties/test_fleet.py
+++ b/tests/unit/control/leader_duties/test_fleet.py
@@ -29,7 +29,7 @@
     outcome: str = "done"
     sent: list[dict] = field(default_factory=list)
 
-    def live(self) -> tuple[str, ...]:
+    def live_leases(self) -> tuple[str, ...]:
         return self.entries
 
     async def send(self, leadership, receiver: str, order_id: str, order: dict) -> OrderEnd:
--- a/tests/unit/control/leader_duties/test_orders.py
+++ b/tests/unit/control/leader_duties/test_orders.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def orders(control, watch, counters, platform_url) -> Orders:
-    settings = OrderSettings("c1", platform_url, timeout_s=20.0, least_lease_s=0.4)
+    settings = OrderSettings("c1", platform_url, timeout_s=20.0, min_lease_s=0.4)
     return Orders(control, control, watch, counters, settings, lambda receiver: platform_url)
 
 
--- a/tests/unit/control/leader_duties/test_usage_reports.py
+++ b/tests/unit/control/leader_duties/test_usage_reports.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def reports(control, watch, counters, usage_url) -> UsageReports:
-    settings = ReportSettings("c1", usage_url, 60.0, timeout_s=20.0, least_lease_s=0.4)
+    settings = ReportSettings("c1", usage_url, 60.0, timeout_s=20.0, min_lease_s=0.4)
     return UsageReports(control, control, watch, counters, settings)
 
 
--- a/tests/unit/control/rpc/test_control_service.py
+++ b/tests/unit/control/rpc/test_control_service.py
@@ -57,7 +57,7 @@
     def __init__(self) -> None:
         self.in_force = 0
 
-    def live(self) -> tuple:
+    def live_leases(self) -> tuple:
         return ()
 
     async def wait_in_force(self, index: int, wait_limit_s: float) -> int | Refusal:
--- a/tests/unit/control/test_entry_leases.py
+++ b/tests/unit/control/test_entry_leases.py
@@ -100,7 +100,7 @@
     system,
 ) -> None:
     await system.renew("e1", 0)
-    lapses_s = system.leases.live()[0].lapses_s
+    lapses_s = system.leases.live_leases()[0].lapses_s
     index = system.apply_rules()
 
     assert await system.leases.wait_in_force(index, LONG_S) == index
@@ -140,7 +140,7 @@
     reply = await system.renew("e1", 0)
 
     assert (reply.status, reply.leader_hint) == (control_pb2.NOT_LEADER, "c1")
-    assert not system.leases.live()
+    assert not system.leases.live_leases()
 
 
 async def test_a_grant_needs_a_quorum_round_that_began_after_its_renewal(system) -> None:
