--- a/packages/ibisspring-core/src/ibisspring_core/messages/__init__.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/__init__.py
@@ -1,3 +1,3 @@
-"""Typed messages between the daemons' parts."""
+"""Typed messages between daemons, and commands to the replicated state machine."""
 
 from __future__ import annotations
--- a/packages/ibisspring-core/src/ibisspring_core/messages/claim_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/claim_commands.py
@@ -1,4 +1,4 @@
-"""Commands on claims of idempotency keys."""
+"""Commands that claim idempotency keys of callers and settle the claims."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
     """
     Claim an idempotency key before a non-idempotent request is sent.
 
-    :param client_account: the claiming client account.
+    :param client_account: account of the caller.
     :param key: the caller's Idempotency-Key, unique within the account.
-    :param digest: digest of method, path and body; another one under the same key is a conflict.
-    :param request_id: id of the request under which the endpoint sees it.
-    :param daemon: entry that claims.
-    :param incarnation: start of that entry; a claim of an earlier incarnation is `may_have_run`.
+    :param digest: digest of method, path and body; a different digest under the same key is a
+        conflict.
+    :param request_id: id of the request at the endpoint.
+    :param daemon: id of the entry that makes the claim.
+    :param incarnation: number of that entry's start; open claims of an earlier incarnation become
+        `may_have_run`.
     """
 
     client_account: str
@@ -31,10 +33,14 @@
     """
     Settle a claim.
 
+    :param client_account: account of the caller.
+    :param key: the caller's Idempotency-Key.
+    :param request_id: id of the request in the claim.
     :param outcome: `done` (answer stored), `not_run` (the claim is released) or `may_have_run`.
     :param status: HTTP status of the answer.
-    :param answer: body of the answer; empty where it was too large to be stored.
-    :param stored: whether `answer` is the whole answer.
+    :param answer: body of the answer; empty if it was too large to be stored.
+    :param content_type: Content-Type of the answer.
+    :param stored: whether `answer` is the complete body.
     """
 
     client_account: str
@@ -52,8 +58,14 @@
     """
     Result of `ClaimKey` and `SettleClaim`.
 
-    :param state: `granted` (the proposer may send), `running`, `done`, `may_have_run`, `conflict`
-        or `released`.
+    :param state: `granted` (the proposer may send the request), `running`, `done`, `may_have_run`,
+        `conflict` or `released`.
+    :param request_id: id of the request in the claim.
+    :param daemon: id of the entry that made the claim.
+    :param status: HTTP status of the stored answer.
+    :param answer: body of the stored answer; empty if it was too large to be stored.
+    :param content_type: Content-Type of the stored answer.
+    :param stored: whether `answer` is the complete body.
     """
 
     state: str
--- a/packages/ibisspring-core/src/ibisspring_core/messages/codec.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/codec.py
@@ -1,4 +1,4 @@
-"""Message codec: frozen data classes to msgpack and back, with their kind in front."""
+"""Encodes frozen data classes to msgpack, alone or as pairs of kind and body."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 def encode(message: Any) -> bytes:
     """
-    Encode one data class whose type the receiver knows.
+    Encode a data class without its kind, for a receiver that knows the type.
 
     :param message: a data class of `ibisspring_core.messages`.
     :return: msgpack bytes.
@@ -21,11 +21,11 @@
 
 def decode(data: bytes, message_type: type[MessageT]) -> MessageT:
     """
-    Decode and check one data class.
+    Decode and validate a data class that was encoded without its kind.
 
     :param data: bytes from `encode`.
     :param message_type: the expected type.
-    :return: the message; raises `msgspec.ValidationError` where the data does not fit.
+    :return: the message; raises `msgspec.ValidationError` if the data does not match the type.
     """
     return msgspec.msgpack.decode(data, type=message_type)
 
@@ -40,9 +40,9 @@
     @classmethod
     def from_types(cls, *types: type[Any]) -> KindCodec:
         """
-        Build a codec; a type's kind is its class name.
+        Build a codec in which a type's kind is its class name.
 
-        :param types: the data classes.
+        :param types: the data classes of the set.
         :return: the codec.
         """
         return cls({kind_type.__name__: kind_type for kind_type in types})
@@ -61,7 +61,8 @@
         Decode a message of the set.
 
         :param data: bytes from `encode`.
-        :return: the message; raises `msgspec.ValidationError` for an unknown kind or a wrong body.
+        :return: the message; raises `msgspec.ValidationError` if the kind is unknown or the
+            body invalid.
         """
         kind, body = msgspec.msgpack.decode(data, type=tuple[str, msgspec.Raw])
         if kind not in self.type_by_kind:
--- a/packages/ibisspring-core/src/ibisspring_core/messages/commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/commands.py
@@ -1,11 +1,11 @@
 """
 Commands to the replicated state machine and their results.
 
-Every command is idempotent. Most have a key of their own (usage sequence, order id, window, claim,
-step and epoch) and may be proposed under any request id; the state machine answers a repetition
-from what it holds under that key. `ApplyRules` and `DrainEndpoint` have none: for them the
-`Envelope`'s request id is the key, made by `ibisspring_core.request_ids.new_request_id`. A refusal
-by the state machine is the result `Refused`.
+Every command is idempotent. Most have an idempotency key of their own (usage sequence, order id,
+window, claim, step and epoch) and may be proposed under any request id; the state machine answers a
+repeated command from the state stored under that key. `ApplyRules` and `DrainEndpoint` have none:
+their key is the `Envelope`'s request id, made by `ibisspring_core.request_ids.new_request_id`. If
+the state machine refuses a command, its result is `Refused`.
 """
 
 from __future__ import annotations
@@ -53,11 +53,11 @@
 @dataclass(frozen=True)
 class Envelope:
     """
-    What one log entry holds.
+    Content of one log entry.
 
-    :param request_id: idempotency key of the command, chosen by who proposes it.
-    :param stamped_s: wall-clock seconds given by the leader at the proposal; the only time the
-        state machine knows.
+    :param request_id: idempotency key of the command, set by the proposer.
+    :param stamped_s: the leader's wall clock at the proposal, in seconds since 1970. The state
+        machine uses no other clock, so that all replicas compute the same state.
     :param command: a command, encoded by `COMMANDS`.
     """
 
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Done:
-    """Result of a command that has nothing to tell."""
+    """Result of a command that returns no value."""
 
 
 @dataclass(frozen=True)
@@ -77,6 +77,7 @@
     Result of a command that the state machine refuses.
 
     :param reason: value of an `errors.Reason`.
+    :param detail: one sentence for humans.
     """
 
     reason: str
--- a/packages/ibisspring-core/src/ibisspring_core/messages/directory.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/directory.py
@@ -1,4 +1,4 @@
-"""Messages between the directory on the control VMs and all other daemons."""
+"""Messages between the directory, which runs on the control VMs, and all other daemons."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
     A daemon that may hold a replica of a log.
 
     :param address: IP:port of its peer server, which is also its id in the log.
-    :param daemon: the name that operators know it by.
+    :param daemon: name of the daemon, as operators use it.
+    :param data_centre: data centre of its VM.
     :param disk_id: id of its disk.
-    :param empty: the disk never took part in a cluster.
-    :param cluster: the cluster that the disk belongs to; empty for none.
+    :param empty: whether the disk has never belonged to a cluster.
+    :param cluster: id of the cluster that the disk belongs to; empty for none.
     """
 
     address: str
@@ -33,9 +34,10 @@
 @dataclass(frozen=True)
 class Group:
     """
-    The founding members of the log that holds the jobs.
+    The initial members of the log that stores the jobs.
 
-    :param cluster: id of the log.
+    :param cluster: id of the log's cluster.
+    :param founders: the daemons that bootstrap the log.
     """
 
     cluster: str
@@ -45,10 +47,11 @@
 @dataclass(frozen=True)
 class UsageCount:
     """
-    Requests of one client account that endpoints began in one window, as one entry counted them.
+    Requests of one client account that endpoints started in one window, counted by one entry.
 
-    :param window: number of the window.
-    :param count: all of the window so far; a later count takes its place.
+    :param window: number of the usage window.
+    :param client_account: name of the client account.
+    :param count: total for the window so far; a later count replaces it.
     """
 
     window: int
@@ -59,23 +62,26 @@
 @dataclass(frozen=True)
 class Renew:
     """
-    A daemon says that it is there and asks for what is new.
+    Renewal: a daemon reports that it is alive and asks for changes of its view.
 
-    :param address: IP:port of its peer server.
-    :param incarnation: made at its start.
+    :param address: IP:port of the daemon's peer server.
+    :param daemon: name of the daemon.
+    :param data_centre: data centre of its VM.
+    :param incarnation: random id of the daemon's start.
     :param role: `entry`, `store` or `control`.
-    :param epoch: epoch of the view that it holds; 0 for none.
+    :param epoch: epoch of the daemon's view; 0 for none.
     :param revision: revision of that view.
-    :param table_version: version of the route table that is in force there.
-    :param hold_s: seconds to wait for something new.
-    :param member: its disk, where it has one.
-    :param usage: counts of windows that the directory has not confirmed yet.
-    :param leads_jobs: it leads the jobs' log.
-    :param job_members: addresses of the replicas of that log, where it leads.
-    :param wall_s: the daemon's wall clock, seconds since 1970.
-    :param demand: by service, the most items that were to be run at a time lately; from the jobs'
-        leader.
-    :param allowed: by model, the oldest version that its newest job takes; from the jobs' leader.
+    :param table_version: version of the route table in force in the daemon; -1 for none.
+    :param hold_s: seconds that the leader waits for a change before it answers.
+    :param member: the daemon's disk; None if it has none.
+    :param usage: counts of windows that are not closed yet.
+    :param leads_jobs: whether the daemon is the leader of the jobs' log.
+    :param job_members: peer addresses of the replicas of that log; only from its leader.
+    :param wall_s: the daemon's wall clock, in seconds since 1970.
+    :param demand: pairs of service and recent maximum of items that could run at the same time;
+        only from the jobs' leader.
+    :param allowed: pairs of model and oldest weight version that its newest job accepts; only from
+        the jobs' leader.
     """
 
     address: str
@@ -99,9 +105,10 @@
 @dataclass(frozen=True)
 class Placed:
     """
-    An endpoint with the age of what is known of it.
+    An endpoint's record with its age.
 
-    :param age_s: seconds since its newest announcement arrived.
+    :param record: the newest announcement.
+    :param age_s: seconds since it was received.
     """
 
     record: EndpointRecord
@@ -111,22 +118,26 @@
 @dataclass(frozen=True)
 class View:
     """
-    What a daemon needs to know.
-
-    :param epoch: rises with each leader of the directory.
-    :param revision: rises with each change under one epoch.
-    :param table: None where the caller's version is in force still.
-    :param learning: the leader is new and may not have heard all endpoints yet.
-    :param version_by_model: newest weight version that trainers named; empty for an entry, as the
-        versions of endpoints are.
-    :param loading: pairs of endpoint and model; such an endpoint begins nothing for that model now;
-        empty for an entry.
-    :param stores: all daemons that may hold jobs, heard lately.
-    :param job_leader: address of the daemon that leads the jobs' log; a hint.
+    The part of the directory that a daemon needs.
+
+    :param epoch: number of the directory's leader; rises with each new leader.
+    :param revision: number of the view; rises with each change within an epoch.
+    :param table: the route table; None if the version in the renewal is still in force.
+    :param table_version: version of the route table in force; -1 for none.
+    :param endpoints: records of the endpoints.
+    :param learning: True while the leader is new and may not have received announcements of all
+        endpoints.
+    :param version_by_model: newest weight version published by trainers, by model. Empty for an
+        entry, as are the versions in the records of endpoints.
+    :param loading: pairs of endpoint and model: the endpoint loads weights and starts no request
+        for that model. Empty for an entry.
+    :param stores: all daemons that may store jobs and have renewed recently.
+    :param job_leader: peer address of the leader of the jobs' log; a hint, empty if unknown.
+    :param job_group: initial members of the jobs' log; None before they are decided.
     :param controls: peer addresses of the directory's members.
-    :param wall_s: wall clock that most daemons agree on, seconds since 1970.
-    :param closed_window: newest usage window whose counts are fixed.
-    :param retiring: peer addresses of daemons that are to be emptied.
+    :param wall_s: wall clock that most daemons agree on, in seconds since 1970.
+    :param closed_window: newest usage window whose counts are final; -1 for none.
+    :param retiring: peer addresses of stores whose data moves to other stores.
     """
 
     epoch: int
@@ -148,7 +159,12 @@
 
 @dataclass(frozen=True)
 class Unchanged:
-    """Nothing is new since the view that the caller named."""
+    """
+    The view that the renewal named is current.
+
+    :param wall_s: wall clock that most daemons agree on, in seconds since 1970.
+    :param closed_window: newest usage window whose counts are final; -1 for none.
+    """
 
     wall_s: float = 0.0
     closed_window: int = -1
@@ -157,11 +173,11 @@
 @dataclass(frozen=True)
 class CountUsage:
     """
-    Counts that an entry tells between two renewals.
+    Usage counts that an entry sends between two renewals.
 
-    :param address: IP:port of its peer server.
-    :param incarnation: made at its start.
-    :param usage: all its counts of windows that are not closed.
+    :param address: IP:port of the entry's peer server.
+    :param incarnation: random id of the entry's start.
+    :param usage: all counts of windows that are not closed yet.
     """
 
     address: str
@@ -172,9 +188,9 @@
 @dataclass(frozen=True)
 class UsageCounted:
     """
-    The counts are noted.
+    The counts are recorded.
 
-    :param pause_s: seconds to leave before the next ones.
+    :param pause_s: seconds to wait before the next `CountUsage`.
     """
 
     pause_s: float
@@ -182,7 +198,11 @@
 
 @dataclass(frozen=True)
 class Announce:
-    """An endpoint's announcement, handed on by the daemon that it reached."""
+    """
+    An endpoint's announcement, forwarded by the daemon that received it.
+
+    :param record: the announcement.
+    """
 
     record: EndpointRecord
 
@@ -190,9 +210,10 @@
 @dataclass(frozen=True)
 class Depart:
     """
-    An endpoint says that it is gone.
+    An endpoint reports that it has stopped.
 
-    :param incarnation: of the start that ends; UNKNOWN_INCARNATION for the newest that is known.
+    :param endpoint: id of the endpoint.
+    :param incarnation: incarnation that has stopped; UNKNOWN_INCARNATION for the newest known one.
     """
 
     endpoint: str
@@ -202,9 +223,10 @@
 @dataclass(frozen=True)
 class Announced:
     """
-    The announcement was taken in.
+    The announcement was recorded.
 
-    :param leader: address of the daemon that later announcements reach soonest.
+    :param leader: peer address of the leader, which later announcements should be sent to; empty if
+        unknown.
     """
 
     leader: str = ""
@@ -213,9 +235,11 @@
 @dataclass(frozen=True)
 class ReplaceTable:
     """
-    An operator's whole configuration.
+    Asks to replace the complete configuration.
 
-    :param document: what is read back, byte for byte.
+    :param table: the new route table.
+    :param document: the configuration as the operator sent it, returned byte for byte by
+        `TableRead`.
     """
 
     table: RouteTable
@@ -227,7 +251,7 @@
     """
     The table, or one with a higher version, is in force.
 
-    :param version: version in force.
+    :param version: the version in force.
     """
 
     version: int
@@ -240,7 +264,12 @@
 
 @dataclass(frozen=True)
 class TableRead:
-    """The newest configuration; version -1 for none yet."""
+    """
+    The newest configuration.
+
+    :param version: version of its route table; -1 if there is no configuration yet.
+    :param document: the configuration as the operator sent it.
+    """
 
     version: int
     document: bytes
@@ -248,7 +277,12 @@
 
 @dataclass(frozen=True)
 class NameVersion:
-    """A trainer names a version of its model's weights."""
+    """
+    A trainer publishes a weight version of its model.
+
+    :param model: name of the model.
+    :param version: number of the version.
+    """
 
     model: str
     version: int
@@ -256,16 +290,16 @@
 
 @dataclass(frozen=True)
 class VersionNamed:
-    """The version is recorded."""
+    """The published version is recorded."""
 
 
 @dataclass(frozen=True)
 class Retire:
     """
-    An operator asks to empty a store.
+    An operator asks to retire a store, whose data then moves to other stores.
 
-    :param daemon: name of the daemon.
-    :param begin: ask how far it is without beginning.
+    :param daemon: name of the store's daemon.
+    :param begin: True starts the retirement; False only asks for its state.
     """
 
     daemon: str
@@ -275,9 +309,10 @@
 @dataclass(frozen=True)
 class Retiring:
     """
-    How far a store is.
+    State of a store's retirement.
 
-    :param state: `unknown`, `too_few`, `active` or `completed`.
+    :param state: `unknown` if there is no such store, `too_few` if too few stores would remain,
+        `active` while the data moves, or `completed`.
     """
 
     state: str
--- a/packages/ibisspring-core/src/ibisspring_core/messages/endpoints.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/endpoints.py
@@ -1,4 +1,4 @@
-"""What is known of an endpoint."""
+"""Records of endpoints, built from their announcements."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 @dataclass(frozen=True)
 class EndpointLoad:
     """
-    Load as the endpoint reported it; it lags.
+    Load as reported by the endpoint; it lags behind the actual load.
 
-    :param running: requests in work.
-    :param queued: requests waiting at the endpoint.
-    :param capacity: requests that it works on at a time.
+    :param running: number of requests that run.
+    :param queued: number of requests in the endpoint's queue.
+    :param capacity: maximum number of requests that run at the same time.
     """
 
     running: int = 0
@@ -26,21 +26,20 @@
     The newest announcement of an endpoint.
 
     :param endpoint: id of the endpoint.
-    :param incarnation: rises with each start of the endpoint.
-    :param sequence: rises with each announcement of an incarnation.
-    :param service: name that callers ask for: a model (`scorer-lm`) or a plain service (`archive-
-        app`).
+    :param incarnation: number of the endpoint's start; rises with each start.
+    :param sequence: number of the announcement; rises within an incarnation.
+    :param service: name that callers use: a model (`scorer-lm`) or a plain service (`archive-app`).
     :param role: `engine`, `plain` or `scorer`.
-    :param kind: `standard` or `cheap`; the cheap kind may be reclaimed at any moment.
-    :param data_centre: where it stands.
+    :param kind: `standard` or `cheap`; the cloud may reclaim a cheap VM at any time.
+    :param data_centre: data centre of the endpoint.
     :param address: IP:port of its HTTP interface.
-    :param state: `serving`, `leaving` (final for the incarnation) or `gone`.
-    :param version_by_adapter: weight version in use by adapter name; the adapter is named as its
-        trainer, `` is the base.
-    :param load: its last load report.
-    :param prefixes: digests of prompt prefixes that it says it caches; late and with gaps, so only
-        a hint.
-    :param checks_fencing: whether it refuses orders with an old fencing number.
+    :param state: `serving`, `leaving` (final for the incarnation) or `gone` (TTL expired).
+    :param version_by_adapter: weight version in use, by adapter name. An adapter has the name of
+        its trainer; the empty name is the base model.
+    :param load: the last load report.
+    :param prefixes: digests of prompt prefixes that the endpoint reports as cached. The report is
+        late and incomplete, so this is a hint.
+    :param checks_fencing: whether the endpoint rejects orders with an old fencing number.
     """
 
     endpoint: str
@@ -58,16 +57,18 @@
     checks_fencing: bool = False
 
     def order(self) -> tuple[int, int]:
-        """Rank of the record among those of its endpoint: the newest wins."""
+        """Return the sort key of the records of one endpoint; the newest record has the highest."""
         return (self.incarnation, self.sequence)
 
 
 @dataclass(frozen=True)
 class Disproof:
     """
-    A version that an engine announced and whose tokens said otherwise.
+    A weight version that an engine announced, but did not use for tokens it generated afterwards.
 
-    :param adapter: the adapter's name.
+    :param endpoint: id of the engine.
+    :param incarnation: incarnation of the engine.
+    :param adapter: name of the adapter.
     :param version: the announced version.
     """
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
@@ -1,4 +1,4 @@
-"""Messages about jobs: many requests that are submitted at once and run later."""
+"""Messages about jobs. A job is a set of requests that are submitted together and run later."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 @dataclass(frozen=True)
 class RewardCall:
     """
-    The request that scores an item's whole text.
+    The request that scores an item's complete text.
 
-    It is sent once the text is whole, may be repeated, and belongs to no client account.
+    It is sent after the text is complete. It is idempotent and belongs to no client account.
 
-    :param request: its id at an endpoint.
-    :param host: with `path`, selects its route.
+    :param request: id of the request at the endpoint.
+    :param host: host name that, together with `path`, selects the route.
     :param path: path at the endpoint.
+    :param body: body of the request.
     """
 
     request: str
@@ -32,14 +33,16 @@
     """
     One request of a job.
 
-    :param item: its id, which is also the id of the request at an endpoint.
+    :param item: id of the item, also used as the request's id at an endpoint.
     :param path: path at the endpoint.
-    :param headers: pairs of name and value, as the caller gave them.
-    :param tokens: prompt tokens and the most output tokens together.
-    :param prompt_tokens: the first of these.
-    :param expected_tokens: the caller's estimate of its output; 0 for none.
-    :param group: items of a group share their prompt and are worth something only together.
-    :param reward: None where a whole text is a whole result.
+    :param headers: pairs of name and value, as the caller sent them.
+    :param body: body of the request.
+    :param tokens: number of prompt tokens plus the maximum number of output tokens.
+    :param group: id of the item's group; empty for none. Items of a group share their prompt, and
+        their results have value only when the group is complete.
+    :param prompt_tokens: number of prompt tokens.
+    :param expected_tokens: the caller's estimate of the number of output tokens; 0 for none.
+    :param reward: the request that scores the text; None if the text alone is the result.
     """
 
     item: str
@@ -58,16 +61,20 @@
     """
     One job as a caller submitted it.
 
-    :param job: its id.
-    :param client_account: who submitted it; only this account reads it.
-    :param host: host of its route, which endpoints are told as well.
+    :param job: id of the job.
+    :param client_account: account that submitted the job; only this account may read it.
+    :param host: host of the job's route, also sent to endpoints in the Host header.
+    :param service: name of the service that runs the items.
+    :param model: name of the model that runs the items.
+    :param items: the requests.
     :param due_s: seconds from the submission until all results are due.
-    :param give_up_s: seconds from the submission after which an item may be given up.
-    :param max_attempts: failures after which an item is given up.
-    :param min_version: oldest weight version that may make its results.
-    :param wanted_groups: whole groups that the trainer waits for.
-    :param single_version: one weight version must make a whole result.
-    :param submitted_s: wall clock of the submission, seconds since 1970.
+    :param give_up_s: seconds from the submission after which an item may be abandoned.
+    :param max_attempts: number of failures after which an item is abandoned.
+    :param priority: rank of the job; 0 is the highest.
+    :param min_version: oldest weight version that may generate the results.
+    :param wanted_groups: number of complete groups that the trainer waits for.
+    :param single_version: whether a single weight version must generate a complete result.
+    :param submitted_s: wall-clock time of the submission, in seconds since 1970.
     """
 
     job: str
@@ -89,12 +96,13 @@
 @dataclass(frozen=True)
 class ItemResult:
     """
-    How an item ended.
+    The final result of an item.
 
+    :param item: id of the item.
     :param state: COMPLETED or ABANDONED.
     :param output: data of all events in order, joined by line feeds.
-    :param versions: weight versions that made it, in the order in which they began.
-    :param score: what the reward call's endpoint said; empty where the item has no such call.
+    :param versions: weight versions that generated the output, in order of first use.
+    :param score: answer to the reward call; empty if the item has no reward call.
     """
 
     item: str
@@ -106,30 +114,34 @@
 
 @dataclass(frozen=True)
 class SubmitJob:
-    """Asks to accept a job once."""
+    """Asks to accept a job; a repeated message does not create a second job."""
 
     job: Job
 
 
 @dataclass(frozen=True)
 class JobAccepted:
-    """A majority of the stores holds the job."""
+    """The job is stored by a majority of the stores."""
 
 
 @dataclass(frozen=True)
 class UnknownJob:
-    """No such job exists for this client account, surely."""
+    """The job does not exist for this client account; a quorum has confirmed it."""
 
 
 @dataclass(frozen=True)
 class ReadResults:
     """
-    Asks for results by position.
+    Asks for results by position in the job's list of results.
 
+    :param job: id of the job.
+    :param client_account: account that submitted the job.
     :param after: first position, from 0.
     :param hold_s: seconds to wait for a result at that position.
-    :param max_bytes: most bytes of output; at least one result is given where there is one.
-    :param inline_bytes: with more output than this, only the positions are told; None for no bound.
+    :param max_bytes: maximum bytes of output; the answer contains at least one result if there is
+        one.
+    :param inline_bytes: bytes of output above which the answer is `ResultsListed`, with positions
+        instead of results; None for no limit.
     """
 
     job: str
@@ -143,10 +155,10 @@
 @dataclass(frozen=True)
 class ResultsListed:
     """
-    Results are listed, and any store that has applied them may be asked for them.
+    Results exist, and can be read from any store that has applied them.
 
-    :param total: items of the job.
-    :param listed: position after the last of the results that fit into one answer.
+    :param total: number of items of the job.
+    :param listed: position after the last result that fits into one answer.
     """
 
     total: int
@@ -156,10 +168,12 @@
 @dataclass(frozen=True)
 class ReadListed:
     """
-    Asks a store, which need not lead, for results that its leader said are listed.
+    Asks any store for results that the leader has listed in `ResultsListed`.
 
-    :param after: first position.
-    :param listed: position after the last one.
+    :param job: id of the job.
+    :param client_account: account that submitted the job.
+    :param after: first position, from 0.
+    :param listed: position after the last result.
     """
 
     job: str
@@ -171,9 +185,10 @@
 @dataclass(frozen=True)
 class ResultsRead:
     """
-    Results from a position on.
+    Results from the requested position on.
 
-    :param total: items of the job.
+    :param total: number of items of the job.
+    :param results: the results in the order of their positions.
     """
 
     total: int
@@ -182,7 +197,7 @@
 
 @dataclass(frozen=True)
 class ReadBody:
-    """Asks for the body of an item that is not listed yet."""
+    """Asks for the request body of an item that has no result yet."""
 
     job: str
     client_account: str
@@ -191,14 +206,14 @@
 
 @dataclass(frozen=True)
 class BodyRead:
-    """The body; None for an item that is listed, ended or not of the job."""
+    """The request body; None if the item has a result, has ended or is not part of the job."""
 
     body: bytes | None
 
 
 @dataclass(frozen=True)
 class EndJob:
-    """Asks to end a job; results that stand stay readable."""
+    """Asks to end a job; results that exist stay readable."""
 
     job: str
     client_account: str
@@ -206,23 +221,30 @@
 
 @dataclass(frozen=True)
 class JobEnded:
-    """Nothing of the job starts to run from here on."""
+    """The job has ended; none of its items starts to run any more."""
 
 
 @dataclass(frozen=True)
 class Assignment:
     """
-    An item to be run at an endpoint, and to be scored after that.
-
-    :param number: names the assignment under one epoch.
-    :param endpoint: id of the endpoint; empty where the item's text is whole and only its reward
-        call is left.
+    An item that a runner is to run at an endpoint, and then to score.
+
+    :param number: number of the assignment, unique within an epoch.
+    :param job: id of the job.
+    :param item: the item.
+    :param client_account: account that submitted the job.
+    :param host: host of the job's route.
+    :param service: name of the service that runs the item.
+    :param endpoint: id of the endpoint; empty if the item's text is complete and only its reward
+        call remains.
     :param incarnation: incarnation of the endpoint.
     :param address: IP:port of the endpoint.
-    :param expected_version: weight version that the endpoint is believed to have; None for any.
-    :param resume_after: events that an earlier run made already; 0 begins anew.
-    :param deadline_s: seconds that the run may take.
-    :param max_attempts: failures after which the item is given up, also of its reward call.
+    :param expected_version: weight version that the endpoint is expected to have; None for any.
+    :param resume_after: number of events already generated by earlier runs; 0 starts from the
+        beginning.
+    :param deadline_s: time limit of the run, in seconds.
+    :param max_attempts: number of failures, of runs or reward calls, after which the item is
+        abandoned.
     """
 
     number: int
@@ -243,15 +265,18 @@
 @dataclass(frozen=True)
 class TakeWork:
     """
-    A runner asks for work.
-
-    :param runner: address of the daemon that runs it.
-    :param epoch: epoch of the dispatcher that it worked for last.
-    :param sequence: rises with each of the runner's calls of an incarnation.
-    :param running: numbers of the assignments that it holds under that epoch.
-    :param free: how many more it takes.
-    :param events: events that each of `running` made so far, in the same order.
+    A runner asks for assignments.
+
+    :param runner: peer address of the runner's daemon.
+    :param data_centre: data centre of the runner.
+    :param incarnation: id of the daemon's start.
+    :param epoch: epoch of the last work that the runner received.
+    :param sequence: number of the call; rises with each call of an incarnation.
+    :param running: numbers of the assignments that run under that epoch.
+    :param free: number of further assignments that the runner accepts.
     :param hold_s: seconds to wait for work.
+    :param events: number of events generated so far by each assignment of `running`, in the same
+        order.
     """
 
     runner: str
@@ -268,11 +293,14 @@
 @dataclass(frozen=True)
 class Work:
     """
-    What a runner is to do.
+    New assignments for a runner, and running ones that it must stop.
 
-    :param epoch: rises with each leader of the jobs' log; work of an earlier epoch ends.
+    :param epoch: rises with each leader of the jobs' log. Assignments of an earlier epoch are
+        cancelled.
+    :param assignments: items to start.
     :param cancelled: numbers of assignments to stop.
-    :param moved: numbers of assignments to stop and to report, since their items go on elsewhere.
+    :param moved: numbers of assignments to stop and to report, because their items continue at
+        another endpoint.
     """
 
     epoch: int
@@ -284,21 +312,23 @@
 @dataclass(frozen=True)
 class Outcome:
     """
-    How a run ended, or what it made meanwhile.
-
-    :param kind: PART, where it goes on; `done`; `failed`, where the endpoint said that this run
-        failed; `impossible`, where it said that no run can succeed; `broken`, where the stream
-        broke or went silent; `turned_away`, where the endpoint did not run it; `stale`, where it
-        has another version; `unscored`, where the reward call failed as often as it may.
-    :param output: data of the events that this run made since its last part, joined by line feeds.
-    :param events: how many these are.
-    :param versions: weight versions that made them, in order.
-    :param first_s: seconds until its first event; 0.0 where there was none.
-    :param after: events of this run in the parts before.
-    :param whole: the text ends with them.
-    :param score: of a text that is `done`; empty where the item has no reward call.
-    :param kept_s: seconds that the endpoint keeps the run's connection open for the next one; 0.0
-        where it does not, or where the run did not come to its end.
+    The end of a run, or its output since the last report.
+
+    :param number: number of the assignment.
+    :param kind: PART while the run continues; `done`; `failed` if the endpoint reported that this
+        run failed; `impossible` if it reported that no run can succeed; `broken` if the stream
+        broke or timed out; `turned_away` if the endpoint rejected the request before it started;
+        `stale` if the endpoint has another weight version; `unscored` if the reward call failed
+        `max_attempts` times.
+    :param output: data of the run's events since its last report, joined by line feeds.
+    :param events: number of these events.
+    :param versions: weight versions that generated them, in order.
+    :param first_s: seconds from the start to the first event; 0.0 if there was none.
+    :param after: number of the run's events in earlier reports.
+    :param whole: whether the text is complete with these events.
+    :param score: score of a text that is `done`; empty if the item has no reward call.
+    :param kept_s: seconds that the endpoint keeps the run's connection open for the next request;
+        0.0 if it closes it or the run did not finish.
     """
 
     number: int
@@ -316,13 +346,14 @@
 @dataclass(frozen=True)
 class TextPart:
     """
-    What was made of an item that has not ended.
-
-    :param after: events before it; 0 begins the item's text anew.
-    :param output: data of its events, joined by line feeds.
-    :param events: how many these are.
-    :param versions: weight versions that made them, in order.
-    :param whole: the text ends with them; only its score is left to be found.
+    A stored part of the output of an item that has not ended.
+
+    :param item: id of the item.
+    :param after: number of events before this part; 0 replaces the text stored so far.
+    :param output: data of the part's events, joined by line feeds.
+    :param events: number of these events.
+    :param versions: weight versions that generated them, in order.
+    :param whole: whether the text is complete with this part, so that only its score is missing.
     """
 
     item: str
@@ -335,7 +366,13 @@
 
 @dataclass(frozen=True)
 class ReportWork:
-    """A runner tells how runs ended and what others made; sent until it is answered."""
+    """
+    A runner reports the ends of runs and the output of others; sent again until it is answered.
+
+    :param runner: peer address of the runner's daemon.
+    :param epoch: epoch of the assignments.
+    :param outcomes: the outcomes, in the order in which they occurred.
+    """
 
     runner: str
     epoch: int
@@ -344,7 +381,7 @@
 
 @dataclass(frozen=True)
 class WorkReported:
-    """The outcomes were taken in, or belong to an earlier epoch."""
+    """The outcomes were recorded, or ignored because they belong to an earlier epoch."""
 
 
 __all__ = [
--- a/packages/ibisspring-core/src/ibisspring_core/messages/order_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/order_commands.py
@@ -1,4 +1,4 @@
-"""Commands on orders, drains and starts of daemons."""
+"""Commands that record orders, drains and starts of daemons."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 @dataclass(frozen=True)
 class OrderIntent:
     """
-    Intent to send an order, committed before it is sent.
+    Intent to send an order; committed before the order is sent.
 
-    :param order_id: id under which the receiver sees it, also when it is sent again.
+    :param order_id: id of the order at the receiver, the same when the order is sent again.
     :param receiver: `platform` or `endpoint:<id>`.
     :param body: the order as JSON, sent byte for byte.
     """
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True)
 class IntentRecorded:
-    """Result of `OrderIntent`: the fencing number, which rises with every intent."""
+    """
+    Result of `OrderIntent`.
+
+    :param fencing: fencing number of the order; rises with every intent.
+    """
 
     fencing: int
 
@@ -30,9 +34,11 @@
 @dataclass(frozen=True)
 class OrderResolved:
     """
-    The end of an order.
+    The outcome of an order.
 
-    :param outcome: `done`, `refused` or `unknown` (sent, never answered, and given up).
+    :param order_id: id of the order.
+    :param outcome: `done`, `refused` or `unknown` (sent, but no answer before retries stopped).
+    :param detail: one sentence for humans.
     """
 
     order_id: str
@@ -43,9 +49,11 @@
 @dataclass(frozen=True)
 class DrainEndpoint:
     """
-    An operator asks that an endpoint gets no new work and is stopped when idle.
+    Drain an endpoint: it gets no new work and is stopped when it is idle.
 
-    :param cancel: lifts an earlier drain; also proposed once the endpoint was stopped.
+    :param endpoint: id of the endpoint.
+    :param operator: name of the operator.
+    :param cancel: True cancels an earlier drain; also proposed after the endpoint was stopped.
     """
 
     endpoint: str
@@ -55,7 +63,12 @@
 
 @dataclass(frozen=True)
 class DaemonStarted:
-    """A daemon started: requests that an earlier start of it had claimed may have run."""
+    """
+    A daemon started, so that requests claimed by its earlier incarnations may have run.
+
+    :param daemon: id of the daemon.
+    :param incarnation: number of its start.
+    """
 
     daemon: str
     incarnation: int
--- a/packages/ibisspring-core/src/ibisspring_core/messages/peers.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/peers.py
@@ -1,4 +1,4 @@
-"""The closed set of messages that daemons call each other with."""
+"""The closed set of messages and answers of calls between daemons."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/rule_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/rule_commands.py
@@ -1,4 +1,4 @@
-"""Commands that change the rules in force."""
+"""Commands that replace the rules in force."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 @dataclass(frozen=True)
 class ApplyRules:
     """
-    Put a rules file in force by compare-and-set.
+    Replace the rules in force, if their version is still `base`.
 
-    :param base: the version that the operator edited.
-    :param text: the whole file.
-    :param operator: who applies it.
+    :param base: version of the rules that the operator edited.
+    :param text: complete text of the new rules file.
+    :param operator: name of the operator.
     """
 
     base: int
@@ -22,14 +22,20 @@
 
 @dataclass(frozen=True)
 class RulesApplied:
-    """Result of `ApplyRules`: the new version."""
+    """Result of `ApplyRules`: the version of the new rules."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class RulesConflict:
-    """Result of `ApplyRules` under an old base: who changed what since."""
+    """
+    Result of `ApplyRules` if `base` is not the version in force.
+
+    :param version: version in force.
+    :param operator: name of the operator who applied it.
+    :param changed_lines: lines that differ between `base` and the version in force.
+    """
 
     version: int
     operator: str
--- a/packages/ibisspring-core/src/ibisspring_core/messages/status.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/status.py
@@ -1,4 +1,4 @@
-"""What operators ask the leaders of the directory and of the jobs."""
+"""Status queries of operators to the leaders of the directory and of the jobs."""
 
 from __future__ import annotations
 
@@ -9,17 +9,21 @@
 
 @dataclass(frozen=True)
 class ReadDirectoryStatus:
-    """Asks the directory's leader how things are."""
+    """Asks the directory's leader for its status."""
 
 
 @dataclass(frozen=True)
 class DaemonStatus:
     """
-    A daemon that renewed lately.
-
-    :param table_version: route table in force there; -1 for none.
-    :param heard_ago_s: seconds since its last renewal.
-    :param leads_jobs: it leads the jobs' log.
+    A daemon that has renewed recently.
+
+    :param daemon: name of the daemon.
+    :param role: `entry`, `store` or `control`.
+    :param data_centre: data centre of its VM.
+    :param address: IP:port of its peer server.
+    :param table_version: version of the route table in force in the daemon; -1 for none.
+    :param heard_ago_s: seconds since its last renewal was received.
+    :param leads_jobs: whether the daemon is the leader of the jobs' log.
     """
 
     daemon: str
@@ -34,11 +38,13 @@
 @dataclass(frozen=True)
 class DutyStatus:
     """
-    A duty towards the outside, which one daemon holds at a time.
+    A duty that involves orders to outside systems; one daemon at a time holds it.
 
-    :param holder: its daemon; empty while a new leader waits until an earlier holder sends no more.
-    :param number: rises with each holder.
-    :param waits_s: seconds until the new leader may take it up.
+    :param duty: name of the duty.
+    :param holder: name of the daemon that holds the duty; empty while a new leader waits until an
+        earlier holder has certainly stopped sending orders.
+    :param number: fencing number; rises with each holder.
+    :param waits_s: seconds until the new leader may start the duty.
     """
 
     duty: str
@@ -50,11 +56,18 @@
 @dataclass(frozen=True)
 class DirectoryStatus:
     """
-    The directory as its leader knows it.
-
-    :param voters: addresses of the replicas of its log.
-    :param loading: pairs of endpoint and model that loads.
-    :param closed_window: newest usage window whose counts are fixed; -1 for none.
+    Status of the directory, as recorded by its leader.
+
+    :param leader: peer address of the leader.
+    :param term: the leader's consensus term.
+    :param voters: peer addresses of the voting replicas of the directory's log.
+    :param table_version: version of the newest route table; -1 for none.
+    :param daemons: daemons that have renewed recently.
+    :param endpoints: records of the endpoints.
+    :param loading: pairs of endpoint and the model whose weights it loads.
+    :param version_by_model: newest published weight version by model.
+    :param duties: duties of the leader.
+    :param closed_window: newest usage window whose counts are final; -1 for none.
     """
 
     leader: str
@@ -71,17 +84,23 @@
 
 @dataclass(frozen=True)
 class ReadJobsStatus:
-    """Asks the jobs' leader how things are."""
+    """Asks the jobs' leader for its status."""
 
 
 @dataclass(frozen=True)
 class JobStatus:
     """
-    A job that is kept.
-
-    :param listed: items whose results are listed.
-    :param running: items that run now.
-    :param halves: items of which a part is kept.
+    A stored job.
+
+    :param job: id of the job.
+    :param client_account: account that submitted the job.
+    :param model: name of the model.
+    :param total: number of items.
+    :param listed: number of items with a result.
+    :param running: number of items that run now.
+    :param halves: number of items without a result whose partial output is stored.
+    :param ended: whether the job has ended.
+    :param age_s: seconds since the submission.
     """
 
     job: str
@@ -97,7 +116,13 @@
 
 @dataclass(frozen=True)
 class RunnerStatus:
-    """A daemon that runs items."""
+    """
+    A daemon that runs items.
+
+    :param address: IP:port of its peer server.
+    :param data_centre: data centre of its VM.
+    :param running: number of items that it runs now.
+    """
 
     address: str
     data_centre: str
@@ -107,9 +132,13 @@
 @dataclass(frozen=True)
 class JobsStatus:
     """
-    The jobs as their leader knows them.
+    Status of the jobs, as recorded by their leader.
 
-    :param voters: addresses of the replicas of their log.
+    :param leader: peer address of the leader.
+    :param term: the leader's consensus term.
+    :param voters: peer addresses of the voting replicas of the jobs' log.
+    :param jobs: the stored jobs.
+    :param runners: daemons that run items.
     """
 
     leader: str
--- a/packages/ibisspring-core/src/ibisspring_core/messages/step_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/step_commands.py
@@ -1,4 +1,4 @@
-"""Commands on trainers' versions, steps and batches."""
+"""Commands on weight versions, training steps and their batches."""
 
 from __future__ import annotations
 
@@ -7,7 +7,13 @@
 
 @dataclass(frozen=True)
 class PublishVersion:
-    """A trainer has new weights in the weight store; versions of a trainer only rise."""
+    """
+    A trainer has stored new weights in the weight store.
+
+    :param trainer: name of the trainer.
+    :param model: name of the model.
+    :param version: number of the weight version; rises with each version of a trainer.
+    """
 
     trainer: str
     model: str
@@ -17,18 +23,20 @@
 @dataclass(frozen=True)
 class OpenStep:
     """
-    Open a training step, or take it over from a lost entry.
+    Open a training step, or take it over from an entry that no longer runs.
 
+    :param trainer: name of the trainer.
     :param step: number of the step.
-    :param digest: digest of the step's request; another digest under the same (trainer, step) is a
-        conflict.
-    :param samples: how many samples make the batch.
-    :param daemon: entry that gathers the samples.
-    :param incarnation: start of that entry.
-    :param take_over_epoch: epoch that the proposer found with a lost owner and replaces; another
-        owner keeps the step unless this is its epoch. 0 only opens. A delivered step that is
-        taken over is open again: its batch went with the owner and its sample ids are never
-        delivered again.
+    :param model: name of the model.
+    :param digest: digest of the step's request; a different digest under the same (trainer, step)
+        is a conflict.
+    :param samples: number of samples in the batch.
+    :param daemon: id of the entry that collects the samples.
+    :param incarnation: number of that entry's start.
+    :param take_over_epoch: epoch whose owner the proposer found to be lost. The step is taken over
+        only if this is its current epoch; 0 only opens a step. A delivered step that is taken over
+        is open again: its batch was lost with the owner, and its sample ids are never delivered
+        again.
     """
 
     trainer: str
@@ -47,9 +55,11 @@
     Result of the step commands.
 
     :param state: `open`, `delivered`, `acknowledged` or `conflict`.
-    :param epoch: rises each time that another entry takes the step over; sample ids contain it.
-    :param daemon: entry that holds the step.
-    :param batch_digest: digest of the delivered batch.
+    :param epoch: number of the step's owner; rises with each takeover and is part of the sample
+        ids.
+    :param daemon: id of the entry that owns the step.
+    :param incarnation: number of that entry's start.
+    :param batch_digest: digest of the delivered batch; empty before delivery.
     """
 
     state: str
@@ -62,9 +72,11 @@
 @dataclass(frozen=True)
 class SampleLabel:
     """
-    A sample in a batch, without its payload.
+    Label of a sample in a batch, without the payload.
 
-    :param oldest_version: oldest weight version in its label runs.
+    :param sample: id of the sample.
+    :param digest: digest of its payload.
+    :param oldest_version: oldest weight version that generated a part of the sample.
     """
 
     sample: str
@@ -75,9 +87,13 @@
 @dataclass(frozen=True)
 class DeliverBatch:
     """
-    Deliver a whole batch; the staleness bound is checked where this is applied.
+    Deliver a complete batch. The staleness bound is checked when the command is applied.
 
-    :param epoch: the proposer's epoch; an older one loses.
+    :param trainer: name of the trainer.
+    :param step: number of the step.
+    :param epoch: the proposer's epoch; a command with an older epoch than the step's has no effect.
+    :param batch_digest: digest of the batch.
+    :param labels: labels of all samples in the batch.
     """
 
     trainer: str
@@ -89,7 +105,12 @@
 
 @dataclass(frozen=True)
 class BatchStale:
-    """Result of `DeliverBatch` when samples are older than the bound at this log index."""
+    """
+    Result of `DeliverBatch` if samples exceed the staleness bound at this log index.
+
+    :param trainer_version: the trainer's newest weight version.
+    :param stale_samples: ids of the samples that exceed the bound.
+    """
 
     trainer_version: int
     stale_samples: tuple[str, ...]
@@ -98,10 +119,12 @@
 @dataclass(frozen=True)
 class AckStep:
     """
-    The trainer holds the batch; its payload may go.
+    The trainer has received the batch, so that its payload may be deleted.
 
-    :param batch_digest: the batch that it holds; one that was replaced is a conflict. Empty takes
-        any.
+    :param trainer: name of the trainer.
+    :param step: number of the step.
+    :param batch_digest: digest of the received batch; that of a replaced batch is a conflict. Empty
+        acknowledges any batch.
     """
 
     trainer: str
--- a/packages/ibisspring-core/src/ibisspring_core/messages/usage_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/usage_commands.py
@@ -1,4 +1,4 @@
-"""Commands on usage and its windows."""
+"""Commands that record usage and close usage windows."""
 
 from __future__ import annotations
 
@@ -8,11 +8,13 @@
 @dataclass(frozen=True)
 class UsageRecord:
     """
-    Usage of one client account on one service.
+    Usage of one service by one client account.
 
-    :param tokens: generated tokens.
-    :param calls: answered calls.
-    :param endpoint_s: seconds of endpoint work.
+    :param client_account: name of the client account.
+    :param service: name of the service or model.
+    :param tokens: number of generated tokens.
+    :param calls: number of answered calls.
+    :param endpoint_s: processing time at endpoints, in seconds.
     """
 
     client_account: str
@@ -25,9 +27,13 @@
 @dataclass(frozen=True)
 class AddUsage:
     """
-    Add an entry's usage; (daemon, incarnation, sequence) counts once.
+    Add an entry's usage; idempotent under the key (daemon, incarnation, sequence).
 
-    :param window: index of the usage window in which the work ended.
+    :param daemon: id of the entry.
+    :param incarnation: number of the entry's start.
+    :param sequence: number of the command within the incarnation.
+    :param window: index of the usage window in which the requests ended.
+    :param records: the usage to add.
     """
 
     daemon: str
@@ -40,7 +46,10 @@
 @dataclass(frozen=True)
 class UsageAdded:
     """
-    Result of `AddUsage`: the window that took it, a later one when its own was closed already.
+    Result of `AddUsage`.
+
+    :param window: index of the window that the usage was added to; a later one than requested if
+        that was closed already.
     """
 
     window: int
@@ -48,14 +57,14 @@
 
 @dataclass(frozen=True)
 class CloseWindow:
-    """Fix the figures of a usage window; proposed by the leader when it is over."""
+    """Make the usage of a window final; proposed by the leader after the end of the window."""
 
     window: int
 
 
 @dataclass(frozen=True)
 class WindowReported:
-    """The usage interface acknowledged the window."""
+    """The platform's usage interface has acknowledged the usage of the window."""
 
     window: int
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/views.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/views.py
@@ -1,4 +1,4 @@
-"""What the leader hands to entries with a lease renewal."""
+"""The replicated state that the leader sends to an entry with each lease renewal."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 @dataclass(frozen=True)
 class PeerRecord:
     """
-    A live entry.
+    An entry whose lease is valid.
 
-    :param daemon: its id.
-    :param incarnation: its start.
-    :param data_centre: where it stands.
-    :param peer_address: IP:port of its gRPC for entries.
+    :param daemon: id of the entry.
+    :param incarnation: number of its start.
+    :param data_centre: data centre of its VM.
+    :param peer_address: IP:port of its gRPC server for other entries.
     """
 
     daemon: str
@@ -25,16 +25,17 @@
 @dataclass(frozen=True)
 class EntryView:
     """
-    The part of the replicated state that entries act on.
+    The part of the replicated state that entries use.
 
-    :param index: log index of the view; it only rises.
+    :param index: log index of the view; it never decreases.
     :param rules_version: version of the rules in force.
-    :param rules_text: the rules file.
-    :param version_by_trainer: each trainer's newest weight version.
-    :param draining: endpoints that get no new work.
-    :param peer_by_daemon: live entries.
-    :param peers_complete: False while a new leader may not have heard of all live entries.
-    :param usage_window_s: seconds that one usage window spans, from the leader's settings.
+    :param rules_text: text of the rules file.
+    :param version_by_trainer: newest weight version by trainer.
+    :param draining: ids of endpoints that get no new work.
+    :param peer_by_daemon: entries with a valid lease, by id.
+    :param peers_complete: False while a new leader may not have received a renewal from every such
+        entry.
+    :param usage_window_s: length of a usage window in seconds, from the leader's settings.
     """
 
     index: int
