--- a/packages/ibisspring-core/src/ibisspring_core/caller_leaving.py
+++ b/packages/ibisspring-core/src/ibisspring_core/caller_leaving.py
@@ -1,4 +1,4 @@
-"""Ends a request's work when its caller leaves or takes nothing any more."""
+"""Cancels a request when its caller disconnects or stops reading the response."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 
 def end_with_caller(application: Application, silence_s: float) -> Application:
     """
-    Wrap an application so that a request is cancelled when its caller leaves.
+    Wrap an application so that a request is cancelled when its caller disconnects.
 
-    The framework alone goes on iterating a stream whose reader is gone: the engine would work for
-    nobody. Cancelling reaches the stream's own clean-up, which cancels the engine's work.
+    Without this, the framework goes on iterating a stream after its reader has disconnected, and
+    the engine generates tokens that no caller receives. Cancellation runs the stream's clean-up,
+    which cancels the request at the engine.
 
     :param application: the ASGI application.
-    :param silence_s: longest time that a caller may take nothing of its answer; its connection may
-        have been forgotten by something in between, and the work for it would go on and be billed.
+    :param silence_s: seconds after which a send to a caller that reads nothing is cancelled. The
+        path may have lost the connection's state; the request would continue and be billed.
     :return: the wrapped application.
     """
 
@@ -39,47 +40,47 @@
                 await send(event)
 
         work = asyncio.ensure_future(application(scope, body.receive, send_in_time))
-        leaving = asyncio.ensure_future(body.wait_gone())
+        disconnecting = asyncio.ensure_future(body.wait_disconnected())
         try:
-            await asyncio.wait({work, leaving}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({work, disconnecting}, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            leaving.cancel()
+            disconnecting.cancel()
             work.cancel()
         try:
             await work
         except asyncio.CancelledError:
-            # Nobody is left who could read an answer.
+            # The caller is disconnected, so there is no reader for a response.
             return
 
     return serve
 
 
 class _Body:
-    """Passes the body's events on, then waits for the caller to leave."""
+    """Forwards the events of the request body, then waits for the caller to disconnect."""
 
     def __init__(self, receive: Receive) -> None:
         self._receive = receive
-        self._read = asyncio.Event()
-        self._gone = asyncio.Event()
+        self._complete = asyncio.Event()
+        self._disconnected = asyncio.Event()
 
     async def receive(self) -> Event:
-        if self._read.is_set():
-            await self._gone.wait()
+        if self._complete.is_set():
+            await self._disconnected.wait()
             return {"type": DISCONNECT}
         event = await self._receive()
         if event["type"] == DISCONNECT:
-            self._gone.set()
-            self._read.set()
+            self._disconnected.set()
+            self._complete.set()
         elif not event.get("more_body", False):
-            self._read.set()
+            self._complete.set()
         return event
 
-    async def wait_gone(self) -> None:
-        await self._read.wait()
-        while not self._gone.is_set():
+    async def wait_disconnected(self) -> None:
+        await self._complete.wait()
+        while not self._disconnected.is_set():
             event = await self._receive()
             if event["type"] == DISCONNECT:
-                self._gone.set()
+                self._disconnected.set()
 
 
 __all__ = ["Application", "end_with_caller"]
--- a/packages/ibisspring-core/src/ibisspring_core/connections.py
+++ b/packages/ibisspring-core/src/ibisspring_core/connections.py
@@ -1,4 +1,4 @@
-"""The connections to endpoints."""
+"""HTTP connections from this daemon to endpoints."""
 
 from __future__ import annotations
 
@@ -19,21 +19,23 @@
 
 Headers = tuple[tuple[str, str], ...]
 
-# An endpoint on a VM without power answers no opening packet; another one is tried after this.
+# An endpoint on a powered-off VM does not answer a SYN; another endpoint is tried after this time.
 CONNECT_TIMEOUT_S = 0.5
-# Endpoints accept a bounded number of connections from all daemons together.
+# Each endpoint limits its connections over all daemons together.
 CONNECTIONS_PER_ENDPOINT = 16
-# Endpoints close idle connections themselves and say when; the pool keeps them for longer.
+# Longer than the keep-alive time of endpoints, which close idle connections themselves and announce
+# that time in each response.
 IDLE_S = 75.0
-# For an endpoint that does not say it.
-UNSAID_KEEP_S = 5.0
-# Bytes that an endpoint does not acknowledge for this long are lost: its VM has no power.
+# Assumed for an endpoint that sends no Keep-Alive header.
+DEFAULT_KEEP_ALIVE_S = 5.0
+# Limit for unacknowledged bytes; beyond it the endpoint's VM counts as powered off and the
+# connection fails.
 TCP_USER_TIMEOUT_MS = 1500
-_OWN_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
+_SUPPRESSED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
 
 class Connections:
-    """The service `connections`: one pool for all endpoints."""
+    """The service `connections`: one connection pool for all endpoints."""
 
     name = "connections"
 
@@ -42,7 +44,7 @@
         self._kept = KeptConnections()
 
     async def start(self, kernel: Kernel) -> None:
-        """Open the pool."""
+        """Create the pool; connections open with the first requests."""
         connector = aiohttp.TCPConnector(
             limit=0,
             limit_per_host=CONNECTIONS_PER_ENDPOINT,
@@ -52,23 +54,26 @@
         self._session = aiohttp.ClientSession(
             connector=connector,
             auto_decompress=False,
-            skip_auto_headers=_OWN_HEADERS,
+            skip_auto_headers=_SUPPRESSED_HEADERS,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         )
 
     async def stop(self) -> None:
-        """Close all connections."""
+        """Close the pool and its connections."""
         await self._session.close()
 
     def request(
         self, method: str, address: str, target: str, headers: Headers, body: bytes
     ) -> aiohttp.client._RequestContextManager:
         """
-        Send a request as it is.
-
-        :param address: IP:port.
-        :param target: path and query, not changed.
-        :return: a context manager of the answer.
+        Send a request without changing or adding headers, and without following redirects.
+
+        :param method: HTTP method.
+        :param address: IP:port of the endpoint.
+        :param target: path and query, sent as given.
+        :param headers: pairs of name and value.
+        :param body: request body; empty for none.
+        :return: an asynchronous context manager that yields the response.
         """
         self._kept.taken((address,), boot_now())
         return self._session.request(
@@ -81,9 +86,12 @@
 
     async def ask(self, question: HttpRequest, timeout_s: float) -> HttpAnswer | NoAnswer:
         """
-        Ask an endpoint something that changes nothing there, on a connection that is kept.
+        Send a read-only request over a pooled connection.
 
-        :param question: a request without effect; orders go on guarded connections of their own.
+        :param question: a request without side effects; orders use the guarded connections of
+            `guarded_http` instead.
+        :param timeout_s: seconds until the complete response must have arrived.
+        :return: the response, or the error that prevented it.
         """
         url = URL(question.url, encoded=True)
         headers = tuple(question.headers.items())
@@ -102,15 +110,16 @@
             return NoAnswer(True, repr(error))
 
     def idle(self, address: str) -> bool:
-        """Whether a connection to an endpoint is open and idle."""
+        """Whether the pool holds an open, idle connection to an endpoint."""
         return self._kept.idle((address,), boot_now()) > 0
 
     def released(self, address: str, headers: Headers) -> float:
         """
-        Note that an answer was read to its end.
+        Record that a response was read completely and its connection is idle.
 
-        :param headers: of the answer.
-        :return: seconds that the endpoint keeps the connection.
+        :param address: IP:port of the endpoint.
+        :param headers: headers of the response.
+        :return: seconds that the endpoint keeps the connection open; 0.0 if it closes it.
         """
         keep_s = keep_alive_s(headers)
         self._kept.released((address,), boot_now(), keep_s)
@@ -119,12 +128,12 @@
 
 def keep_alive_s(headers: Headers) -> float:
     """
-    Read how long an endpoint keeps a connection that is idle.
+    Read the keep-alive time from response headers.
 
-    :param headers: of an answer.
-    :return: seconds; 0.0 where it closes the connection.
+    :param headers: headers of a response.
+    :return: seconds that the endpoint keeps an idle connection open; 0.0 if it closes it.
     """
-    keep_s = UNSAID_KEEP_S
+    keep_s = DEFAULT_KEEP_ALIVE_S
     for name, value in headers:
         if name.lower() == "connection" and "close" in value.lower():
             return 0.0
@@ -147,7 +156,7 @@
 
 
 def headers_of(response: aiohttp.ClientResponse) -> Headers:
-    """Headers of an answer as the endpoint sent them."""
+    """Return the headers of a response as the endpoint sent them, duplicates included."""
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1")) for name, value in response.raw_headers
     )
--- a/packages/ibisspring-core/src/ibisspring_core/control_client.py
+++ b/packages/ibisspring-core/src/ibisspring_core/control_client.py
@@ -1,4 +1,4 @@
-"""Finds the control leader and speaks to it."""
+"""The client of the control daemons: finds their leader, retries and follows redirects."""
 
 from __future__ import annotations
 
@@ -23,30 +23,32 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings import Settings
 
-# A commit takes milliseconds and a wait for the entries is cut at one second by the server; two
-# seconds without an answer are a dead or silent connection.
+# Time limit of one try. A commit takes milliseconds and the server waits at most one second for the
+# entries, so that no reply within two seconds means a dead or silent connection.
 TRY_S = 2.0
-# Longer than an election and the silence before it.
+# Time limit of all tries of a call; longer than the failure detection and election of a new leader.
 TOTAL_S = 10.0
-# One renewal, beyond its hold, must leave time for the next before a lease of three seconds lapses.
+# Limits of a renewal in addition to its long-poll time. After a failed renewal, enough time must
+# remain for the next one before a lease of three seconds lapses.
 RENEW_TRY_S = 0.8
 RENEW_TOTAL_S = 1.7
 RETRY_PAUSE_S = 0.1
 HINT_PAUSE_S = 0.01
 MIN_TIMEOUT_S = 0.05
-# A leader that froze is still named by the others until they elect a new one.
-SUSPECT_S = 2.0
+# An address that did not answer is not used for this long, not even after a redirect: the other
+# replicas redirect to a frozen leader until they have elected a new one.
+AVOID_S = 2.0
 RETRY_AFTER_S = 1.0
 
 
 @dataclass(frozen=True)
 class Attempt:
     """
-    What one try gave.
+    The outcome of one try.
 
-    :param reply: the leader's answer; None where there is none.
-    :param why: why there is none.
-    :param sent: the request may have reached a leader.
+    :param reply: the reply; None if there is none.
+    :param why: the reason why there is no reply.
+    :param sent: True if the request may have reached a leader, although there is no reply.
     """
 
     reply: Any | None
@@ -56,10 +58,10 @@
 
 class ControlClient:
     """
-    The connection to the control daemons.
+    Calls the leader of the control daemons.
 
-    A command is sent again under the same request id until it has an answer or its time is over;
-    the state machine applies it once.
+    A command is sent again under the same request id until a reply arrives or its time limit is
+    reached; the state machine applies it once.
     """
 
     name = "control_client"
@@ -68,26 +70,26 @@
         self.address_by_daemon = address_by_daemon
         self._channels = ControlChannels()
         self._leader_address: str | None = None
-        self._suspect_until_by_address: dict[str, float] = {}
+        self._avoided_until_by_address: dict[str, float] = {}
         self._rotation = random.randrange(max(1, len(address_by_daemon)))
         self._counters: Counters | None = None
 
     @classmethod
     def from_config(cls, settings: Settings) -> ControlClient:
         """
-        Build the client; it connects when it is first used.
+        Build the client; channels open with the first call.
 
-        :param settings: where the control daemons listen.
+        :param settings: settings with the addresses of the control daemons.
         :return: the client.
         """
         return cls(dict(settings.control_addresses))
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the counters."""
+        """Look up the counters."""
         self._counters = kernel.find("counters")
 
     async def stop(self) -> None:
-        """Close the connections."""
+        """Close all channels."""
         await self._channels.close()
 
     async def propose(self, command: Any, request_id: str, total_s: float = TOTAL_S) -> Any:
@@ -95,10 +97,11 @@
         Commit a command.
 
         :param command: a command of `ibisspring_core.messages.commands`.
-        :param request_id: the same for every resend of this command, also in later calls.
-        :param total_s: longest time for all tries together.
-        :return: its result, `Refused` included; a `Refusal` where no leader answered, with
-            `not_run` True only when no try can have reached a leader.
+        :param request_id: idempotency key; the same for every resend of the command, also in later
+            calls.
+        :param total_s: time limit of all tries together, in seconds.
+        :return: the command's result, which may be `Refused`; a `Refusal` if no leader answered,
+            with `not_run` True only if no try can have reached a leader.
         """
         request = control_pb2.ProposeRequest(
             request_id=request_id, command=COMMANDS.encode(command)
@@ -112,12 +115,12 @@
         self, query: str, *, total_s: float = TOTAL_S, **arguments: Any
     ) -> dict[str, Any] | Refusal:
         """
-        Read state that a quorum confirmed as current.
+        Run a linearizable read: a quorum confirms that the state is current.
 
-        :param query: listed in docs/reference/command-line.md.
-        :param total_s: longest time for all tries together.
+        :param query: name of a query listed in docs/reference/command-line.md.
+        :param total_s: time limit of all tries together, in seconds.
         :param arguments: the query's arguments.
-        :return: the answer's JSON object, or a refusal.
+        :return: the JSON object of the reply, or a refusal.
         """
         request = control_pb2.ReadRequest(query=query, arguments=msgspec.msgpack.encode(arguments))
         reply = await self._call("Read", request, TRY_S, total_s)
@@ -129,8 +132,8 @@
         """
         Renew an entry's lease.
 
-        :param request: the renewal; the caller counts the lease from before this call.
-        :return: the leader's answer, or a refusal.
+        :param request: the renewal. The caller counts the lease from a time before this call.
+        :return: the leader's reply, or a refusal.
         """
         hold_s = request.hold_s
         return await self._call("Renew", request, hold_s + RENEW_TRY_S, hold_s + RENEW_TOTAL_S)
@@ -157,7 +160,7 @@
             if reply.status == control_pb2.INVALID:
                 return Refusal(Reason.BAD_REQUEST, True, None, reply.detail)
             if reply.status == control_pb2.UNKNOWN:
-                # Answered by the leader: the command is on its way or waits for the entries.
+                # The leader's reply: the command is being committed or waits for the entries.
                 sent = True
                 await self._pause(Reason.IN_PROGRESS, end)
                 continue
@@ -167,7 +170,7 @@
     async def _try(self, address: str, method: str, request: Any, timeout_s: float) -> Attempt:
         start = boot_now()
         if not await self._channels.connect(address, timeout_s):
-            self._give_up(address)
+            self._avoid(address)
             return Attempt(None)
         try:
             call = getattr(self._channels.stub(address), method)
@@ -176,21 +179,21 @@
         except asyncio.CancelledError:
             if is_task_cancelled():
                 raise
-            # Another call failed, and the channel was closed under this one.
+            # Another call on the channel failed, and the channel was closed.
             return Attempt(None, Reason.NO_LEADER, sent=True)
         except grpc.aio.AioRpcError as error:
             if error.code() == grpc.StatusCode.DEADLINE_EXCEEDED:
-                self._give_up(address)
+                self._avoid(address)
                 self._channels.replace(address)
                 return Attempt(None, Reason.TIMEOUT, sent=True)
             self._forget_leader(address)
-            # grpc does not tell whether bytes left before the connection broke.
+            # gRPC does not report whether bytes were sent before the connection broke.
             return Attempt(None, Reason.NO_LEADER, sent=True)
 
-    def _give_up(self, address: str) -> None:
-        """Ask the other replicas first for a while."""
+    def _avoid(self, address: str) -> None:
+        """Use the other replicas' addresses for the next `AVOID_S` seconds."""
         self._forget_leader(address)
-        self._suspect_until_by_address[address] = boot_now() + SUSPECT_S
+        self._avoided_until_by_address[address] = boot_now() + AVOID_S
 
     def _next_address(self) -> str:
         if self._leader_address is not None:
@@ -200,7 +203,7 @@
         for _ in addresses:
             self._rotation = (self._rotation + 1) % len(addresses)
             address = addresses[self._rotation]
-            if self._suspect_until_by_address.get(address, 0.0) <= now:
+            if self._avoided_until_by_address.get(address, 0.0) <= now:
                 return address
         return addresses[self._rotation]
 
@@ -209,7 +212,7 @@
         hinted = self.address_by_daemon.get(hint)
         if hinted is None or hinted == address:
             return
-        if self._suspect_until_by_address.get(hinted, 0.0) > boot_now():
+        if self._avoided_until_by_address.get(hinted, 0.0) > boot_now():
             return
         self._leader_address = hinted
 
@@ -220,9 +223,10 @@
     async def _pause(self, why: Reason, end: float) -> None:
         if self._counters is not None:
             self._counters.retried(why)
-        # Two replicas may name each other for a moment, so following a hint takes a pause as well.
-        hinted = self._leader_address is not None and why is Reason.NO_LEADER
-        pause_s = HINT_PAUSE_S if hinted else RETRY_PAUSE_S
+        # Two replicas may redirect to each other for a short time, so there is a pause before
+        # following a redirect too.
+        redirected = self._leader_address is not None and why is Reason.NO_LEADER
+        pause_s = HINT_PAUSE_S if redirected else RETRY_PAUSE_S
         await asyncio.sleep(min(pause_s, max(0.0, end - boot_now())))
 
     def _refuse(self, sent: bool, detail: str) -> Refusal:
--- a/packages/ibisspring-core/src/ibisspring_core/directory_view.py
+++ b/packages/ibisspring-core/src/ibisspring_core/directory_view.py
@@ -1,4 +1,4 @@
-"""The service `directory_view`: what the directory's leader last told this daemon."""
+"""The service `directory_view`: this daemon's copy of the directory, received from its leader."""
 
 from __future__ import annotations
 
@@ -22,17 +22,19 @@
     from ibisspring_core.messages.endpoints import EndpointRecord
     from ibisspring_core.settings.vm import VmSettings
 
-# The leader answers at once when something changes. Held longer, a daemon would be taken for out
-# of touch; held shorter, each of hundreds of daemons would cost the leader more.
+# Long-poll time of a renewal; the leader answers earlier on a change. A longer one would make the
+# leader treat the daemon as unreachable, a shorter one would raise the leader's load with hundreds
+# of daemons.
 HOLD_S = 0.4
 CALL_TIMEOUT_S = 1.0
 RENEW_TIMEOUT_S = 3.0
-# An entry that hears no leader for this long serves nobody any more: keys may have been withdrawn.
-# Far longer than an election, so that the loss of control VMs does not stop callers.
+# An entry without a renewal for this long rejects all requests, as keys may have been withdrawn in
+# the meantime. Far longer than an election, so that the loss of control VMs does not interrupt
+# service.
 SERVE_WITHOUT_CONTROL_S = 20.0
 KEEP_ENDPOINTS_S = 3600.0
-# After the end of all processes a leader is elected and heard about this long after a daemon's own
-# start: one election timeout, its draw, and the first renewals.
+# When all processes restart together, a daemon receives its first table about this long after its
+# own start: one election timeout with its random part, then the first renewals.
 TABLE_DUE_S = 1.15
 LEAST_RETRY_S = 0.3
 
@@ -41,7 +43,7 @@
 
 
 class DirectoryView:
-    """Renews all the time and tells the parts that subscribe when something changed."""
+    """Renews continuously and notifies subscribers of each change."""
 
     name = "directory_view"
 
@@ -50,8 +52,8 @@
         self._incarnation = secrets.token_hex(8)
         self._on_change: list[Callable[[], None]] = []
         self._usage: UsageSource = lambda closed: ()
-        self._describe: Describe = lambda renew: renew
-        self._heard_at: float | None = None
+        self._complete_renewal: Describe = lambda renew: renew
+        self._renewed_at: float | None = None
         self._wall_offset_s = wall_now() - boot_now()
         self.view = View(0, 0)
         self.index: RouteIndex | None = None
@@ -69,7 +71,7 @@
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to renew."""
+        """Start the renewal task."""
         self._counters = kernel.find("counters")
         self._current_settings = kernel.find("current_settings")
         self._leader = LeaderClient(kernel.find("peer_client"), self._addresses)
@@ -77,58 +79,63 @@
         self._task = asyncio.create_task(self._run(), name="directory_view")
 
     async def stop(self) -> None:
-        """Renew no more."""
+        """Cancel the renewal task."""
         if self._task is not None:
             self._task.cancel()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call back after each change."""
+        """Register a callback that runs after each change of the view."""
         self._on_change.append(callback)
 
     def send_usage(self, source: UsageSource) -> None:
-        """Send with each renewal what `source` gives for the newest closed window."""
+        """
+        Set the source of the usage counts that each renewal carries.
+
+        :param source: called with the number of the newest closed window; returns the counts of
+            later windows.
+        """
         self._usage = source
 
     async def tell_usage(self) -> Any:
         """
-        Tell the leader the counts now, beside the renewals.
+        Send the usage counts to the leader at once, outside of the renewals.
 
-        :return: the leader's answer, or a refusal.
+        :return: `UsageCounted`, or a `Refusal`.
         """
         usage = self._usage(self.view.closed_window)
         message = CountUsage(self._settings.peer_address, self._incarnation, usage)
         return await self._usage_leader.call(message, CALL_TIMEOUT_S, CALL_TIMEOUT_S)
 
     def describe(self, describe: Describe) -> None:
-        """Let a part add to each renewal what it knows of this daemon."""
-        self._describe = describe
+        """Set a function that completes each renewal, for example with the daemon's disk."""
+        self._complete_renewal = describe
 
     @property
     def table_version(self) -> int:
-        """Version of the route table in force here; -1 before the first."""
+        """Version of the route table in force in this daemon; -1 before the first."""
         return self.index.table.version if self.index is not None else -1
 
     def may_serve(self) -> bool:
-        """Whether a route table is in force here and the directory was heard lately."""
-        if self.index is None or self._heard_at is None:
+        """Whether a table is in force and renewed within `SERVE_WITHOUT_CONTROL_S`."""
+        if self.index is None or self._renewed_at is None:
             return False
-        return boot_now() - self._heard_at <= SERVE_WITHOUT_CONTROL_S
+        return boot_now() - self._renewed_at <= SERVE_WITHOUT_CONTROL_S
 
     def retry_after_s(self) -> float:
         """
-        Seconds after which a caller that was refused for the want of a table may come back.
+        Return the Retry-After, in seconds, for requests refused because no table is in force.
 
-        Told a third of a second right after a start, callers came back before there was a leader,
-        and had used up their one retry.
+        With 0.3 s right after a start, callers repeated their request before a leader was elected
+        and had then used up their only retry.
         """
         return max(LEAST_RETRY_S, PROCESS_STARTED_S + TABLE_DUE_S - boot_now())
 
     def wall_s(self) -> float:
-        """The time of day that most daemons agree on, in seconds since 1970."""
+        """Return the wall clock that most daemons agree on, in seconds since 1970."""
         return boot_now() + self._wall_offset_s
 
     def serving(self, service: str) -> tuple[EndpointRecord, ...]:
-        """Endpoints of a service that may get new work."""
+        """Return the endpoints of a service that may get new work."""
         return self.endpoints.serving(service, boot_now())
 
     def _addresses(self) -> tuple[str, ...]:
@@ -153,38 +160,40 @@
             usage=self._usage(self.view.closed_window),
             wall_s=wall_now(),
         )
-        answer = await self._leader.call(self._describe(renew), RENEW_TIMEOUT_S, CALL_TIMEOUT_S)
+        answer = await self._leader.call(
+            self._complete_renewal(renew), RENEW_TIMEOUT_S, CALL_TIMEOUT_S
+        )
         if isinstance(answer, Refusal):
             self._counters.add("directory_view.renewal_failed")
             eliot.log_message("directory_view:no_leader", detail=answer.detail)
             return
-        self._heard_at = boot_now()
-        self._wall_offset_s = answer.wall_s - self._heard_at
+        self._renewed_at = boot_now()
+        self._wall_offset_s = answer.wall_s - self._renewed_at
         if isinstance(answer, Unchanged):
             self.view = replace(self.view, closed_window=answer.closed_window)
             return
-        self._take(answer)
+        self._apply(answer)
 
-    def _take(self, view: View) -> None:
-        # The table in force here never goes back: a deposed leader may still answer one call with
-        # what it knew.
+    def _apply(self, view: View) -> None:
+        # The table version never decreases: a deposed leader may still answer one call with an
+        # older view.
         if view.epoch < self.view.epoch:
             self._counters.add("directory_view.older_epoch")
             return
         if view.table is not None and view.table.version > self.table_version:
             self.index = RouteIndex(view.table)
             eliot.log_message("directory_view:table", version=view.table.version)
-        self._take_endpoints(view)
+        self._apply_endpoints(view)
         self.view = replace(view, table=None)
         for callback in self._on_change:
             callback()
 
-    def _take_endpoints(self, view: View) -> None:
+    def _apply_endpoints(self, view: View) -> None:
         """
-        Take over the leader's endpoints.
+        Replace the endpoints by those of the view, or merge them while the leader is new.
 
-        A leader that has just been elected has heard only some of them; until it has, those that it
-        does not name stay as they were known.
+        A newly elected leader has received announcements of only some endpoints. Until the view is
+        complete, endpoints missing from it stay as they are.
         """
         now = boot_now()
         table = self.endpoints if view.learning else EndpointTable(KEEP_ENDPOINTS_S)
--- a/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
+++ b/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
@@ -1,4 +1,9 @@
-"""The table of endpoints: the newest announcement wins, leaving is final, silence ends a record."""
+"""
+The table of endpoints, built from their announcements.
+
+The newest announcement of an endpoint replaces earlier ones. State LEAVING is final for an
+incarnation. A record whose endpoint has not announced itself within the TTL changes to GONE.
+"""
 
 from __future__ import annotations
 
@@ -23,18 +28,22 @@
 
 FORGET_AFTER_TTLS = 12
 """
-A record that is gone stays for so many TTLs, so that a late relayed record cannot bring it back;
-after that its own age keeps relayed records out.
+Number of TTLs after the last announcement at which a record is deleted.
+
+Until then a GONE record stays, so that a late copy relayed by a peer cannot bring the endpoint
+back. Later copies are rejected by their own age.
 """
 
 
 @dataclass(frozen=True)
 class Heard:
     """
-    A record with the moment at which its endpoint itself was last heard, by whichever entry.
+    A record with the time of its endpoint's last announcement to any entry.
 
-    :param heard_at: seconds on this entry's boot clock.
-    :param first_hand: whether the endpoint announced itself here, not through a peer.
+    :param record: the newest announcement.
+    :param heard_at: time of that announcement, in seconds on this entry's boot clock.
+    :param first_hand: True if the endpoint announced itself to this entry, False if a peer relayed
+        the record.
     """
 
     record: EndpointRecord
@@ -43,35 +52,41 @@
 
 
 class EndpointTable:
-    """The endpoints that this entry knows of; `now` is always given."""
+    """
+    The known endpoints by id.
+
+    The table reads no clock: callers pass `now`, in seconds on this entry's boot clock.
+    """
 
     def __init__(self, ttl_s: float) -> None:
         self._ttl_s = ttl_s
-        self._heard_by_endpoint: dict[str, Heard] = {}
+        self._received_by_endpoint: dict[str, Heard] = {}
         self.changed: set[str] = set()
 
     def take(self, record: EndpointRecord, heard_at: float, first_hand: bool = True) -> str:
         """
-        Take an announcement, first-hand or relayed.
+        Merge an announcement into the table.
 
-        :param record: what the endpoint announced.
-        :param heard_at: when the endpoint was heard, on this entry's clock.
-        :param first_hand: whether the endpoint announced itself here.
-        :return: empty where it was taken, else why it was not.
+        :param record: the announcement.
+        :param heard_at: when an entry received it, in seconds on this entry's boot clock.
+        :param first_hand: True if the endpoint announced itself to this entry, False if a peer
+            relayed the record.
+        :return: empty if the announcement was accepted, else the reason for its rejection.
         """
-        known = self._heard_by_endpoint.get(record.endpoint)
+        known = self._received_by_endpoint.get(record.endpoint)
         if known is None:
             self._put(Heard(record, heard_at, first_hand), None)
             return ""
         if record.order() < known.record.order():
-            return "an announcement that is newer is known"
+            return "a newer announcement is already recorded"
         if record.order() == known.record.order():
-            return self._take_again(known, heard_at)
+            return self._update_received_at(known, heard_at)
         same_incarnation = record.incarnation == known.record.incarnation
-        # An endpoint that is leaving gets no new work: a "serving" that was sent before, or that a
-        # confused endpoint sends after, must not bring it back. Only a new start may.
+        # A leaving endpoint gets no new work. Neither a SERVING announcement that was sent earlier
+        # and arrives late, nor one that a faulty endpoint sends afterwards, may revert this; only a
+        # new incarnation may.
         if same_incarnation and known.record.state == LEAVING and record.state != LEAVING:
-            return "leaving is final for an incarnation"
+            return "this incarnation has already announced that it is leaving"
         self._put(Heard(record, heard_at, first_hand), known)
         return ""
 
@@ -79,18 +94,19 @@
         self, start: tuple[str, int], sequence: int, load: EndpointLoad, heard_at: float
     ) -> None:
         """
-        Take a peer's word that an endpoint goes on as it is known.
+        Apply a peer's refresh of an endpoint whose record is unchanged except for its load.
 
-        One that is not known by this start is not taken: what it announces is not known either, and
-        the next digest brings it.
+        A refresh of an unknown endpoint or incarnation is ignored, since the remaining fields of
+        its record are missing here. The peers then find that their digests differ and exchange the
+        complete record.
 
         :param start: the endpoint's id and incarnation.
-        :param sequence: of its newest announcement.
-        :param load: from the same.
-        :param heard_at: when the endpoint was heard, on this entry's clock.
+        :param sequence: sequence number of its newest announcement.
+        :param load: load reported by that announcement.
+        :param heard_at: when an entry received it, in seconds on this entry's boot clock.
         """
         endpoint, incarnation = start
-        known = self._heard_by_endpoint.get(endpoint)
+        known = self._received_by_endpoint.get(endpoint)
         if known is None or known.record.incarnation != incarnation:
             return
         changes = {"sequence": sequence, "load": load, "state": SERVING}
@@ -98,142 +114,146 @@
 
     def set_versions(self, endpoint: str, version_by_adapter: dict[str, int]) -> None:
         """
-        Take in the versions that an engine has between two of its announcements.
+        Update the weight versions of an engine between two of its announcements.
 
-        :param endpoint: one that is known.
-        :param version_by_adapter: weight version by name.
+        :param endpoint: id of a known endpoint.
+        :param version_by_adapter: weight version by adapter name.
         """
-        heard = self._heard_by_endpoint[endpoint]
+        heard = self._received_by_endpoint[endpoint]
         record = dataclasses.replace(heard.record, version_by_adapter=version_by_adapter)
         self._put(dataclasses.replace(heard, record=record), heard)
 
-    def _take_again(self, known: Heard, heard_at: float) -> str:
+    def _update_received_at(self, known: Heard, heard_at: float) -> str:
         if heard_at > known.heard_at:
-            self._heard_by_endpoint[known.record.endpoint] = dataclasses.replace(
+            self._received_by_endpoint[known.record.endpoint] = dataclasses.replace(
                 known, heard_at=heard_at
             )
         return ""
 
     def _put(self, heard: Heard, known: Heard | None) -> None:
         endpoint = heard.record.endpoint
-        self._heard_by_endpoint[endpoint] = heard
-        if known is None or substance(heard.record) != substance(known.record):
+        self._received_by_endpoint[endpoint] = heard
+        if known is None or comparable_fields(heard.record) != comparable_fields(known.record):
             self.changed.add(endpoint)
             return
-        # While it empties, whoever stops it needs to see its load fall to zero.
+        # The daemon that stops a draining endpoint waits until its load is zero.
         if heard.record.state == LEAVING and heard.record.load != known.record.load:
             self.changed.add(endpoint)
 
     def expire(self, now: float) -> tuple[str, ...]:
         """
-        End the records of endpoints that went silent.
+        Mark endpoints as GONE whose TTL has expired, and delete old records.
 
         :param now: seconds on this entry's boot clock.
-        :return: the endpoints that are gone since the last call.
+        :return: ids of the endpoints that changed to GONE in this call.
         """
-        gone = []
-        for endpoint, heard in list(self._heard_by_endpoint.items()):
+        expired = []
+        for endpoint, heard in list(self._received_by_endpoint.items()):
             age_s = now - heard.heard_at
             if age_s > self._ttl_s * FORGET_AFTER_TTLS:
-                del self._heard_by_endpoint[endpoint]
+                del self._received_by_endpoint[endpoint]
                 self.changed.discard(endpoint)
                 continue
             if age_s <= self._ttl_s or heard.record.state in (GONE, LEAVING):
                 continue
             record = dataclasses.replace(heard.record, state=GONE)
-            self._heard_by_endpoint[endpoint] = dataclasses.replace(heard, record=record)
+            self._received_by_endpoint[endpoint] = dataclasses.replace(heard, record=record)
             self.changed.add(endpoint)
-            gone.append(endpoint)
-        return tuple(gone)
+            expired.append(endpoint)
+        return tuple(expired)
 
     def serving(self, service: str, now: float) -> tuple[EndpointRecord, ...]:
         """
-        Find the endpoints that may get new work.
+        List the endpoints of a service that may get new work.
 
-        :param service: the name that callers ask for.
+        :param service: name of the service or model.
         :param now: seconds on this entry's boot clock.
         :return: their records.
         """
-        owner_by_address = self._owner_by_address()
+        newest_by_address = self._newest_incarnation_by_address()
         found = []
-        for heard in self._heard_by_endpoint.values():
+        for heard in self._received_by_endpoint.values():
             record = heard.record
             if record.service != service or record.state != SERVING:
                 continue
             if now - heard.heard_at > self._ttl_s:
                 continue
-            if owner_by_address[record.address] > record.incarnation:
+            if newest_by_address[record.address] > record.incarnation:
                 continue
             found.append(record)
         return tuple(found)
 
-    def _owner_by_address(self) -> dict[str, int]:
+    def _newest_incarnation_by_address(self) -> dict[str, int]:
         """
-        Find the newest incarnation at each address.
+        Return the newest incarnation at each address.
 
-        An announcement held up on its way may arrive after its sender has ended and another
-        endpoint began at the same address: both would be taken for serving there.
+        A delayed announcement may arrive after its sender has exited and another endpoint has
+        started at the same address. Without this check both would count as serving there.
         """
         newest: dict[str, int] = {}
-        for heard in self._heard_by_endpoint.values():
+        for heard in self._received_by_endpoint.values():
             record = heard.record
             newest[record.address] = max(newest.get(record.address, 0), record.incarnation)
         return newest
 
     def heard(self) -> tuple[Heard, ...]:
-        """All that is known, what is gone included."""
-        return tuple(self._heard_by_endpoint.values())
+        """Return all records, including those of GONE endpoints."""
+        return tuple(self._received_by_endpoint.values())
 
     def unheard(self, now: float) -> tuple[str, ...]:
         """
-        Find the endpoints whose word is getting old here; others may have heard them since.
+        List the endpoints without an announcement for more than half a TTL.
+
+        Peers are asked whether they have received a newer one.
 
         :param now: seconds on this entry's boot clock.
         :return: their ids.
         """
         found = []
-        for heard in self._heard_by_endpoint.values():
+        for heard in self._received_by_endpoint.values():
             if now - heard.heard_at > self._ttl_s / 2 and heard.record.state != LEAVING:
                 found.append(heard.record.endpoint)
         return tuple(found)
 
     def heard_lately(self, endpoints: Iterable[str], now: float) -> tuple[Heard, ...]:
         """
-        Find what is known better here.
+        Return the records that a peer asks for, if they are recent.
 
-        :param endpoints: ids that a peer asks for.
+        :param endpoints: ids that the peer asks for.
         :param now: seconds on this entry's boot clock.
-        :return: those of them that were heard in the last half TTL.
+        :return: the records whose last announcement is at most half a TTL old.
         """
         found = []
         for endpoint in endpoints:
-            heard = self._heard_by_endpoint.get(endpoint)
+            heard = self._received_by_endpoint.get(endpoint)
             if heard is not None and now - heard.heard_at <= self._ttl_s / 2:
                 found.append(heard)
         return tuple(found)
 
     def record_of(self, endpoint: str) -> EndpointRecord | None:
-        """The record of one endpoint, also when it is leaving or gone."""
-        heard = self._heard_by_endpoint.get(endpoint)
+        """Return the record of an endpoint in any state, or None if the id is unknown."""
+        heard = self._received_by_endpoint.get(endpoint)
         return None if heard is None else heard.record
 
     def digest(self) -> int:
-        """Digest over what matters of all records that live; equal tables have equal digests."""
+        """Return a digest of all records that are not GONE; equal tables have equal digests."""
         total = 0
-        for heard in self._heard_by_endpoint.values():
+        for heard in self._received_by_endpoint.values():
             if heard.record.state == GONE:
                 continue
-            total ^= xxhash.xxh64_intdigest(msgspec.msgpack.encode(substance(heard.record)))
-        # 0 asks for no check: an entry that has just started, and knows nothing, asks for one.
+            total ^= xxhash.xxh64_intdigest(msgspec.msgpack.encode(comparable_fields(heard.record)))
+        # On the wire 0 means that no comparison is requested. An empty table, as after a start,
+        # has to be compared as well.
         return total or 1
 
 
-def substance(record: EndpointRecord) -> tuple:
+def comparable_fields(record: EndpointRecord) -> tuple:
     """
-    What matters of a record beyond its place in time.
+    Return the fields of a record whose change is reported to peers and to the leader.
 
     :param record: a record.
-    :return: a value that is equal for records between which nothing changed but sequence and load.
+    :return: equal values for two records of an endpoint that differ only in sequence, load and
+        other hints.
     """
     return (
         record.endpoint,
--- a/packages/ibisspring-core/src/ibisspring_core/errors.py
+++ b/packages/ibisspring-core/src/ibisspring_core/errors.py
@@ -1,4 +1,4 @@
-"""Errors as values: a refusal with its reason, a finding with its place."""
+"""Errors as values: a refusal with its reason, a finding with its position in a file."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was refused or failed; each one has a statsd counter `refused.<value>`."""
+    """Why a request was refused or failed; each value has a statsd counter `refused.<value>`."""
 
     BAD_REQUEST = "bad_request"
     UNKNOWN_KEY = "unknown_key"
@@ -40,12 +40,11 @@
     """
     A typed refusal, returned in place of a result and never raised.
 
-    :param reason: the sentinel that names the cause.
-    :param not_run: True only when no byte left for an endpoint, or the endpoint said that it
-        refused before work.
-    :param retry_after_s: seconds after which the caller may come back; None where a retry cannot
-        help.
-    :param detail: one sentence for a person, without secrets.
+    :param reason: the cause.
+    :param not_run: True only if no byte was sent to an endpoint, or the endpoint answered that it
+        rejected the request before it started.
+    :param retry_after_s: seconds after which the caller may retry; None if a retry cannot help.
+    :param detail: one sentence for humans, without secrets.
     """
 
     reason: Reason
@@ -57,12 +56,12 @@
 @dataclass(frozen=True)
 class Finding:
     """
-    One fault in a file or a message, with its place; findings are collected and reported together.
+    A fault in a file or message and its position; all findings of a file are reported together.
 
-    :param place: the file name or message field.
-    :param line: line number from 1; 0 where lines mean nothing.
-    :param column: column from 1; 0 where columns mean nothing.
-    :param message: what is wrong and what to write instead.
+    :param place: file name, or field of the message.
+    :param line: line number, from 1; 0 if not applicable.
+    :param column: column, from 1; 0 if not applicable.
+    :param message: the fault, and the correct form where possible.
     """
 
     place: str
--- a/packages/ibisspring-core/src/ibisspring_core/kept_connections.py
+++ b/packages/ibisspring-core/src/ibisspring_core/kept_connections.py
@@ -1,63 +1,65 @@
 """
-Which connections to an endpoint are idle and still open at the endpoint.
-
-Load pattern: a trainer's step puts eighty texts on five engines every few seconds, each on a
-connection of its own, and any of eight entries may read them. Between the steps the engines keep
-idle connections for some seconds.
-
-Without it: which entry reads an engine's texts changes with how many each has at the moment, and
-each change opens connections beside those that stand idle at another entry. Measured, 240 were
-opened for 740 texts where 80 run at a time at most, each at the price of a tenth of a lookup's
-worth.
-
-Grounds: an endpoint says with each answer how long it keeps the connection. `MARGIN_S` 0.5 covers
-the answer's way and a late wake-up: a request on a connection that the endpoint is closing is lost.
+Counts the connections to endpoints that are idle and still open at the endpoint.
+
+A trainer's step starts eighty texts on five engines every few seconds, each over a connection of
+its own, and any of eight entries may read them; between steps the engines keep idle connections
+open for some seconds. Without these counts, the entry that reads an engine's texts changes with the
+momentary load of each entry, and each change opens new connections although idle ones exist at
+another entry: 240 connections were opened for 740 texts of which at most 80 run at a time, and each
+new connection costs a tenth of the value of a lookup.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
+# Subtracted from the keep-alive time that an endpoint announces with each response, for the
+# response's transfer and a late wake-up: a request on a connection that the endpoint is closing is
+# lost.
 MARGIN_S = 0.5
 
 
 class KeptConnections:
-    """Idle connections by key; `now` is in seconds on a steady clock."""
+    """The idle connections by key; `now` is in seconds on a monotonic clock."""
 
     def __init__(self) -> None:
-        self._ends_by_key: dict[tuple[str, ...], deque[float]] = {}
+        self._expiries_by_key: dict[tuple[str, ...], deque[float]] = {}
 
     def released(self, key: tuple[str, ...], now: float, keep_s: float) -> None:
         """
-        Note that a connection became idle.
+        Record that a connection became idle.
 
-        :param key: who holds it, and to which endpoint.
-        :param keep_s: seconds that the endpoint keeps it; 0 where it closes it.
+        :param key: the endpoint, after the daemon that holds the connection where there are
+            several.
+        :param now: seconds on a monotonic clock.
+        :param keep_s: seconds that the endpoint keeps the connection open; 0 if it closes it.
         """
         if keep_s > MARGIN_S:
-            self._ends_by_key.setdefault(key, deque()).append(now + keep_s - MARGIN_S)
+            self._expiries_by_key.setdefault(key, deque()).append(now + keep_s - MARGIN_S)
 
     def taken(self, key: tuple[str, ...], now: float) -> bool:
         """
-        Take the one that became idle first, as the pool does.
+        Record that a request uses an idle connection: the one that became idle first.
+
+        The connection pool takes them in the same order.
 
-        :return: whether there was one; otherwise a new one is opened.
+        :return: False if there was none, so that a new connection is opened.
         """
         if not self.idle(key, now):
             return False
-        self._ends_by_key[key].popleft()
+        self._expiries_by_key[key].popleft()
         return True
 
     def idle(self, key: tuple[str, ...], now: float) -> int:
-        """Count those that are idle and open."""
-        ends = self._ends_by_key.get(key)
-        if ends is None:
+        """Return the number of idle connections that the endpoint still keeps open."""
+        expiries = self._expiries_by_key.get(key)
+        if expiries is None:
             return 0
-        while ends and ends[0] <= now:
-            ends.popleft()
-        if not ends:
-            del self._ends_by_key[key]
-        return len(ends)
+        while expiries and expiries[0] <= now:
+            expiries.popleft()
+        if not expiries:
+            del self._expiries_by_key[key]
+        return len(expiries)
 
 
 __all__ = ["KeptConnections"]
--- a/packages/ibisspring-core/src/ibisspring_core/leader_client.py
+++ b/packages/ibisspring-core/src/ibisspring_core/leader_client.py
@@ -1,4 +1,4 @@
-"""Finds the leader of a replicated log and calls it."""
+"""The client of a replicated log's leader: finds the leader and follows redirects."""
 
 from __future__ import annotations
 
@@ -21,37 +21,42 @@
 @dataclass(frozen=True)
 class NotLeader:
     """
-    The daemon that was called does not lead, or cannot be sure that it still does.
+    Reply of a daemon that is not the leader, or cannot confirm that it still is.
 
-    :param hint: address of the leader as it knows it; empty for none.
+    :param hint: IP:port of the presumed leader; empty if unknown.
     """
 
     hint: str = ""
 
 
 class LeaderClient:
-    """Remembers who led last; every message that goes through it may arrive more than once."""
+    """
+    Calls the leader of one replicated log and remembers its address.
+
+    Messages are sent again after a failure, so each one may be delivered more than once.
+    """
 
     def __init__(self, client: PeerClient, addresses: Addresses) -> None:
         """
         Build a client.
 
-        :param addresses: gives where the leader may be, the likeliest first.
+        :param client: the channels to other daemons.
+        :param addresses: returns the addresses at which the leader may be, the likeliest first.
         """
         self._client = client
         self._addresses = addresses
         self._leader = ""
         self._next = 0
-        self._likeliest = ""
+        self._last_first = ""
 
     async def call(self, message: Any, timeout_s: float, one_call_s: float) -> Any:
         """
-        Call the leader, looking for it where it is not known.
+        Call the leader, and search for it if its address is unknown.
 
-        :param message: a message that may run twice.
-        :param timeout_s: seconds in all.
-        :param one_call_s: longest wait for one daemon.
-        :return: the leader's answer; NO_LEADER where none was found in time.
+        :param message: an idempotent message.
+        :param timeout_s: time limit of all tries together, in seconds.
+        :param one_call_s: time limit of a call to one daemon, in seconds.
+        :return: the leader's answer; a `Refusal` with NO_LEADER if no leader answered in time.
         """
         end_s = boot_now() + timeout_s
         while True:
@@ -64,7 +69,8 @@
                 continue
             answer = await self._client.call(address, message, min(one_call_s, left_s))
             if isinstance(answer, NotLeader):
-                # A follower that still names a dead leader would send us back to it for ever.
+                # Without this, a follower whose hint is still the dead leader, or its own address,
+                # would cause an endless loop.
                 known = answer.hint if answer.hint != address else ""
                 self._leader = known if address != self._leader or known else ""
                 if not self._leader:
@@ -81,9 +87,10 @@
         addresses = self._addresses()
         if not addresses:
             return ""
-        if addresses[0] != self._likeliest:
-            # News of another leader: in turn with thirty others it would be asked seconds later.
-            self._likeliest = addresses[0]
+        if addresses[0] != self._last_first:
+            # The directory reported a new leader. In rotation with thirty other daemons it would
+            # be called only seconds later.
+            self._last_first = addresses[0]
             return addresses[0]
         self._next += 1
         return addresses[self._next % len(addresses)]
--- a/packages/ibisspring-core/src/ibisspring_core/log_budget.py
+++ b/packages/ibisspring-core/src/ibisspring_core/log_budget.py
@@ -1,82 +1,80 @@
 """
-Which log lines are written when there are too many.
+Rate limits for log lines.
 
-Load pattern: a flood of requests of which each is refused, an endpoint that fails every try, a part
-that retries in a tight loop. One kind of line then comes thousands of times a second, beside the
-few lines that tell why.
+When every request of a flood is refused, an endpoint fails every try or a retry loop does not
+pause, lines of one message type come thousands of times a second. Without limits, writing them
+takes the CPU time that requests need, copies of one line fill the log collector's disk, and the few
+lines that name the cause are lost among them.
 
-Without it: writing takes the processor time that requests need, the disk of the log collector fills
-with copies of one line, and the line that names the cause is pushed out.
-
-How it decides: each kind of line has an allowance of its own, so that a flood of one costs no other
-its place; lines about failures have a larger one. While lines wait for a slow reader, routine lines
-may fill half of the room and lines about failures all of it. What is left out is counted by kind.
-
-Grounds for the figures:
-
-- `ROUTINE_PER_S` 100 and `FAILURES_PER_S` 400 a kind: a line is about 300 bytes and costs about
-  50 us, so that one kind takes at most 0.5%, of failures 2%, of a core.
-- `BURST_S` 2: a burst of a second or two, as after a change of leader, is kept whole.
-- `WAITING_BYTES` 2 MB: what a reader that stops for ten seconds leaves at 600 lines a second.
+Each message type has a token bucket of its own, so that a flood of one type drops no lines of
+another; lines about failures have a larger bucket. While lines are buffered for a slow reader,
+routine lines may fill half of the buffer and lines about failures all of it. Dropped lines are
+counted by message type.
 """
 
 from __future__ import annotations
 
+# Lines a second for each message type. A line is about 300 bytes and takes about 50 us, so that one
+# type uses at most 0.5% of a core for 100 routine lines and 2% for 400 lines about failures.
 ROUTINE_PER_S = 100.0
 FAILURES_PER_S = 400.0
+# A burst of one or two seconds, as after a change of leader, is written completely.
 BURST_S = 2.0
+# Buffer size: the lines of ten seconds at 600 lines a second, for a reader that stops that long.
 WAITING_BYTES = 2_000_000
+# Share of the buffer that routine lines may fill.
 ROUTINE_SHARE = 0.5
 
 
-class _Allowance:
-    """The lines that one kind may still write."""
+class _TokenBucket:
+    """Token bucket of one message type; one token is one line."""
 
     def __init__(self, per_s: float, now: float) -> None:
         self._per_s = per_s
-        self._left = per_s * BURST_S
-        self._filled_s = now
+        self._tokens = per_s * BURST_S
+        self._refilled_s = now
 
     def take(self, now: float) -> bool:
-        filled = self._left + (now - self._filled_s) * self._per_s
-        self._left = min(self._per_s * BURST_S, filled)
-        self._filled_s = now
-        if self._left < 1.0:
+        refilled = self._tokens + (now - self._refilled_s) * self._per_s
+        self._tokens = min(self._per_s * BURST_S, refilled)
+        self._refilled_s = now
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
 
 
 class LogBudget:
-    """What one process may write; `now` is always given."""
+    """The rate limits of one process; callers pass `now`."""
 
     def __init__(self) -> None:
-        self._allowance_by_kind: dict[tuple[str, bool], _Allowance] = {}
-        self._left_out_by_kind: dict[str, int] = {}
+        self._bucket_by_kind: dict[tuple[str, bool], _TokenBucket] = {}
+        self._dropped_by_kind: dict[str, int] = {}
 
     def admit(self, kind: str, failure: bool, waiting_bytes: int, now: float) -> bool:
         """
         Decide whether a line is written.
 
         :param kind: the line's message type.
-        :param failure: whether it tells of a failure or a refusal.
-        :param waiting_bytes: of the lines that no reader has taken yet.
-        :param now: seconds on a steady clock.
+        :param failure: whether the line reports a failure or a refusal.
+        :param waiting_bytes: size of the lines that are buffered and not written yet.
+        :param now: seconds on a monotonic clock.
+        :return: False for a line that is dropped; it is counted.
         """
-        room = WAITING_BYTES if failure else WAITING_BYTES * ROUTINE_SHARE
+        limit_bytes = WAITING_BYTES if failure else WAITING_BYTES * ROUTINE_SHARE
         key = (kind, failure)
-        allowance = self._allowance_by_kind.get(key)
-        if allowance is None:
-            allowance = _Allowance(FAILURES_PER_S if failure else ROUTINE_PER_S, now)
-            self._allowance_by_kind[key] = allowance
-        if waiting_bytes < room and allowance.take(now):
+        bucket = self._bucket_by_kind.get(key)
+        if bucket is None:
+            bucket = _TokenBucket(FAILURES_PER_S if failure else ROUTINE_PER_S, now)
+            self._bucket_by_kind[key] = bucket
+        if waiting_bytes < limit_bytes and bucket.take(now):
             return True
-        self._left_out_by_kind[kind] = self._left_out_by_kind.get(kind, 0) + 1
+        self._dropped_by_kind[kind] = self._dropped_by_kind.get(kind, 0) + 1
         return False
 
     def take_left_out(self) -> dict[str, int]:
-        """Hand over the lines left out since the last call, by kind."""
-        taken, self._left_out_by_kind = self._left_out_by_kind, {}
+        """Return and reset the number of dropped lines by message type."""
+        taken, self._dropped_by_kind = self._dropped_by_kind, {}
         return taken
 
 
--- a/packages/ibisspring-core/src/ibisspring_core/logs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/logs.py
@@ -1,4 +1,4 @@
-"""Logs: JSON lines by eliot, written in a thread of their own and bounded in number."""
+"""Logs: eliot's messages as JSON lines, written by a separate thread and rate-limited."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from ibisspring_core.log_budget import LogBudget
 
 LEFT_OUT = "log:left_out"
-# A line with one of these, not empty, tells of a failure.
+# A line in which one of these fields is not empty reports a failure.
 FAILURE_FIELDS = ("reason", "error")
-# Lines that come close together are written in one call. A process that is killed loses those of
-# this time.
+# Lines that arrive within this time are written in one call. A process that is killed loses them.
 GATHER_S = 0.01
-TELL_LEFT_OUT_S = 1.0
-# At its end a process waits so long for a reader to take the last lines.
+# Seconds between two reports of dropped lines.
+DROPPED_REPORT_EVERY_S = 1.0
+# At exit a process waits this long, in seconds, for a reader of the remaining lines.
 FLUSH_S = 0.5
-# No line belongs to an eliot action here: its place in one tells nothing.
-_PLACE_FIELDS = ("task_uuid", "task_level")
+# Eliot's position of a message within an action. No message here belongs to an action.
+_ACTION_FIELDS = ("task_uuid", "task_level")
 
 
 class LineWriter:
     """
-    Eliot's destination: it takes messages and writes them in a thread.
+    Eliot's destination, which buffers messages and writes them in a separate thread.
 
-    Written where they come up, a pipe whose reader has stopped would hold up the event loop and
-    with it every request: after 64 KiB the process would answer nobody.
+    Written by the event loop, a pipe whose reader has stopped would block the loop after 64 KiB,
+    and the process would answer no request.
     """
 
     def __init__(self, descriptor: int, process: str) -> None:
@@ -45,52 +45,52 @@
         self._budget = LogBudget()
         self._lines: deque[bytes] = deque()
         self._waiting_bytes = 0
-        self._counting = threading.Lock()
+        self._bytes_lock = threading.Lock()
         self._wake = threading.Event()
         self._closing = False
         self._thread = threading.Thread(target=self._run, name="logs", daemon=True)
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the writing thread."""
         self._thread.start()
 
     def __call__(self, message: dict[str, Any]) -> None:
         """
-        Take a message; it is written, or counted as left out.
+        Buffer a message for writing, or drop and count it.
 
-        :param message: from eliot.
+        :param message: fields of the message, from eliot.
         """
         kind = message.get("message_type", "")
         failure = any(message.get(name) for name in FAILURE_FIELDS)
         now = boot_now()
         if not self._budget.admit(kind, failure, self._waiting_bytes, now):
             return
-        fields = {name: value for name, value in message.items() if name not in _PLACE_FIELDS}
+        fields = {name: value for name, value in message.items() if name not in _ACTION_FIELDS}
         self._put(fields, now)
 
     def _put(self, fields: dict[str, Any], now: float) -> None:
         fields["process"] = self._process
-        # The wall clock of a VM may be wrong or step; this one only runs on.
+        # The wall clock of a VM may be wrong or jump; this one is monotonic.
         fields["boot_s"] = round(now, 4)
         line = msgspec.json.encode(fields, enc_hook=str) + b"\n"
-        with self._counting:
+        with self._bytes_lock:
             self._waiting_bytes += len(line)
         self._lines.append(line)
         self._wake.set()
 
     def _run(self) -> None:
         while True:
-            self._wake.wait(TELL_LEFT_OUT_S)
+            self._wake.wait(DROPPED_REPORT_EVERY_S)
             if not self._closing:
                 time.sleep(GATHER_S)
             self._wake.clear()
-            self._tell_left_out()
+            self._report_dropped()
             closing = self._closing
             self._write_waiting()
             if closing and not self._lines:
                 return
 
-    def _tell_left_out(self) -> None:
+    def _report_dropped(self) -> None:
         count_by_kind = self._budget.take_left_out()
         if count_by_kind:
             fields = {"message_type": LEFT_OUT, "timestamp": time.time(), "count": count_by_kind}
@@ -108,13 +108,13 @@
             while data:
                 data = data[os.write(self._descriptor, data) :]
         except OSError:
-            # The reader is gone, or the disk is full: there is nowhere left to say so.
+            # The reader has closed the pipe, or the disk is full; the error cannot be logged.
             pass
-        with self._counting:
+        with self._bytes_lock:
             self._waiting_bytes -= size
 
     def close(self) -> None:
-        """Write what waits, for a bounded time."""
+        """Write the buffered lines, for at most `FLUSH_S` seconds."""
         self._closing = True
         self._wake.set()
         self._thread.join(FLUSH_S)
@@ -122,11 +122,11 @@
 
 def start_logging(path: str | None, process: str = "") -> LineWriter:
     """
-    Send eliot's messages to a file or to standard error, one JSON object a line.
+    Write eliot's messages to a file or to standard error, one JSON object per line.
 
     :param path: file to append to; None for standard error.
-    :param process: name of this daemon; stands in each line.
-    :return: the writer, which flushes itself at the process's end.
+    :param process: name of this daemon, added to each line.
+    :return: the writer, which is flushed when the process exits.
     """
     if path is None:
         return log_to(sys.stderr.fileno(), process)
@@ -137,13 +137,13 @@
 
 def log_to(descriptor: int, process: str) -> LineWriter:
     """
-    Send eliot's messages to an open file or pipe.
+    Write eliot's messages to an open file or pipe.
 
-    A fatal signal writes the Python stacks of all threads there as well: a daemon that ends in
-    native code has no chance to log a line, and its exit code alone names no cause.
+    On a fatal signal the Python stacks of all threads are written there too: a daemon that crashes
+    in native code cannot log a line, and its exit code alone does not show the cause.
 
-    :param descriptor: where lines are written; stays open until the process ends.
-    :param process: name of this daemon; stands in each line.
+    :param descriptor: file descriptor of the file or pipe; must stay open until the process exits.
+    :param process: name of this daemon, added to each line.
     :return: the writer.
     """
     faulthandler.enable(descriptor, all_threads=True)
--- a/packages/ibisspring-core/src/ibisspring_core/peer_rpc.py
+++ b/packages/ibisspring-core/src/ibisspring_core/peer_rpc.py
@@ -1,4 +1,4 @@
-"""Typed calls between the daemons: one gRPC method that carries messages of a closed set."""
+"""Typed calls between daemons: one gRPC method that carries messages of a closed set."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 SERVICE = "ibisspring.Peer"
 METHOD = f"/{SERVICE}/Call"
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
-# Two lost packets on a healthy path are sent again within this time; a dead path is left by then.
+# Long enough for TCP to retransmit two lost packets on a healthy path; after it the path counts as
+# dead and the connection fails.
 TCP_USER_TIMEOUT_MS = 1000
 _OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -39,8 +40,8 @@
     ("grpc.so_reuseport", 0),
 )
 STOP_GRACE_S = 1.0
-# Jobs, views and texts shrink to a third or less; for what fits into one packet it is not worth the
-# processor time.
+# Compression reduces jobs, views and texts to a third or less. For a message that fits into one
+# packet it is not worth the CPU time.
 COMPRESS_FROM_BYTES = 1400
 
 Handler = Callable[[Any], Awaitable[Any]]
@@ -48,16 +49,16 @@
 
 def compression_for(size: int) -> grpc.Compression | None:
     """
-    Choose how a message between daemons travels.
+    Choose the compression of a message between daemons.
 
-    :param size: of the encoded message, in bytes.
-    :return: None for one that is sent as it is.
+    :param size: size of the encoded message in bytes.
+    :return: the algorithm; None for no compression.
     """
     return grpc.Compression.Gzip if size >= COMPRESS_FROM_BYTES else None
 
 
 class PeerServer:
-    """The daemon's one gRPC server; parts register what they answer before it starts."""
+    """The daemon's only gRPC server; services register their handlers before it starts."""
 
     name = "peer_server"
 
@@ -70,19 +71,20 @@
 
     def answer(self, message_type: type[Any], handler: Handler) -> None:
         """
-        Register what answers a message.
+        Register the handler of a message type.
 
         :param message_type: a type of the codec's set.
-        :param handler: coroutine function; its result is of the codec's set as well.
+        :param handler: coroutine function that receives the message and returns the answer, which
+            is of the codec's set too.
         """
         self._handler_by_type[message_type] = handler
 
     def add_servicer(self, add: Callable[[grpc.aio.Server], None]) -> None:
-        """Register a generated service; `add` is called with the server before it starts."""
+        """Register a generated gRPC service; `add` is called with the server before it starts."""
         self._servicers.append(add)
 
     async def start(self, kernel: Kernel) -> None:
-        """Listen."""
+        """Listen and serve calls."""
         server = grpc.aio.server(options=_OPTIONS)
         method = grpc.unary_unary_rpc_method_handler(self._call)
         server.add_generic_rpc_handlers(
@@ -95,7 +97,7 @@
         self._server = server
 
     async def stop(self) -> None:
-        """Take no new calls and give those under way a moment."""
+        """Reject new calls and give running ones `STOP_GRACE_S` seconds to finish."""
         if self._server is not None:
             await self._server.stop(STOP_GRACE_S)
 
@@ -103,7 +105,12 @@
         message = self._codec.decode(data)
         handler = self._handler_by_type.get(type(message))
         if handler is None:
-            refusal = Refusal(Reason.BAD_REQUEST, True, None, f"no {type(message).__name__} here")
+            refusal = Refusal(
+                Reason.BAD_REQUEST,
+                True,
+                None,
+                f"this daemon does not answer {type(message).__name__}",
+            )
             return self._codec.encode(refusal)
         try:
             answer = self._codec.encode(await handler(message))
@@ -117,7 +124,7 @@
 
 
 class PeerClient:
-    """The channels to other daemons, by address."""
+    """Calls other daemons over one channel for each address."""
 
     name = "peer_client"
 
@@ -128,7 +135,7 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     async def start(self, kernel: Kernel) -> None:
-        """Nothing to start: a channel opens with the first call over it."""
+        """No-op: a channel opens with its first call."""
 
     async def stop(self) -> None:
         """Close all channels."""
@@ -143,14 +150,15 @@
         :param address: IP:port of its peer server.
         :param message: a message of the codec's set.
         :param timeout_s: seconds to wait for the answer.
-        :return: its answer; a `Refusal` with ENDPOINT_SILENT where none came.
+        :return: the answer; a `Refusal` with ENDPOINT_SILENT if none arrived, or with
+            MISMATCHED_ANSWER if it could not be decoded.
         """
         channel = self._channel_by_address.get(address)
         if channel is None:
             channel = grpc.aio.insecure_channel(address, options=_OPTIONS)
             self._channel_by_address[address] = channel
         method = channel.unary_unary(METHOD)
-        began_s = boot_now()
+        started_s = boot_now()
         try:
             data = self._codec.encode(message)
             compression = compression_for(len(data))
@@ -158,15 +166,15 @@
             self._counters.add(f"peer_sent_bytes.{kind}", len(data))
             data = await method(data, timeout=timeout_s, compression=compression)
             self._counters.add(f"peer_received_bytes.{kind}", len(data))
-            self._counters.observe("peer_call_seconds", boot_now() - began_s, kind)
+            self._counters.observe("peer_call_seconds", boot_now() - started_s, kind)
             return self._codec.decode(data)
         except grpc.aio.AioRpcError as error:
             code = error.code().name.lower()
-            self._leave(address, channel)
+            self._replace(address, channel)
         except asyncio.CancelledError:
             if is_task_cancelled():
                 raise
-            # Another call failed, and the channel was closed under this one.
+            # Another call on the channel failed, and the channel was closed.
             code = "channel_left"
         except msgspec.DecodeError as error:
             self._counters.add("peer_call_failed.unreadable")
@@ -174,13 +182,13 @@
         self._counters.add(f"peer_call_failed.{code}")
         return Refusal(Reason.ENDPOINT_SILENT, False, None, f"{address}: {code}")
 
-    def _leave(self, address: str, channel: grpc.aio.Channel) -> None:
+    def _replace(self, address: str, channel: grpc.aio.Channel) -> None:
         """
-        Leave a channel after a failure.
+        Close a channel after a failed call; the next call opens a new one.
 
-        A connection whose other end lost track of it accepts bytes for ever and returns nothing,
-        while a new one works. Other calls over the channel have `STOP_GRACE_S` to end; those still
-        open then fail as well and are tried again.
+        A connection whose state was lost on the path accepts bytes without end and returns nothing,
+        while a new connection works. Other calls on the channel have `STOP_GRACE_S` seconds to
+        finish; those still open afterwards fail too and are retried by their callers.
         """
         if self._channel_by_address.get(address) is not channel:
             return
--- a/tests/unit/core/test_connections.py
+++ b/tests/unit/core/test_connections.py
@@ -21,12 +21,12 @@
         ((), 5.0),
     ],
 )
-def test_an_endpoint_says_how_long_it_keeps_a_connection(headers, kept_s) -> None:
+def test_keep_alive_time_is_read_from_response_headers(headers, kept_s) -> None:
     assert keep_alive_s(headers) == kept_s
 
 
 def test_a_connection_is_not_counted_once_its_endpoint_may_close_it() -> None:
-    # A request on a connection that the endpoint is closing is lost, and may have run.
+    # A request on a connection that the endpoint is closing gets no response, and may have run.
     kept = KeptConnections()
     kept.released(("e1", "engine"), 0.0, 10.0)
 
@@ -35,7 +35,7 @@
     assert not kept.taken(("e1", "engine"), 10.0)
 
 
-def test_connections_are_taken_one_by_one() -> None:
+def test_each_request_uses_up_one_idle_connection() -> None:
     kept = KeptConnections()
     kept.released(("e1",), 0.0, 10.0)
     kept.released(("e1",), 1.0, 10.0)
@@ -45,25 +45,25 @@
     assert [kept.taken(("e1",), 2.0) for _ in range(3)] == [True, True, False]
 
 
-async def test_questions_use_one_connection() -> None:
-    # An endpoint is asked every third of a second how a load goes. Each question on a connection of
-    # its own is paid for as such.
+async def test_sequential_read_only_requests_share_one_connection() -> None:
+    # The state of a weight load is read from an endpoint every third of a second. A new connection
+    # for each of these requests would be billed separately.
     connections = Connections()
     await connections.start(Kernel())
     async with scripted(lambda head: [REPORT]) as endpoint:
-        question = HttpRequest("GET", f"http://{endpoint.address}/v1/report")
+        request = HttpRequest("GET", f"http://{endpoint.address}/v1/report")
         for _ in range(3):
-            assert await connections.ask(question, 5.0) == HttpAnswer(200, b"{}")
+            assert await connections.ask(request, 5.0) == HttpAnswer(200, b"{}")
         assert connections.idle(endpoint.address)
     await connections.stop()
 
     assert endpoint.opened == 1
 
 
-async def test_a_question_that_is_not_answered_ends() -> None:
+async def test_truncated_response_is_reported_as_no_answer() -> None:
     connections = Connections()
     await connections.start(Kernel())
     async with scripted(lambda head: [REPORT[:20], None]) as endpoint:
-        question = HttpRequest("GET", f"http://{endpoint.address}/v1/report")
-        assert isinstance(await connections.ask(question, 5.0), NoAnswer)
+        request = HttpRequest("GET", f"http://{endpoint.address}/v1/report")
+        assert isinstance(await connections.ask(request, 5.0), NoAnswer)
     await connections.stop()
--- a/tests/unit/core/test_control_client.py
+++ b/tests/unit/core/test_control_client.py
@@ -18,7 +18,7 @@
 
 
 class _Replica(control_pb2_grpc.ControlServicer):
-    """Answers with the given replies, the last one again and again."""
+    """Control daemon that returns the given replies in order and repeats the last one."""
 
     def __init__(self, *replies: control_pb2.ProposeReply) -> None:
         self.replies = list(replies)
@@ -52,7 +52,7 @@
 
 @asynccontextmanager
 async def _silent_address():
-    """A server that accepts connections and bytes and never answers."""
+    """Yield the address of a server that accepts connections and bytes and never replies."""
     writers = []
 
     async def accept(reader, writer):
@@ -73,7 +73,7 @@
     return control_pb2.ProposeReply(status=control_pb2.NOT_LEADER, leader_hint=hint)
 
 
-async def test_the_leader_is_found_by_its_hint_and_remembered() -> None:
+async def test_leader_is_found_by_redirect_and_remembered() -> None:
     follower = _Replica(_not_leader("c1"))
     leader = _Replica(DONE)
     async with _served(follower, leader) as client:
@@ -86,7 +86,7 @@
     assert leader.request_ids == ["r1", "r2"]
 
 
-async def test_an_unknown_outcome_is_asked_again_under_the_same_request_id() -> None:
+async def test_unknown_outcome_is_retried_under_the_same_request_id() -> None:
     unknown = control_pb2.ProposeReply(status=control_pb2.UNKNOWN)
     replica = _Replica(unknown, _not_leader(""), DONE)
     async with _served(replica) as client:
@@ -95,11 +95,12 @@
     assert replica.request_ids == ["r1"] * 3
 
 
-async def test_a_silent_replica_does_not_hold_up_a_command(monkeypatch) -> None:
+async def test_silent_replica_does_not_block_a_command(monkeypatch) -> None:
     """
-    The connection to one control VM accepts bytes and returns nothing for ever.
+    The connection to one control VM accepts bytes and never returns a reply.
 
-    Without a deadline of each try the entry's lease would lapse beside a healthy leader.
+    Without a time limit on each try, the entry's lease would lapse although a healthy leader
+    exists.
     """
     monkeypatch.setattr(control_client, "TRY_S", 0.3)
     async with _served(_Replica(DONE)) as client, _silent_address() as silent:
@@ -111,10 +112,9 @@
 
 async def test_a_connection_that_went_silent_is_replaced_while_new_ones_work(monkeypatch) -> None:
     """
-    The leader's connection goes silent for good: its VM is well, a firewall between has lost the
-    flow.
+    A firewall loses the state of the connection to the leader, whose VM is healthy.
 
-    A client that keeps the channel would send every later command into the same silence.
+    A client that kept the channel would send every later command over the dead connection.
     """
     monkeypatch.setattr(control_client, "TRY_S", 0.3)
     replica = _Replica(DONE)
@@ -133,10 +133,11 @@
 @pytest.mark.parametrize("unknown", [False, True])
 async def test_not_run_is_said_only_when_nothing_can_have_been_committed(unknown) -> None:
     """
-    An operator drains an endpoint; the one answer says that the outcome is unknown, then the
-    leader is gone.
+    An operator drains an endpoint; the only reply says that the outcome is unknown, and after it
+    there is no leader.
 
-    Told "not run" the operator would take the drain for undone while it may be in the log.
+    With `not_run` the operator would assume that the drain was not applied, although it may be in
+    the log.
     """
     status = control_pb2.UNKNOWN if unknown else control_pb2.NOT_LEADER
     replica = _Replica(control_pb2.ProposeReply(status=status), _not_leader(""))
@@ -156,8 +157,8 @@
 
 
 async def test_a_channel_that_another_call_gave_up_cancels_no_caller(monkeypatch) -> None:
-    # gRPC cancels the calls that are open on a closed channel; let through, that would end a task
-    # that nobody cancelled.
+    # gRPC cancels the calls that are open on a closed channel. If the CancelledError propagated, it
+    # would end a task that was not cancelled.
     monkeypatch.setattr(control_channels, "CLOSE_GRACE_S", 0.1)
     replica = _Replica(DONE)
     replica.late_s = [1.0]
--- a/tests/unit/core/test_endpoint_table.py
+++ b/tests/unit/core/test_endpoint_table.py
@@ -21,7 +21,7 @@
 
 
 def after(record: EndpointRecord, **changes: object) -> EndpointRecord:
-    """The next announcement of the same start."""
+    """Return the next announcement of the same incarnation."""
     return dataclasses.replace(record, sequence=record.sequence + 1, **changes)
 
 
@@ -30,8 +30,9 @@
 
 
 def test_leaving_is_final_until_the_next_start() -> None:
-    # A lorry's ticket is sent to a service that said it leaves: its "serving" had been sent before,
-    # went through another entry and arrived late, or it was confused and said it again.
+    # Guards against requests to an endpoint that has announced LEAVING: an earlier SERVING
+    # announcement went through another entry and arrives late, or a faulty endpoint announces
+    # SERVING again.
     table = EndpointTable(TTL_S)
     leaving = after(FIRST, state="leaving")
     table.take(leaving, 10.0)
@@ -44,24 +45,24 @@
 
 
 def test_rumour_does_not_keep_a_dead_endpoint_alive() -> None:
-    # An engine dies. Two entries go on telling each other that they heard of it, and callers are
-    # sent to a dead machine until the entries are restarted.
+    # An engine dies. If two entries renewed each other's record of it, requests would be sent to a
+    # dead machine until the entries are restarted.
     tables = [EndpointTable(TTL_S), EndpointTable(TTL_S)]
     tables[0].take(FIRST, 0.0)
 
     for step in range(1, 40):
         now = step * 0.25
-        for teller, told in (tables, tables[::-1]):
-            take_all(told, *pack(teller.heard(), now), now)
-            told.expire(now)
+        for sender, receiver in (tables, tables[::-1]):
+            take_all(receiver, *pack(sender.heard(), now), now)
+            receiver.expire(now)
 
     assert not any(serves(table, 10.0) for table in tables)
     assert not any(serves(table, TTL_S + 0.1) for table in tables)
 
 
 def test_refreshes_keep_a_record_alive_and_make_none_up() -> None:
-    # Records go to a peer whole once, then only that they go on. A peer that has started again
-    # would be told that an endpoint goes on of which it knows nothing.
+    # A peer receives the complete record once and then only refreshes. A restarted peer receives
+    # refreshes of endpoints whose records it does not have, and must not create records from them.
     sender, known, restarted = (EndpointTable(TTL_S) for _ in range(3))
     sent = SentToPeer()
     record = FIRST
@@ -98,8 +99,8 @@
 
 
 def test_refresh_of_another_start_is_not_taken() -> None:
-    # An endpoint started again with other weights. Its refresh must not make the old start's record
-    # go on under the new one's name.
+    # An endpoint restarted with other weights. Its refresh must not renew the record of the earlier
+    # incarnation.
     table = EndpointTable(TTL_S)
     table.take(FIRST, 0.0)
 
--- a/tests/unit/core/test_leader_client.py
+++ b/tests/unit/core/test_leader_client.py
@@ -7,20 +7,20 @@
 
 
 class _Peers:
-    """Stand-in for a peer client: one daemon leads, the others know nothing."""
+    """Fake peer client: one daemon is the leader, the others return no hint."""
 
     def __init__(self, leader: str) -> None:
         self.leader = leader
-        self.asked: list[str] = []
+        self.called: list[str] = []
 
     async def call(self, address: str, message: object, timeout_s: float) -> object:
-        self.asked.append(address)
+        self.called.append(address)
         return "answer" if address == self.leader else NotLeader()
 
 
-async def test_news_of_another_leader_is_followed_at_once() -> None:
-    # The jobs' leader dies and control names the next one: asked in turn, it would be found among
-    # thirty stores a tenth of a second at a time, and no item would run meanwhile.
+async def test_newly_reported_leader_is_called_first() -> None:
+    # The jobs' leader dies and the directory reports another. In rotation each of thirty stores
+    # would take a tenth of a second until the leader is found, and no item would run meanwhile.
     peers = _Peers(DAEMONS[0])
     known = [DAEMONS]
     client = LeaderClient(peers, lambda: known[0])
@@ -28,21 +28,21 @@
 
     peers.leader = DAEMONS[20]
     known[0] = (DAEMONS[20], *DAEMONS)
-    peers.asked.clear()
+    peers.called.clear()
 
     assert await client.call("work", 1.0, 1.0) == "answer"
-    assert peers.asked == [DAEMONS[0], DAEMONS[20]]
+    assert peers.called == [DAEMONS[0], DAEMONS[20]]
 
 
-async def test_a_first_address_that_does_not_lead_keeps_no_other_from_being_asked() -> None:
+async def test_other_addresses_are_called_when_the_first_is_not_the_leader() -> None:
     peers = _Peers(DAEMONS[2])
     client = LeaderClient(peers, lambda: DAEMONS[:3])
 
     assert await client.call("work", 2.0, 1.0) == "answer"
-    assert peers.asked[-1] == DAEMONS[2]
+    assert peers.called[-1] == DAEMONS[2]
 
 
-async def test_no_leader_is_told_in_time() -> None:
+async def test_missing_leader_is_a_refusal_after_the_time_limit() -> None:
     client = LeaderClient(_Peers("nobody"), lambda: DAEMONS[:3])
 
     answer = await client.call("work", 0.3, 1.0)
--- a/tests/unit/core/test_log_budget.py
+++ b/tests/unit/core/test_log_budget.py
@@ -1,4 +1,4 @@
-"""Replays of floods of log lines."""
+"""Floods of log lines, replayed against the rate limits."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def _replay(budget: LogBudget, kind: str, failure: bool, per_s: int) -> int:
-    """Lines written out of a steady stream."""
+    """Return how many lines of a steady stream are written."""
     written = 0
     for number in range(per_s * SECONDS):
         written += budget.admit(kind, failure, 0, number / per_s)
     return written
 
 
-def test_a_flood_of_one_kind_costs_no_line_of_another() -> None:
+def test_flood_of_one_message_type_drops_no_line_of_another() -> None:
     budget = LogBudget()
     written_by_kind = {"forward:refused": 0, "consensus:elected": 0}
 
@@ -35,12 +35,12 @@
     assert written_by_kind["consensus:elected"] == SECONDS
     bound = FAILURES_PER_S * (SECONDS + BURST_S)
     assert bound * 0.99 <= written_by_kind["forward:refused"] <= bound
-    left_out = FLOOD_PER_S * SECONDS - written_by_kind["forward:refused"]
-    assert budget.take_left_out() == {"forward:refused": left_out}
+    dropped = FLOOD_PER_S * SECONDS - written_by_kind["forward:refused"]
+    assert budget.take_left_out() == {"forward:refused": dropped}
     assert budget.take_left_out() == {}
 
 
-def test_lines_about_failures_have_the_larger_allowance() -> None:
+def test_lines_about_failures_have_the_larger_limit() -> None:
     routine = _replay(LogBudget(), "runner:ended", False, FLOOD_PER_S)
     failures = _replay(LogBudget(), "runner:ended", True, FLOOD_PER_S)
 
@@ -48,14 +48,14 @@
     assert failures >= 3.9 * routine
 
 
-def test_nothing_is_left_out_of_a_usual_load() -> None:
+def test_no_line_is_dropped_at_usual_load() -> None:
     budget = LogBudget()
 
     assert _replay(budget, "runner:ended", False, 60) == 60 * SECONDS
     assert budget.take_left_out() == {}
 
 
-def test_while_the_reader_is_slow_failures_are_still_written() -> None:
+def test_failures_are_written_while_routine_lines_wait_for_a_slow_reader() -> None:
     budget = LogBudget()
     half = WAITING_BYTES // 2
 
--- a/tests/unit/core/test_logs.py
+++ b/tests/unit/core/test_logs.py
@@ -11,8 +11,8 @@
 
 
 def _message(number: int, **fields) -> dict:
-    place = {"task_uuid": "t", "task_level": [1]}
-    return {"message_type": "runner:ended", "timestamp": 1.0, "number": number, **place, **fields}
+    action = {"task_uuid": "t", "task_level": [1]}
+    return {"message_type": "runner:ended", "timestamp": 1.0, "number": number, **action, **fields}
 
 
 def _read_lines(descriptor: int) -> list[dict]:
@@ -22,7 +22,7 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def test_a_line_names_its_process_and_a_clock_that_only_runs_on() -> None:
+def test_line_contains_its_process_and_a_monotonic_time() -> None:
     reading, writing = os.pipe()
     writer = LineWriter(writing, "edge-1")
     writer.start()
@@ -44,7 +44,7 @@
     os.close(reading)
 
 
-def test_what_is_left_out_is_told() -> None:
+def test_number_of_dropped_lines_is_logged() -> None:
     reading, writing = os.pipe()
     read: list[dict] = []
     reader = threading.Thread(target=lambda: read.extend(_read_lines(reading)))
@@ -60,19 +60,20 @@
     reader.join()
     os.close(reading)
 
-    left_out = sum(
+    dropped = sum(
         line["count"]["runner:ended"] for line in read if line["message_type"] == LEFT_OUT
     )
     written = sum(line["message_type"] == "runner:ended" for line in read)
     assert 0 < written < sent
-    assert written + left_out == sent
+    assert written + dropped == sent
 
 
-def test_a_reader_that_has_stopped_holds_up_nobody() -> None:
+def test_stopped_reader_does_not_block_callers() -> None:
     """
-    A log collector hangs; the pipe fills up, and from then on no request is answered.
+    A log collector hangs and its pipe fills up.
 
-    A write to a full pipe returns only when somebody reads.
+    A write to a full pipe blocks until the reader continues; from the event loop it would stop the
+    processing of all requests.
     """
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
@@ -89,7 +90,7 @@
         writer(_message(number, reason="timeout", detail="x" * 2_000))
     writer.close()
 
-    # Only now does anybody read: all calls above have returned.
+    # The pipe is read only after all calls above have returned.
     assert len(os.read(reading, filled)) > 0
     os.set_blocking(reading, False)
     while True:
@@ -104,7 +105,7 @@
     os.close(writing)
 
 
-def test_a_reader_that_is_gone_ends_nothing() -> None:
+def test_closed_pipe_does_not_end_the_process() -> None:
     reading, writing = os.pipe()
     os.close(reading)
     writer = LineWriter(writing, "edge-1")
--- a/tests/unit/core/test_peer_rpc.py
+++ b/tests/unit/core/test_peer_rpc.py
@@ -1,11 +1,12 @@
 """
-A failed call ends no other task that calls the same daemon.
-
-A call that fails leaves its channel, and gRPC then cancels the calls that are still open on it:
-each raised asyncio.CancelledError in its caller, as if the caller itself had been cancelled. A
-loop that renews, takes work or reports results ended by it without a line; an operator's call was
-broken off. Seen in a run of two calls over one channel: the one with 0.1 s to go failed with
-`deadline_exceeded`, the one with 5 s raised CancelledError 1.0 s later.
+A failed call does not cancel other tasks that call the same daemon.
+
+After a failed call its channel is closed, and gRPC cancels the calls that are still open on it.
+Each of them raised asyncio.CancelledError in its caller, as if the caller's task had been
+cancelled: loops that renew, fetch work or report results ended without a log line, and an
+operator's call was aborted. Reproduced with two calls over one channel: the call with a limit of
+0.1 s failed with `deadline_exceeded`, and the call with a limit of 5 s raised CancelledError 1.0 s
+later.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 @pytest.fixture
 async def peer():
-    """A client, and the address of a server that answers renewals late."""
+    """Yield a client and the address of a server that answers renewals after `SLOW_S` seconds."""
 
     async def answer_late(renew: Renew) -> Renew:
         await asyncio.sleep(SLOW_S)
@@ -49,15 +50,15 @@
     await asyncio.sleep(0.1)
 
     failed = await client.call(address, RENEW, 0.1)
-    left = await other
+    refused = await other
 
     assert isinstance(failed, Refusal)
-    assert isinstance(left, Refusal)
-    assert left.reason is Reason.ENDPOINT_SILENT
-    assert not left.not_run
+    assert isinstance(refused, Refusal)
+    assert refused.reason is Reason.ENDPOINT_SILENT
+    assert not refused.not_run
 
 
-async def test_a_caller_that_is_cancelled_stays_cancelled(peer) -> None:
+async def test_cancellation_of_the_calling_task_propagates(peer) -> None:
     client, address = peer
     call = asyncio.create_task(client.call(address, RENEW, 2 * SLOW_S))
     await asyncio.sleep(0.1)
@@ -68,7 +69,7 @@
         await call
 
 
-async def test_a_callers_own_timeout_is_a_timeout(peer) -> None:
+async def test_timeout_of_the_calling_task_raises_timeout_error(peer) -> None:
     client, address = peer
 
     with pytest.raises(TimeoutError):
