--- a/packages/ibisspring-core/src/ibisspring_core/__init__.py
+++ b/packages/ibisspring-core/src/ibisspring_core/__init__.py
@@ -1,3 +1,3 @@
-"""Kernel, timer service, settings, logs, counters and typed messages."""
+"""Kernel, timer, settings, logs, counters, clients and typed messages of all daemons."""
 
 from __future__ import annotations
--- a/packages/ibisspring-core/src/ibisspring_core/cancellation.py
+++ b/packages/ibisspring-core/src/ibisspring_core/cancellation.py
@@ -1,4 +1,4 @@
-"""Tells a task's own cancellation from that of something it waits for."""
+"""Distinguishes the cancellation of a task from that of a call it awaits."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 def is_task_cancelled() -> bool:
     """
-    Whether the running task itself is being cancelled.
+    Return whether the running task itself is being cancelled.
 
-    gRPC raises `asyncio.CancelledError` as well in a call whose channel was closed by another task.
-    Let through, it would end a caller that nobody cancelled.
+    gRPC also raises `asyncio.CancelledError` in a call whose channel was closed by another task. If
+    the exception propagated, it would end a caller that was not cancelled.
 
-    :return: False where only what the task waits for was cancelled.
+    :return: False if only the awaited call was cancelled.
     """
     task = asyncio.current_task()
     return task is not None and task.cancelling() > 0
--- a/packages/ibisspring-core/src/ibisspring_core/clock.py
+++ b/packages/ibisspring-core/src/ibisspring_core/clock.py
@@ -1,4 +1,4 @@
-"""The clocks that the daemons use."""
+"""The clocks of the daemons."""
 
 from __future__ import annotations
 
@@ -7,27 +7,26 @@
 
 def boot_now() -> float:
     """
-    Read a monotonic clock that also counts the time the VM was suspended.
+    Read a monotonic clock that also counts the time for which the VM was suspended.
 
-    A lease timed by CLOCK_MONOTONIC would outlive its real duration on a VM that was suspended: the
-    process would
-    wake up and believe that it still is in charge. CLOCK_BOOTTIME goes on counting, so the lease
-    has lapsed on waking.
+    A lease timed by CLOCK_MONOTONIC, which stops during suspension, would still be valid for the
+    resumed process after it has lapsed in real time. CLOCK_BOOTTIME continues, so that the lease
+    has lapsed on resumption.
 
     :return: seconds since boot.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-# About when this process started: daemons import this module before all others of theirs.
+# Approximate start time of this process: daemons import this module before their other modules.
 PROCESS_STARTED_S = boot_now()
 
 
 def wall_now() -> float:
     """
-    Read the wall clock; only for stamps that people or other systems read, never for leases.
+    Read the wall clock; only for timestamps for humans or other systems, never for leases.
 
-    :return: seconds since the epoch.
+    :return: seconds since 1970.
     """
     return time.time()
 
--- a/packages/ibisspring-core/src/ibisspring_core/control_channels.py
+++ b/packages/ibisspring-core/src/ibisspring_core/control_channels.py
@@ -1,4 +1,4 @@
-"""gRPC channels to the control daemons, one by address, replaced when they go silent."""
+"""gRPC channels to the control daemons: one for each address, replaced when calls time out."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from ibisspring_core.pb.control_pb2_grpc import ControlStub
 
-# grpc waits up to 120 s before it connects again; a control VM is back within seconds.
+# gRPC's default maximum of the reconnect backoff is 120 s; a control VM restarts within seconds.
 MAX_BACKOFF_MS = 1_000
 MAX_MESSAGE_BYTES = 16_777_216
-# Calls that share a replaced channel get this long to end by themselves.
+# Time for other calls on a replaced channel to finish.
 CLOSE_GRACE_S = 5.0
 _OPTIONS = (
     ("grpc.initial_reconnect_backoff_ms", 100),
@@ -21,15 +21,15 @@
     ("grpc.max_reconnect_backoff_ms", MAX_BACKOFF_MS),
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
-    # Without a pool of its own a new channel would share the old one's connection, silent as it is.
+    # With the global pool a new channel would reuse the dead connection of the one it replaces.
     ("grpc.use_local_subchannel_pool", 1),
-    # An operator's proxy settings are for the web, not for control VMs.
+    # An operator's proxy settings apply to the web, not to control VMs.
     ("grpc.enable_http_proxy", 0),
 )
 
 
 class ControlChannels:
-    """Open channels by address."""
+    """The open channels by address."""
 
     def __init__(self) -> None:
         self._channel_by_address: dict[str, grpc.aio.Channel] = {}
@@ -37,9 +37,9 @@
 
     def stub(self, address: str) -> ControlStub:
         """
-        Get the stub of a control daemon.
+        Return the gRPC stub of a control daemon; opens the channel if there is none.
 
-        :param address: IP:port.
+        :param address: IP:port of the daemon.
         :return: the stub.
         """
         from ibisspring_core.pb.control_pb2_grpc import ControlStub
@@ -48,11 +48,11 @@
 
     async def connect(self, address: str, timeout_s: float) -> bool:
         """
-        Connect before a call, so that a call which found no connection is known not to have left.
+        Connect before a call, so that a call without a connection is known not to have been sent.
 
-        :param address: IP:port.
-        :param timeout_s: longest wait.
-        :return: True once the connection stands.
+        :param address: IP:port of the daemon.
+        :param timeout_s: seconds to wait for the connection.
+        :return: True if the connection is established.
         """
         try:
             return await asyncio.wait_for(self._connected(self._channel(address)), timeout_s)
@@ -77,12 +77,12 @@
 
     def replace(self, address: str) -> None:
         """
-        Give up a channel whose call got no answer; the next call opens a new connection.
+        Close a channel after a call on it timed out; the next call opens a new connection.
 
-        A connection may go silent for good while new ones work, because something between the two
-        ends lost track of it: every call on it would end at its deadline.
+        If the connection's state is lost on the path, for example in a firewall, every call on it
+        times out while new connections work.
 
-        :param address: IP:port.
+        :param address: IP:port of the daemon.
         """
         channel = self._channel_by_address.pop(address, None)
         if channel is None:
@@ -92,7 +92,7 @@
         task.add_done_callback(self._closing.discard)
 
     async def close(self) -> None:
-        """Close all channels at once."""
+        """Close all channels immediately."""
         for task in self._closing:
             task.cancel()
         for channel in self._channel_by_address.values():
--- a/packages/ibisspring-core/src/ibisspring_core/counters.py
+++ b/packages/ibisspring-core/src/ibisspring_core/counters.py
@@ -1,4 +1,4 @@
-"""Counters and durations, sent to statsd and kept in memory for the metrics address."""
+"""Counters and durations, sent to statsd and kept in memory for the metrics server."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings import StatsdSettings
 
-# statsd takes durations in milliseconds.
+# statsd expects durations in milliseconds.
 MS = 1000.0
 
 
 class Counters:
-    """The process's counters and histograms of durations by name."""
+    """The counters and duration histograms of this process by name."""
 
     name = "counters"
 
@@ -32,7 +32,7 @@
         """
         Build the counters.
 
-        :param settings: where statsd listens (UDP); None keeps the counts in memory only.
+        :param settings: address of statsd; None keeps the counts in memory only.
         :return: the counters.
         """
         if settings is None:
@@ -40,17 +40,17 @@
         return cls(statsd.StatsClient(settings.host, settings.port, prefix="ibisspring"))
 
     async def start(self, kernel: Kernel) -> None:
-        """Nothing to start."""
+        """No-op: counters need no start."""
 
     async def stop(self) -> None:
-        """Nothing to stop: statsd is UDP."""
+        """No-op: statsd uses UDP, so there is no connection to close."""
 
     def add(self, name: str, count: int = 1) -> None:
         """
-        Count.
+        Increase a counter.
 
         :param name: dotted name, listed in docs/reference/counters.md.
-        :param count: how many.
+        :param count: the increment.
         """
         self.count_by_name[name] = self.count_by_name.get(name, 0) + count
         if self._client is not None:
@@ -58,12 +58,12 @@
 
     def observe(self, name: str, seconds: float, outcome: str) -> None:
         """
-        Count a duration.
+        Add a duration to its histogram.
 
-        :param name: ends with `_seconds` and is listed in docs/reference/counters.md.
-        :param seconds: how long it took.
-        :param outcome: how it ended, or what kind it was; of a small closed set, as each value is
-            kept for the life of the process.
+        :param name: name that ends with `_seconds`, listed in docs/reference/counters.md.
+        :param seconds: the duration.
+        :param outcome: outcome or kind of the measured operation. It must come from a small closed
+            set, as each value uses memory until the process exits.
         """
         self.latencies.observe(name, seconds, outcome)
         if self._client is not None:
@@ -73,7 +73,7 @@
         """
         Count a refusal.
 
-        :param reason: its sentinel.
+        :param reason: reason of the refusal.
         """
         self.add(f"refused.{reason.value}")
 
@@ -81,7 +81,7 @@
         """
         Count a retry.
 
-        :param reason: why the earlier try failed.
+        :param reason: reason why the previous try failed.
         """
         self.add(f"retried.{reason.value}")
 
--- a/packages/ibisspring-core/src/ibisspring_core/embedded_server.py
+++ b/packages/ibisspring-core/src/ibisspring_core/embedded_server.py
@@ -1,4 +1,4 @@
-"""uvicorn inside a daemon that has its own life cycle."""
+"""uvicorn, embedded into a daemon that manages its own life cycle."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class EmbeddedServer(uvicorn.Server):
-    """A server that leaves the signals to the daemon and tells when it listens."""
+    """A uvicorn server that installs no signal handlers; `listening` is set when it listens."""
 
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
         self.listening = asyncio.Event()
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Listen, then say so."""
+        """Start to listen, then set `listening`."""
         await super().startup(sockets)
         self.listening.set()
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture none."""
+        """No-op: the daemon handles signals."""
         yield
 
 
--- a/packages/ibisspring-core/src/ibisspring_core/exposition.py
+++ b/packages/ibisspring-core/src/ibisspring_core/exposition.py
@@ -1,4 +1,4 @@
-"""Counters and histograms as text, in the exposition format of Prometheus, over HTTP."""
+"""Serves counters and histograms over HTTP in the Prometheus exposition format."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
 
 class CounterCollector:
     """
-    What a process counted, as families of metrics.
+    Converts the counters and histograms of this process to metric families.
 
-    It reads in a server's thread, from copies: the event loop's thread may add a name meanwhile.
+    It runs in a thread of the metrics server and reads copies, since the event loop's thread may
+    add names at the same time.
     """
 
     def __init__(self, counters: Counters) -> None:
@@ -36,10 +37,10 @@
 
     def collect(self) -> Iterator[CounterMetricFamily | HistogramMetricFamily]:
         """
-        Read counters and histograms.
+        Return the current counters and histograms.
 
-        :return: one family of all counters, whose label holds the counter's name, and one for each
-            kind of duration.
+        :return: one family for all counters, with the counter's name as a label, and one family for
+            each name of a duration.
         """
         family = CounterMetricFamily(COUNTED, "Counters of this process", labels=("name",))
         for name, count in sorted(self._counters.count_by_name.copy().items()):
@@ -64,23 +65,23 @@
 
 
 class _Server(ThreadingMixIn, WSGIServer):
-    """A thread for each reader: one that stops in the middle of its question holds up no other."""
+    """Uses one thread per request, so that a stalled reader does not block the others."""
 
     daemon_threads = True
 
 
 class _Handler(WSGIRequestHandler):
     def log_message(self, format: str, *args: object) -> None:
-        """Log nothing: readers come every few seconds."""
+        """No-op: a log line for each read, every few seconds, is not useful."""
 
 
 def build_server(listener: socket.socket, counters: Counters) -> WSGIServer:
     """
-    Build a server on a socket that listens already.
+    Build an HTTP server on a socket that is already listening.
 
-    :param listener: of the process; it is closed with the server.
-    :param counters: what is served.
-    :return: a server that answers a reader with each `handle_request`.
+    :param listener: the listening socket; closed together with the server.
+    :param counters: the counters and histograms to serve.
+    :return: a server that accepts one request with each call of `handle_request`.
     """
     host, port = listener.getsockname()
     server = _Server((host, port), _Handler, bind_and_activate=False)
--- a/packages/ibisspring-core/src/ibisspring_core/grpc_runtime.py
+++ b/packages/ibisspring-core/src/ibisspring_core/grpc_runtime.py
@@ -1,8 +1,8 @@
 """
-The service `grpc_runtime`: the pollers of gRPC's native library.
+The service `grpc_runtime`: creates the pollers of gRPC's native library.
 
-While it sets these up, the library ends the process by a signal where the system refuses it a
-descriptor. Once they exist, a refusal becomes an error of a single call.
+If the system has no free file descriptor while the library creates its pollers, the library aborts
+the process with a signal. Once the pollers exist, a lack of descriptors fails only a single call.
 """
 
 from __future__ import annotations
@@ -20,34 +20,34 @@
 
 DESCRIPTORS_NEEDED = 16
 RETRY_S = 0.25
-_REFUSALS_THAT_PASS = (errno.EMFILE, errno.ENFILE, errno.ENOMEM)
+_TEMPORARY_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOMEM)
 
 
 class GrpcRuntime:
-    """Sets gRPC up before any other service uses it, once there are descriptors for it."""
+    """Initialises gRPC before any other service uses it, when enough descriptors are free."""
 
     name = "grpc_runtime"
 
     def __init__(self) -> None:
-        self._held: grpc.aio.Server | None = None
+        self._keep_alive: grpc.aio.Server | None = None
 
     async def start(self, kernel: Kernel) -> None:
-        """Wait for descriptors, and set up the pollers."""
+        """Wait until `DESCRIPTORS_NEEDED` descriptors are free, then create the pollers."""
         refused = False
-        while (error := _refusal()) is not None:
+        while (error := _descriptor_error()) is not None:
             if not refused:
                 eliot.log_message(
                     "grpc_runtime:refused", error=repr(error), needed=DESCRIPTORS_NEEDED
                 )
             refused = True
             await _pause(kernel.stopping)
-        # It never listens. While it exists the library keeps its pollers, also where all channels
-        # are closed for a moment.
-        self._held = grpc.aio.server()
+        # This server never listens. While it exists, the library keeps its pollers, even when all
+        # channels are closed.
+        self._keep_alive = grpc.aio.server()
 
     async def stop(self) -> None:
-        """Let go of the pollers."""
-        await self._held.stop(None)
+        """Release the pollers."""
+        await self._keep_alive.stop(None)
 
 
 async def _pause(stopping: asyncio.Event) -> None:
@@ -58,14 +58,14 @@
     raise SystemExit(0)
 
 
-def _refusal() -> OSError | None:
-    """Open as many descriptors as the library needs, and close them again."""
+def _descriptor_error() -> OSError | None:
+    """Open and close as many descriptors as the library needs; return a temporary error if any."""
     opened = []
     try:
         for _ in range(DESCRIPTORS_NEEDED):
             opened.append(os.eventfd(0))
     except OSError as error:
-        return error if error.errno in _REFUSALS_THAT_PASS else None
+        return error if error.errno in _TEMPORARY_ERRORS else None
     finally:
         for descriptor in opened:
             os.close(descriptor)
--- a/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
+++ b/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
@@ -1,4 +1,4 @@
-"""Sends one HTTP request whose bytes never outlive the sender's lease."""
+"""Sends HTTP requests of which no byte arrives after the sender's lease has lapsed."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 @dataclass(frozen=True)
 class HttpRequest:
     """
-    A request to an outside system.
+    A request to an external system or an endpoint.
 
     :param method: HTTP method.
     :param url: absolute URL.
@@ -39,10 +39,10 @@
 @dataclass(frozen=True)
 class HttpAnswer:
     """
-    A whole answer.
+    A complete response.
 
     :param status: HTTP status.
-    :param body: its body.
+    :param body: body of the response.
     """
 
     status: int
@@ -52,9 +52,10 @@
 @dataclass(frozen=True)
 class NoAnswer:
     """
-    No whole answer came.
+    No complete response arrived.
 
-    :param sent: whether a byte of the request left; if not, the receiver never saw it.
+    :param sent: whether a byte of the request may have been sent; if not, the receiver cannot have
+        received the request.
     :param detail: the cause, for the log.
     """
 
@@ -64,13 +65,13 @@
 
 class _GuardedSocket(socket.socket):
     """
-    A TCP socket that asks for the lease in the very call that hands bytes to the kernel.
+    A TCP socket that checks the lease immediately before each send system call.
 
-    A process frozen after an earlier check would go on after its thaw, with its lease long lapsed,
-    and send next to its successor. Here the check is the last statement before the system call, so
-    only a freeze of exactly these few instructions escapes it. TCP_USER_TIMEOUT ends the kernel's
-    own retransmission at the lease's end, which also holds while the process is frozen: bytes
-    written into a partition do not arrive when it heals.
+    A process that is frozen after an earlier check would continue when it is thawed, although its
+    lease has lapsed, and send orders beside its successor. Here the check is the last statement
+    before the system call, so that only a freeze between these few instructions escapes it.
+    TCP_USER_TIMEOUT ends the kernel's retransmission when the lease lapses, even while the process
+    is frozen: bytes sent during a network partition do not arrive after it heals.
     """
 
     lease_left: LeaseLeft
@@ -87,7 +88,7 @@
 
 
 class _GuardedConnector(aiohttp.TCPConnector):
-    """Opens one fresh guarded connection and keeps its transport, to abort it."""
+    """Opens a single new guarded connection, which can be aborted."""
 
     def __init__(self, lease_left: LeaseLeft, least_left_s: float) -> None:
         super().__init__(force_close=True, socket_factory=self._open_socket)
@@ -104,15 +105,15 @@
         opened.sent = False
         opened.setblocking(False)
         opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # Closing resets the connection and throws its unsent bytes away, in place of a FIN behind
-        # bytes that the kernel would still deliver.
+        # With this option, closing resets the connection and discards its unsent bytes. Otherwise
+        # the kernel would still deliver them, followed by a FIN.
         opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         self.sockets.append(opened)
         return opened
 
     async def connect(self, *arguments: Any, **keywords: Any) -> Any:
-        # aiohttp repeats an idempotent request by itself once when the connection ends without an
-        # answer: a second send that no intent covers. The second connection is refused here.
+        # aiohttp repeats an idempotent request once if the connection closes without a response.
+        # That second order would have no committed intent, so the second connection is refused.
         if self.transport is not None:
             raise aiohttp.ClientConnectionError("the connection ended without an answer")
         connection = await super().connect(*arguments, **keywords)
@@ -120,11 +121,11 @@
         return connection
 
     def sent(self) -> bool:
-        """Whether a byte may have left."""
+        """Whether a byte of the request may have been sent."""
         return any(opened.sent for opened in self.sockets)
 
     def abort(self) -> None:
-        """Reset the connection now."""
+        """Reset the connection immediately."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -133,13 +134,14 @@
     request: HttpRequest, lease_left: LeaseLeft, least_left_s: float, timeout_s: float
 ) -> HttpAnswer | NoAnswer:
     """
-    Send a request once, on a fresh connection, while a lease lasts.
+    Send a request once, on a new connection, while a lease is valid.
 
     :param request: the request.
-    :param lease_left: what is left of the lease in seconds, read on a clock that counts suspend.
-    :param least_left_s: seconds that the lease must have left when bytes are written.
-    :param timeout_s: longest time to wait for the answer; the lease's end cuts it short.
-    :return: the answer, or why there is none.
+    :param lease_left: returns the remaining time of the lease in seconds, from a clock that counts
+        suspension.
+    :param least_left_s: minimum remaining time of the lease, in seconds, when bytes are sent.
+    :param timeout_s: seconds to wait for the response; the wait also ends when the lease lapses.
+    :return: the response, or the reason why there is none.
     """
     if lease_left() < least_left_s:
         return NoAnswer(False, "the lease does not outlast the order")
@@ -162,7 +164,7 @@
 async def _wait_end(
     exchange: asyncio.Task[HttpAnswer], lease_left: LeaseLeft, timeout_s: float
 ) -> str:
-    # The loop's own timers stand still while the VM is suspended, so the clocks are polled.
+    # The event loop's timers stop while the VM is suspended, so the clocks are polled.
     end_s = boot_now() + timeout_s
     while not exchange.done():
         if lease_left() <= 0:
--- a/packages/ibisspring-core/src/ibisspring_core/incarnation.py
+++ b/packages/ibisspring-core/src/ibisspring_core/incarnation.py
@@ -1,4 +1,4 @@
-"""The number of this process's start."""
+"""The incarnation number of this process."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 @functools.cache
 def this_incarnation() -> int:
     """
-    Number this start of the daemon, the same for all of its parts.
+    Return the incarnation number of this start of the daemon; all later calls return the same.
 
-    An entry VM may have no disk to count on, so the wall clock is read once; a clock that was set
-    back between two starts of a daemon would make the later start look like the earlier one, which
-    is why VMs must keep time.
+    An entry VM may have no disk on which starts could be counted, so the number is the wall-clock
+    time of the first call. If the clock is set back between two starts, the later start has the
+    lower number and counts as the earlier one; VMs must therefore synchronise their clocks.
 
-    :return: nanoseconds since the epoch at the first call.
+    :return: nanoseconds from 1970 to the first call.
     """
     return time.time_ns()
 
--- a/packages/ibisspring-core/src/ibisspring_core/json_input.py
+++ b/packages/ibisspring-core/src/ibisspring_core/json_input.py
@@ -1,4 +1,4 @@
-"""Reads JSON that comes from outside."""
+"""Decodes JSON from untrusted senders."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 def decode_json(data: bytes, kind: type[T]) -> T:
     """
-    Decode a document.
+    Decode a JSON document.
 
-    :param data: UTF-8, from a peer that may send anything.
-    :param kind: a type that msgspec can decode.
+    :param data: UTF-8 from an untrusted sender.
+    :param kind: the expected type; one that msgspec can decode.
     :return: the value.
-    :raises msgspec.DecodeError: where it is no JSON, not of that type, or nested too deeply.
+    :raises msgspec.DecodeError: if the data is not JSON, not of that type, or nested too deeply.
     """
     try:
         return msgspec.json.decode(data, type=kind)
     except RecursionError as error:
-        # msgspec follows unknown fields as deep as they go and stops at the interpreter's limit.
+        # msgspec also parses the contents of unknown fields, recursively up to the interpreter's
+        # limit.
         raise msgspec.DecodeError("nested too deeply") from error
 
 
--- a/packages/ibisspring-core/src/ibisspring_core/kernel.py
+++ b/packages/ibisspring-core/src/ibisspring_core/kernel.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services register under a name and find each other by it."""
+"""The micro-kernel: services are registered by name and look each other up by it."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 
 
 class Service(Protocol):
-    """A part of a daemon with a life cycle."""
+    """A component of a daemon that is started and stopped."""
 
     name: str
 
     async def start(self, kernel: Kernel) -> None:
-        """Start; services registered earlier have started already."""
+        """Start the service; services registered earlier have started already."""
 
     async def stop(self) -> None:
-        """Stop gracefully; services registered later have stopped already."""
+        """Stop the service gracefully; services registered later have stopped already."""
 
 
 class Kernel:
     """
-    Holds the services of one process, starts them in order and stops them in reverse.
+    Holds the services of one process, starts them in order and stops them in reverse order.
 
-    `stopping` is set once the process was told to stop; a start that waits gives up then.
+    `stopping` is set when the process receives a signal to stop; a service that is waiting in its
+    `start` then aborts it.
     """
 
     def __init__(self) -> None:
@@ -33,10 +34,10 @@
     @classmethod
     def from_services(cls, services: tuple[Service, ...]) -> Kernel:
         """
-        Build a kernel with services registered in start order.
+        Build a kernel and register services.
 
-        :param services: each with a name of its own.
-        :return: the kernel, nothing started.
+        :param services: services with distinct names, in the order in which they start.
+        :return: the kernel, with no service started.
         """
         kernel = cls()
         for service in services:
@@ -45,9 +46,9 @@
 
     def register(self, service: Service) -> None:
         """
-        Add a service before the start.
+        Register a service; call this before `start`.
 
-        :param service: its `name` must be free.
+        :param service: the service. Raises `ValueError` if its name is already registered.
         """
         if service.name in self.service_by_name:
             raise ValueError(f"service {service.name!r} is registered twice")
@@ -55,25 +56,29 @@
 
     def find(self, name: str) -> Any:
         """
-        Find a service that must exist.
+        Return a service that must be registered.
 
         :param name: the registered name.
-        :return: the service; its concrete type is the caller's to know.
+        :return: the service; the caller knows its concrete type. Raises `KeyError` if the name is
+            not registered.
         """
         return self.service_by_name[name]
 
     def find_optional(self, name: str) -> Any | None:
         """
-        Find a service that may be absent in this role.
+        Return a service that daemons of some roles do not have.
 
         :param name: the registered name.
-        :return: the service or None.
+        :return: the service; None if it is not registered.
         """
         return self.service_by_name.get(name)
 
     async def start(self) -> None:
         """
-        Start all services in the order of registration; on a failure stop those already started.
+        Start all services in the order of registration.
+
+        If a service fails to start, the services that have started are stopped and the exception
+        propagates.
         """
         for service in self.service_by_name.values():
             try:
--- a/packages/ibisspring-core/src/ibisspring_core/messages/rule_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/rule_commands.py
@@ -34,7 +34,8 @@
 
     :param version: version in force.
     :param operator: name of the operator who applied it.
-    :param changed_lines: lines that differ between `base` and the version in force.
+    :param changed_lines: lines that differ between `base` and that version, with `- ` before a
+        removed and `+ ` before an added line; a note in brackets if `base` is no longer stored.
     """
 
     version: int
--- a/packages/ibisspring-core/src/ibisspring_core/metrics_server.py
+++ b/packages/ibisspring-core/src/ibisspring_core/metrics_server.py
@@ -1,4 +1,4 @@
-"""Listens for readers of the process's figures."""
+"""Serves the process's metrics to collectors."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
     """
     The service `metrics_server`.
 
-    It answers in a thread of its own: the figures can be read while the event loop is stuck, and a
-    reader that stops in the middle of an answer holds up no request. What answers is imported with
-    the first reader: it takes a megabyte, and most processes are never read.
+    Requests are served in a separate thread, so that metrics can be read while the event loop is
+    blocked and a stalled reader does not block callers' requests. The HTTP server and exporter are
+    imported with the first request: they use a megabyte of memory, and the metrics of most
+    processes are never read.
     """
 
     name = "metrics_server"
@@ -36,40 +37,40 @@
         self._thread: threading.Thread | None = None
 
     async def start(self, kernel: Kernel) -> None:
-        """Listen; a port that is taken costs the figures and not the service."""
+        """Start to listen; if the port is in use, log it and run the daemon without metrics."""
         host, _, port = self._listen.rpartition(":")
         try:
             listener = socket.create_server((host, int(port)), backlog=BACKLOG)
         except OSError as error:
             eliot.log_message("metrics_server:not_served", listen=self._listen, error=repr(error))
             return
-        # A reader may be gone again before it is accepted.
+        # The client may have disconnected before `accept`, which would then block.
         listener.setblocking(False)
-        self._wake, woken = socket.socketpair()
+        self._wake, wake_receiver = socket.socketpair()
         self._thread = threading.Thread(
             target=_serve,
-            args=(listener, woken, kernel.find("counters")),
+            args=(listener, wake_receiver, kernel.find("counters")),
             name="metrics_server",
             daemon=True,
         )
         self._thread.start()
 
     async def stop(self) -> None:
-        """Close the listener."""
+        """Stop the thread, which closes the listener."""
         if self._wake is None or self._thread is None:
             return
         self._wake.close()
         self._thread.join(STOP_S)
 
 
-def _serve(listener: socket.socket, woken: socket.socket, counters: Counters) -> None:
+def _serve(listener: socket.socket, wake_receiver: socket.socket, counters: Counters) -> None:
     server: WSGIServer | None = None
-    with listener, woken, selectors.DefaultSelector() as selector:
+    with listener, wake_receiver, selectors.DefaultSelector() as selector:
         selector.register(listener, selectors.EVENT_READ)
-        selector.register(woken, selectors.EVENT_READ)
+        selector.register(wake_receiver, selectors.EVENT_READ)
         while True:
             readable = [key.fileobj for key, _ in selector.select()]
-            if woken in readable:
+            if wake_receiver in readable:
                 return
             if server is None:
                 from ibisspring_core.exposition import build_server
--- a/packages/ibisspring-core/src/ibisspring_core/request_ids.py
+++ b/packages/ibisspring-core/src/ibisspring_core/request_ids.py
@@ -1,4 +1,4 @@
-"""Request ids that carry the time at which they were made."""
+"""Request ids that contain their creation time."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 def new_request_id() -> str:
     """
-    Make a request id.
+    Create a request id.
 
-    The time in it lets the state machine refuse a resend that comes after the first result was
-    forgotten; without it such a resend would be applied a second time.
+    From the time in the id, the state machine detects and refuses a resend that arrives after the
+    result of the first attempt was deleted. Without it, the command would be applied twice.
 
-    :return: milliseconds since the epoch, a hyphen and 16 random hexadecimal digits.
+    :return: milliseconds since 1970, a hyphen and 16 random hexadecimal digits.
     """
     return f"{int(wall_now() * _MS):013d}-{secrets.token_hex(8)}"
 
 
 def created_s_of(request_id: str) -> float | None:
     """
-    Read the time in a request id.
+    Return the creation time in a request id.
 
-    :param request_id: an id from `new_request_id`, or any other.
-    :return: seconds since the epoch, or None where the id carries no time.
+    :param request_id: any request id.
+    :return: seconds since 1970; None if the id was not created by `new_request_id`.
     """
     match = _TIMED_ID.match(request_id)
     if match is None:
--- a/packages/ibisspring-core/src/ibisspring_core/routes/__init__.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes: which requests go to which service, for whom, and within what bounds."""
+"""Routes: which requests go to which service, which accounts may call, and the limits."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-core/src/ibisspring_core/routes/check.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/check.py
@@ -1,4 +1,4 @@
-"""Checks of a route table that no single field shows."""
+"""Checks of a route table that involve several fields."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """
     Check a route table.
 
-    :param table: what was sent.
-    :return: all findings, each with its place; none for a table that may come into force.
+    :param table: the table to check.
+    :return: all findings, each with the table's entry; none for a valid table.
     """
     findings: list[Finding] = []
 
@@ -34,7 +34,8 @@
     account_by_key: dict[str, str] = {}
     for number, account in enumerate(table.accounts):
         for key in account.keys:
-            # One account may hold a key twice; shared, it would not tell who called.
+            # A key may be listed twice for one account. Shared by two accounts, it would not
+            # identify the caller.
             if account_by_key.setdefault(key, account.name) != account.name:
                 report(f"accounts[{number}]", f"shares a key with {account_by_key[key]!r}")
     return tuple(findings)
--- a/packages/ibisspring-core/src/ibisspring_core/routes/index.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/index.py
@@ -1,4 +1,4 @@
-"""Looks up routes and keys of the table in force."""
+"""Lookups of routes, services and keys in the route table in force."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouteIndex:
-    """The lookups of one table, built once for it."""
+    """The lookup tables of one route table, built once."""
 
     def __init__(self, table: RouteTable) -> None:
         self.table = table
@@ -22,23 +22,23 @@
             self._routes_by_host.setdefault(route.host, []).append(route)
         for routes in self._routes_by_host.values():
             routes.sort(key=lambda route: -len(route.prefix))
-        # Keyed by digest, so that the time of a lookup tells nothing about a key's characters.
+        # Keyed by digest, so that the time of a lookup reveals nothing about a key's characters.
         self._account_by_digest: dict[bytes, ClientAccount] = {
             _digest(key): account for account in table.accounts for key in account.keys
         }
 
     @property
     def needs_keys(self) -> bool:
-        """Whether callers show keys at all."""
+        """Whether callers must send a key; False if the table has no client accounts."""
         return bool(self.table.accounts)
 
     def route(self, host: str, path: str) -> Route | None:
         """
-        Find the route with the longest prefix that begins a path.
+        Find the route whose prefix is the longest match of a path.
 
-        :param host: host without a port.
-        :param path: path as it stands in the request line, without its query.
-        :return: the route; None where none matches.
+        :param host: host name without a port.
+        :param path: path of the request line, still percent-encoded, without the query.
+        :return: the route; None if no route matches.
         """
         for route in self._routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
@@ -47,10 +47,10 @@
 
     def account(self, key: str) -> ClientAccount | None:
         """
-        Find who holds a key.
+        Find the client account that a key belongs to.
 
-        :param key: as the caller showed it.
-        :return: the account; None where nobody holds the key.
+        :param key: the key as the caller sent it.
+        :return: the account; None if the key belongs to no account.
         """
         return self._account_by_digest.get(_digest(key))
 
--- a/packages/ibisspring-core/src/ibisspring_core/routes/model.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/model.py
@@ -8,10 +8,10 @@
 
 class RepeatRule(enum.Enum):
     """
-    How often a request of a route may run.
+    How often a request of a route may run at endpoints.
 
-    IDEMPOTENT requests may run more than once, ONCE at most once for each attempt of the caller,
-    JOB submits work that runs later and may run more than once.
+    An IDEMPOTENT request may run more than once, a ONCE request at most once for each attempt of
+    the caller. A JOB request submits items that run later and may run more than once.
     """
 
     IDEMPOTENT = "idempotent"
@@ -22,9 +22,10 @@
 @dataclass(frozen=True)
 class Share:
     """
-    One of the services that share a route.
+    A service's share of the requests of a route.
 
-    :param weight: its part, against the sum over the route.
+    :param service: name of the service.
+    :param weight: the share, relative to the sum of the weights of the route.
     """
 
     service: str
@@ -34,11 +35,11 @@
 @dataclass(frozen=True)
 class JobTerms:
     """
-    What holds for the jobs that a route takes.
+    Terms of the jobs that are submitted on a route.
 
     :param due_s: seconds from the first submission until all results are due.
-    :param give_up_s: seconds from the first submission after which an item may be given up.
-    :param single_version: one weight version must make a whole result.
+    :param give_up_s: seconds from the first submission after which an item may be abandoned.
+    :param single_version: whether a single weight version must generate a complete result.
     """
 
     due_s: float
@@ -51,16 +52,20 @@
     """
     One route.
 
-    :param host: the host that callers name, without a port.
-    :param prefix: begins the paths of the route; begins and ends with a slash.
-    :param timeout_s: longest time that a caller is kept waiting.
-    :param target_s: time within which an answer is worth most.
+    :param name: name of the route.
+    :param host: host of the request, without a port.
+    :param prefix: prefix of the request's path; starts and ends with a slash.
+    :param repeat: how often a request may run.
+    :param shares: the services that the requests are distributed over.
+    :param timeout_s: time limit of a request, in seconds.
+    :param target_s: seconds within which an answer has its full value.
     :param priority: rank; 0 is the highest.
-    :param max_attempts: most endpoints that one attempt of a caller may be sent to.
-    :param public: needs no key.
-    :param stream: the answer is a series of events that are passed on as they come.
-    :param resumable: a broken stream may go on at another endpoint.
-    :param job: set on routes that take jobs.
+    :param max_attempts: maximum number of endpoints that a request is sent to for one attempt of
+        the caller.
+    :param public: whether requests need no key.
+    :param stream: whether the answer is a stream of events, forwarded as they arrive.
+    :param resumable: whether a broken stream may be resumed at another endpoint.
+    :param job: terms of the jobs; None on routes that accept no jobs.
     """
 
     name: str
@@ -81,11 +86,13 @@
 @dataclass(frozen=True)
 class ScalingTerms:
     """
-    How many endpoints of a service may be ordered in a data centre.
+    Limits and costs of ordering endpoints of a service.
 
-    :param boot_s: seconds from an order until an endpoint serves.
-    :param cheap_price: price of the cheap kind, against 1.0 for the other.
-    :param price_by_data_centre: cost of an endpoint's second.
+    :param least: minimum number of endpoints in a data centre.
+    :param most: maximum number of endpoints in a data centre.
+    :param boot_s: seconds from an order until the endpoint serves.
+    :param cheap_price: price of the cheap kind, relative to 1.0 for the standard kind.
+    :param price_by_data_centre: price of an endpoint per second, by data centre.
     """
 
     least: int
@@ -98,13 +105,16 @@
 @dataclass(frozen=True)
 class ServiceTerms:
     """
-    What is known of a service's endpoints.
+    Properties of a service's endpoints.
 
-    :param max_connections: connections that one endpoint accepts from all callers together.
-    :param capacity: requests that an engine works on at a time; 0 for a service without engines.
-    :param memory_tokens: tokens that an engine's memory holds.
-    :param models: models that its engines serve.
-    :param scaling: None where endpoints cannot be ordered.
+    :param name: name of the service.
+    :param max_connections: maximum number of connections that one endpoint accepts, over all
+        callers.
+    :param capacity: maximum number of requests that an engine runs at the same time; 0 for a
+        service without engines.
+    :param memory_tokens: number of tokens that fit into an engine's memory.
+    :param models: names of the models that its engines serve.
+    :param scaling: limits and costs of ordering endpoints; None if they cannot be ordered.
     """
 
     name: str
@@ -118,9 +128,11 @@
 @dataclass(frozen=True)
 class ClientAccount:
     """
-    A client account with the keys that it calls under.
+    A client account with its keys.
 
-    :param priority: takes precedence over the route's; None leaves it to the route.
+    :param name: name of the client account.
+    :param keys: the keys that callers of the account send.
+    :param priority: rank of its requests, which overrides that of the route; None uses the route's.
     """
 
     name: str
@@ -131,11 +143,15 @@
 @dataclass(frozen=True)
 class RouteTable:
     """
-    A whole configuration; the highest version is in force.
+    A complete configuration; the table with the highest version is in force.
 
-    :param idle_s: seconds that a caller's connection may be idle.
-    :param max_body_bytes: largest body of a request.
-    :param max_header_bytes: largest head of a request.
+    :param version: version of the table.
+    :param routes: the routes.
+    :param services: the services that routes refer to.
+    :param accounts: the client accounts; without any, callers need no key.
+    :param idle_s: seconds after which an idle connection of a caller is closed.
+    :param max_body_bytes: maximum size of a request's body, in bytes.
+    :param max_header_bytes: maximum size of a request's line and headers, in bytes.
     """
 
     version: int
--- a/packages/ibisspring-core/src/ibisspring_core/rules/__init__.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' rules file: one rule a line, each with who asked for it."""
+"""The operators' rules file: one rule per line, each with a comment that names its requester."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
@@ -1,4 +1,4 @@
-"""Collects a file's rules while it is read, then checks what no single line shows."""
+"""Collects the rules of a file while it is parsed, and checks references between lines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,14 @@
 
 @dataclass(frozen=True)
 class Reference:
-    """A name used on a line, which another line has to define."""
+    """
+    A name that is used on one line and must be defined by another.
+
+    :param kind: kind of the name, such as `trainer`.
+    :param name: the name.
+    :param line: the line that uses it.
+    :param column: column of the name, from 1.
+    """
 
     kind: str
     name: str
@@ -23,7 +30,7 @@
 
 
 class Draft:
-    """Rules read so far."""
+    """The rules of the lines parsed so far."""
 
     def __init__(self) -> None:
         self.client_account_by_name: dict[str, ClientAccount] = {}
@@ -39,9 +46,12 @@
 
     def define(self, line: RuleLine, kind: str, name: str) -> bool:
         """
-        Note that a line defines something that may be defined once.
+        Record the definition of a name that may be defined only once.
 
-        :return: False, with a finding, where an earlier line defines it already.
+        :param line: the line that defines the name.
+        :param kind: kind of the name, such as `trainer`.
+        :param name: the name.
+        :return: False, after reporting a finding, if an earlier line defines the name.
         """
         earlier = self._line_by_definition.get((kind, name))
         if earlier is not None:
@@ -51,7 +61,7 @@
         return True
 
     def refer(self, line: RuleLine, kind: str, name: str) -> None:
-        """Note that a line uses a name that some line has to define."""
+        """Record that a line uses a name, which some line of the file must define."""
         column = next((at for token, at in line.tokens[1:] if token == name), 1)
         self.references.append(Reference(kind, name, line, column))
 
@@ -69,7 +79,7 @@
             line.report(f"add 'staleness trainer {trainer} N versions': it has no bound", 1)
 
     def rules(self) -> Rules:
-        """Build the rules of a file without findings."""
+        """Return the rules; valid only if there are no findings."""
         trainer_by_name = {
             name: Trainer(name, account, self.staleness_by_trainer[name])
             for name, account in self.client_account_by_trainer.items()
--- a/packages/ibisspring-core/src/ibisspring_core/rules/line.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/line.py
@@ -1,4 +1,4 @@
-"""Reads one line of a rules file word by word and keeps every finding with its place."""
+"""Reads one line of a rules file word by word and reports findings with their columns."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]*\Z")
 _TOKEN = re.compile(r"[^\s,]+|,")
 _NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,6})?\Z")
-_WHOLE = re.compile(r"[0-9]{1,9}\Z")
-_ASKED = re.compile(r"#\s*asked:\s*[^\s,][^,]*,\s*\S")
+_INTEGER = re.compile(r"[0-9]{1,9}\Z")
+_REQUESTER = re.compile(r"#\s*asked:\s*[^\s,][^,]*,\s*\S")
 
 
 class RuleLine:
     """
-    One line, read from left to right.
+    One line of a rules file, read from left to right.
 
-    A method that finds something else than the rule needs reports it and returns None; the rule is
-    given up there, because what follows cannot be told.
+    A method that reads a word reports a finding and returns None if the word is not what the rule
+    requires. Parsing of the rule then stops, because the words after a fault cannot be interpreted.
     """
 
     def __init__(self, place: str, number: int, text: str, findings: list[Finding]) -> None:
@@ -33,28 +33,28 @@
         self._next = 0
 
     def report(self, message: str, column: int | None = None) -> None:
-        """Report a finding at a column, by default at the next word."""
+        """Report a finding at a column, by default that of the next word."""
         column = self.column() if column is None else column
         self._findings.append(Finding(self.place, self.number, column, message))
 
     def column(self) -> int:
-        """Column of the next word, or the end of the rule."""
+        """Return the column, from 1, of the next word or of the end of the rule."""
         if self._next < len(self.tokens):
             return self.tokens[self._next][1]
         return self._end_column
 
     def check_requester(self) -> None:
-        """Require the trailing comment that names who asked for the rule and why."""
-        if _ASKED.match(self.comment):
+        """Report a missing or malformed `# asked: WHO, WHY` comment at the end of the rule."""
+        if _REQUESTER.match(self.comment):
             return
         self.report("end the rule with '# asked: WHO, WHY'", self._comment_column)
 
     def peek(self) -> str | None:
-        """The next word, left in place."""
+        """Return the next word without consuming it; None at the end."""
         return self.tokens[self._next][0] if self._next < len(self.tokens) else None
 
     def word(self, what: str) -> str | None:
-        """Take any word."""
+        """Consume and return any word; `what` names it in a finding."""
         token = self.peek()
         if token is None or token == ",":
             self.report(f"expected {what}")
@@ -63,7 +63,7 @@
         return token
 
     def name(self, what: str) -> str | None:
-        """Take a name."""
+        """Consume and return a name; `what` names it in a finding."""
         token = self.peek()
         if token is None or not NAME.match(token):
             self.report(f"expected {what}: letters, digits, '.', '_' or '-'")
@@ -72,7 +72,7 @@
         return token
 
     def names(self, what: str) -> tuple[str, ...] | None:
-        """Take one or more names with commas between."""
+        """Consume and return one or more distinct names, separated by commas."""
         names: list[str] = []
         while True:
             column = self.column()
@@ -88,7 +88,7 @@
             self._next += 1
 
     def keyword(self, keyword: str) -> bool:
-        """Take a fixed word."""
+        """Consume a fixed word; False, after reporting a finding, if another one follows."""
         if self.peek() != keyword:
             self.report(f"expected {keyword!r}")
             return False
@@ -96,7 +96,13 @@
         return True
 
     def number_with(self, unit: str, what: str, above: float = 0.0) -> float | None:
-        """Take a number that is written together with its unit, as in 40/s or 60%."""
+        """
+        Consume and return a number with its unit attached, as in 40/s or 60%.
+
+        :param unit: the unit; empty for none.
+        :param what: name of the number in a finding.
+        :param above: smallest valid number; with 0.0 the number must be greater than 0.
+        """
         token = self.peek() or ""
         digits = token.removesuffix(unit) if unit else token
         if not token.endswith(unit) or not _NUMBER.match(digits):
@@ -109,16 +115,16 @@
         return float(digits)
 
     def whole(self, what: str) -> int | None:
-        """Take a whole number from 0."""
+        """Consume and return an integer from 0; `what` names it in a finding."""
         token = self.peek() or ""
-        if not _WHOLE.match(token):
+        if not _INTEGER.match(token):
             self.report(f"expected {what}, a whole number")
             return None
         self._next += 1
         return int(token)
 
     def end(self) -> bool:
-        """Require that nothing is left."""
+        """Return True at the end of the rule; else report the next word and return False."""
         token = self.peek()
         if token is None:
             return True
--- a/packages/ibisspring-core/src/ibisspring_core/rules/model.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/model.py
@@ -11,11 +11,12 @@
 
 def key_digest(key: str) -> str:
     """
-    Digest a client account's key as the rules file holds it.
+    Return the digest of a client account's key, as written in the rules file.
 
-    A key has 32 random bytes, so a plain digest cannot be searched for and needs no salt.
+    A key consists of 32 random bytes, so it cannot be found from its digest by search and the
+    digest needs no salt.
 
-    :param key: the key as the caller shows it.
+    :param key: the key as the caller sends it.
     :return: SHA-256 in lower-case hexadecimal digits.
     """
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
@@ -26,10 +27,11 @@
     """
     A client account.
 
-    :param key_digests: SHA-256 of each key in force, hexadecimal; empty when all are withdrawn.
-    :param rate_per_s: requests a second over all entries together.
-    :param weight: share of a full system, relative to the other client accounts.
-    :param burst: requests that may come at once after a pause.
+    :param name: name of the client account.
+    :param key_digests: SHA-256 of each valid key, in hexadecimal; empty if all are withdrawn.
+    :param rate_per_s: rate limit in requests per second, over all entries.
+    :param weight: share of the capacity under full load, relative to the other client accounts.
+    :param burst: number of requests that are accepted at once after a time without requests.
     """
 
     name: str
@@ -44,8 +46,10 @@
     """
     A trainer.
 
-    :param client_account: the client account whose keys may open its steps.
-    :param staleness_versions: how many versions older than the trainer's a sample may be.
+    :param name: name of the trainer.
+    :param client_account: name of the client account whose keys may open its steps.
+    :param staleness_versions: maximum number of versions that a sample may be older than the
+        trainer's newest one.
     """
 
     name: str
@@ -56,11 +60,12 @@
 @dataclass(frozen=True)
 class Placement:
     """
-    Where endpoints of a service may run.
+    Placement of a service's endpoints.
 
-    :param data_centres: in order of preference.
-    :param count: endpoints wanted over all data centres.
-    :param cheap_share: largest share of them that may be of the cheap kind, 0 to 1.
+    :param service: name of the service.
+    :param data_centres: data centres in order of preference.
+    :param count: number of endpoints wanted, over all data centres.
+    :param cheap_share: maximum share of these endpoints that may be of the cheap kind, 0 to 1.
     """
 
     service: str
@@ -72,9 +77,11 @@
 @dataclass(frozen=True)
 class IdempotentCall:
     """
-    Calls of a plain service that may be repeated.
+    Calls of a plain service that are idempotent.
 
-    :param path_prefix: the path below the service starts with it; empty for every path.
+    :param service: name of the service.
+    :param method: HTTP method in upper case.
+    :param path_prefix: prefix of the path below the service; empty for every path.
     """
 
     service: str
@@ -84,7 +91,7 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """A whole rules file."""
+    """The rules of a complete rules file."""
 
     client_account_by_name: dict[str, ClientAccount] = field(default_factory=dict)
     services_by_client_account: dict[str, frozenset[str]] = field(default_factory=dict)
@@ -98,10 +105,10 @@
         """
         Find the client account that a key belongs to.
 
-        Every digest is compared, each in constant time: how long the answer takes must not tell a
-        guesser how much of a digest was right or which account was near.
+        Every digest is compared, each in constant time: the duration must not reveal to an attacker
+        how many characters of a digest match, or of which account.
 
-        :param key: the key as the caller shows it.
+        :param key: the key as the caller sends it.
         :return: the client account's name, or None for an unknown or withdrawn key.
         """
         digest = key_digest(key)
@@ -114,21 +121,22 @@
 
     def allows(self, client_account: str, service: str) -> bool:
         """
-        Tell whether a client account may call a service or model.
+        Return whether a client account may call a service or model.
 
-        :param client_account: its name.
+        :param client_account: name of the client account.
         :param service: name of the plain service or model.
-        :return: True only where an `allow` rule says so.
+        :return: True only if an `allow` rule permits it.
         """
         return service in self.services_by_client_account.get(client_account, frozenset())
 
     def is_idempotent(self, service: str, method: str, path: str) -> bool:
         """
-        Tell whether a call of a plain service may be repeated.
+        Return whether a call of a plain service may be repeated.
 
-        :param method: HTTP method in capitals.
+        :param service: name of the service.
+        :param method: HTTP method in upper case.
         :param path: path below the service, with its leading slash.
-        :return: True for GET and HEAD and for what an `idempotent` rule names.
+        :return: True for GET and HEAD and for calls that match an `idempotent` rule.
         """
         if method in IDEMPOTENT_METHODS:
             return True
--- a/packages/ibisspring-core/src/ibisspring_core/rules/parser.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/parser.py
@@ -1,4 +1,4 @@
-"""Parses a rules file; every finding of the file is reported at once, with its place."""
+"""Parses a rules file and reports all findings together, with line and column."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     """
     Parse and check a rules file.
 
-    :param text: the whole file.
+    :param text: text of the file.
     :param place: file name for the findings.
-    :return: the rules, or every finding in order of line and column.
+    :return: the rules, or all findings in order of line and column.
     """
     if len(text.encode("utf-8", "surrogateescape")) > MAX_RULES_BYTES:
         return (Finding(place, 0, 0, f"the file is longer than {MAX_RULES_BYTES} bytes"),)
@@ -89,7 +89,8 @@
         line.report("expected sha256: and 64 lower-case hexadecimal digits", column)
         return None
     digest = match.group(1)
-    # One key on two client accounts would bill and admit a request for whichever came last.
+    # With one key on two client accounts, requests would be admitted and billed for the account
+    # that is defined last.
     if not draft.define(line, "key", f"sha256:{digest}"):
         return None
     return digest
--- a/packages/ibisspring-core/src/ibisspring_core/settings/__init__.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: a YAML file, checked as a whole, every finding with its place."""
+"""Settings of a daemon, loaded from a YAML file; all findings are reported together."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 def __getattr__(name: str) -> Any:
-    # Imported where it is used: a daemon that gets its settings otherwise saves the 0.8 MB that the
-    # YAML library takes.
+    # Imported on first use: a daemon that does not load its settings from YAML saves the 0.8 MB of
+    # memory that the YAML library uses.
     if name == "load_settings":
         from ibisspring_core.settings.loader import load_settings
 
--- a/packages/ibisspring-core/src/ibisspring_core/settings/current.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/current.py
@@ -1,4 +1,4 @@
-"""The service `current_settings`: what the settings file says now."""
+"""The service `current_settings`: re-reads the settings file while the daemon runs."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 
 ReadSettings = Callable[[], "VmSettings | tuple[Finding, ...]"]
 
-# The file may change without a signal. A daemon that lost all of control finds it again within this
-# time of the change.
+# The file may change without a signal. A daemon that cannot reach any control daemon reads changed
+# seeds within this time.
 READ_EVERY_S = 1.0
 _IN_FORCE_AT_ONCE = frozenset({"seeds"})
 
 
 class CurrentSettings:
     """
-    Reads the settings file again, on SIGHUP and all the while.
+    Reads the settings file periodically and on SIGHUP.
 
-    Seeds come into force at once. Read at the start alone, they name daemons that may all have been
-    replaced since: one that was cut off meanwhile would never find control again.
+    Changed seeds take effect immediately, other settings at the next start. Seeds that are read
+    only at the start may name daemons that have all been replaced since; a daemon that was
+    disconnected during the replacement would never reach the control daemons again.
     """
 
     name = "current_settings"
@@ -39,22 +40,22 @@
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """Peer addresses of control daemons as the file last named them."""
+        """Peer addresses of control daemons, from the last valid version of the file."""
         return self._settings.seeds
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to read."""
+        """Start the periodic reads."""
         self._subscription = kernel.find("timer").subscribe(self.name, READ_EVERY_S, self._tick)
 
     async def stop(self) -> None:
-        """Read no more."""
+        """Stop the periodic reads."""
         self._subscription.cancel()
 
     def reload(self) -> None:
-        """Read the file now."""
+        """Read the file and apply its changes; an invalid file is logged and ignored."""
         read = self._read()
         if not isinstance(read, VmSettings):
-            self._keep(read)
+            self._log_unreadable(read)
             return
         self._unreadable = False
         if read == self._settings:
@@ -64,8 +65,8 @@
         waiting = [name for name in changed if name not in _IN_FORCE_AT_ONCE]
         eliot.log_message("settings:changed", seeds=list(read.seeds), at_next_start=waiting)
 
-    def _keep(self, findings: tuple[Finding, ...]) -> None:
-        """A file that is being written, or is wrong, changes nothing."""
+    def _log_unreadable(self, findings: tuple[Finding, ...]) -> None:
+        """Log once that the file is incomplete or invalid, and keep the current settings."""
         if not self._unreadable:
             texts = [str(finding) for finding in findings]
             eliot.log_message("settings:unreadable", reason="unreadable", findings=texts)
--- a/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads a settings file into data classes and collects every finding with its line and column."""
+"""Loads a settings file into data classes and collects findings with line and column."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 def load_settings(path: str) -> Settings | tuple[Finding, ...]:
     """
-    Read and check a settings file.
+    Load and check a settings file.
 
-    :param path: the YAML file.
-    :return: the settings, or every finding in the file.
+    :param path: path of the YAML file.
+    :return: the settings, or all findings in order of line and column.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -45,7 +45,7 @@
 
 
 class _Reader:
-    """Walks the YAML nodes beside the data classes' type hints."""
+    """Converts YAML nodes to the types that the data classes' type hints name."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -122,7 +122,7 @@
         return value
 
     def check_whole(self, settings: Settings, node: yaml.Node) -> None:
-        """Check what no single setting shows."""
+        """Report conflicts between settings."""
         for role in settings.roles:
             if role not in ROLES:
                 self.report(node, f"unknown role {role!r}; roles are {', '.join(ROLES)}")
@@ -142,8 +142,8 @@
         control = settings.control
         if settings.daemon not in settings.control_addresses:
             self.report(node, f"control_addresses does not name this daemon {settings.daemon!r}")
-        # A lease as long as an election lets a new leader rise while the old one still is in
-        # charge: two senders.
+        # With a lease as long as the election timeout, a new leader may be elected before the lease
+        # of the earlier one lapses, and both would send orders.
         if control.leader_lease_s >= control.election_timeout_s:
             self.report(node, "control.leader_lease_s must be under control.election_timeout_s")
         if control.heartbeat_s * 2 > control.leader_lease_s:
--- a/packages/ibisspring-core/src/ibisspring_core/settings/model.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/model.py
@@ -1,4 +1,4 @@
-"""The settings of a daemon as frozen data classes; docs/reference/settings.md lists them."""
+"""The settings of a daemon as frozen data classes, documented in docs/reference/settings.md."""
 
 from __future__ import annotations
 
@@ -9,7 +9,12 @@
 
 @dataclass(frozen=True)
 class StatsdSettings:
-    """Where statsd listens (UDP)."""
+    """
+    Address of statsd.
+
+    :param host: host name or IP address.
+    :param port: UDP port.
+    """
 
     host: str
     port: int = 8125
@@ -18,28 +23,29 @@
 @dataclass(frozen=True)
 class ControlSettings:
     """
-    The control role.
+    Settings of the control role. All times are in seconds.
 
     :param listen: IP:port for gRPC from control VMs, entries and operators.
-    :param heartbeat_s: seconds between the leader's heartbeats.
-    :param election_timeout_s: least seconds of silence before an election; the real one is drawn up
-        to twice it.
-    :param leader_lease_s: seconds, counted from sending, that a quorum's answers keep a leader in
-        charge.
-    :param entry_lease_s: seconds, counted from sending, that one renewal keeps an entry serving.
-    :param snapshot_every: log entries between snapshots.
-    :param platform_url: base URL of the platform's orders interface; empty switches platform orders
-        off.
-    :param usage_url: base URL that accepts usage reports; empty switches reports off.
-    :param order_timeout_s: longest time that one order to the platform or an engine may be under
-        way.
-    :param usage_window_s: seconds that one usage window spans.
-    :param drain_settle_s: seconds after which an endpoint that announces no work on it is stopped,
-        counted from when no entry gives it new work.
-    :param drain_deadline_s: seconds after which a draining endpoint is stopped with work on it.
-    :param weight_store_url: base URL of the weight store, handed to engines in load orders.
-    :param weight_store_concurrency: loads from the weight store at a time, its rate limit.
-    :param load_timeout_s: seconds after which a load that the engine has not announced has failed.
+    :param heartbeat_s: interval of the leader's heartbeats.
+    :param election_timeout_s: minimum time without a heartbeat before an election; each timeout is
+        random between one and two times this value.
+    :param leader_lease_s: duration of a leader's lease, counted from the sending of the heartbeat
+        that a quorum answered.
+    :param entry_lease_s: duration of an entry's lease, counted from the sending of the renewal.
+    :param snapshot_every: number of log entries between snapshots.
+    :param platform_url: base URL of the platform's orders interface; empty disables platform
+        orders.
+    :param usage_url: base URL to which usage is reported; empty disables usage reports.
+    :param order_timeout_s: time limit of one order to the platform or an engine.
+    :param usage_window_s: length of a usage window.
+    :param drain_settle_s: time after which a draining endpoint that announces no running requests
+        is stopped, counted from the moment at which no entry sends it new work.
+    :param drain_deadline_s: time after which a draining endpoint is stopped even with running
+        requests.
+    :param weight_store_url: base URL of the weight store, sent to engines in load orders.
+    :param weight_store_concurrency: maximum number of concurrent loads from the weight store.
+    :param load_timeout_s: time after which a load fails if the engine has not announced the loaded
+        version.
     """
 
     listen: str
@@ -62,22 +68,22 @@
 @dataclass(frozen=True)
 class EntrySettings:
     """
-    The entry role.
+    Settings of the entry role. All times are in seconds.
 
     :param listen_http: IP:port for callers, trainers and endpoints' announcements.
     :param listen_peer: IP:port for gRPC from other entries.
-    :param advertise_peer: IP:port that other entries use; empty means `listen_peer`.
-    :param renew_every_s: seconds between lease renewals.
-    :param announce_ttl_s: seconds of silence after which an endpoint is taken as gone.
-    :param silence_s: longest silence on a connection to an endpoint before it is checked over a new
-        one.
-    :param caller_silence_s: longest time that a caller may send nothing of its request or take
-        nothing of its answer.
-    :param request_timeout_s: longest time of one caller's request.
-    :param stop_wait_s: seconds between turning not ready and refusing, so that the balancer
-        notices.
-    :param drain_s: longest time that running requests get to finish at a stop.
-    :param max_body_bytes: largest body taken from a caller.
+    :param advertise_peer: IP:port that other entries connect to; empty for `listen_peer`.
+    :param renew_every_s: interval of lease renewals.
+    :param announce_ttl_s: time without an announcement after which an endpoint expires.
+    :param silence_s: time without data on a connection to an endpoint after which the endpoint is
+        checked over a new connection.
+    :param caller_silence_s: time after which a caller is disconnected that sends nothing of its
+        request or reads nothing of its answer.
+    :param request_timeout_s: time limit of a caller's request.
+    :param stop_wait_s: time at shutdown between reporting not ready and rejecting requests, so that
+        the load balancer removes the entry first.
+    :param drain_s: time limit for running requests to finish at shutdown.
+    :param max_body_bytes: maximum size of a request's body, in bytes.
     """
 
     listen_http: str
@@ -96,18 +102,18 @@
 @dataclass(frozen=True)
 class Settings:
     """
-    One daemon's settings.
+    The settings of one daemon.
 
-    :param daemon: the daemon's id, unique in the whole system and kept over restarts.
-    :param data_centre: where its VM stands.
+    :param daemon: id of the daemon, unique in the system and the same after restarts.
+    :param data_centre: data centre of its VM.
     :param roles: `control`, `entry` or both.
-    :param control_addresses: IP:port by control daemon id, as seen from this VM.
-    :param data_folder: the only folder that is written to; required for `control`.
-    :param control: settings of the control role.
-    :param entry: settings of the entry role.
-    :param log_path: JSON lines go here; empty for standard error.
-    :param statsd: where counters go; absent keeps them in memory.
-    :param metrics_listen: IP:port of counters and latency histograms; empty serves none.
+    :param control_addresses: IP:port by control daemon id, as reachable from this VM.
+    :param data_folder: the only folder that the daemon writes to; required for `control`.
+    :param control: settings of the control role; required for that role.
+    :param entry: settings of the entry role; required for that role.
+    :param log_path: file for JSON log lines; empty for standard error.
+    :param statsd: address that counters are sent to; None keeps them in memory only.
+    :param metrics_listen: IP:port that serves counters and latency histograms; empty disables it.
     """
 
     daemon: str
--- a/packages/ibisspring-core/src/ibisspring_core/settings/vm.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/vm.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon that finds all others by seeds."""
+"""Settings of a daemon that discovers all others from seed addresses."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 @dataclass(frozen=True)
 class VmSettings:
     """
-    What one VM's daemon is told at its start.
+    The settings of the daemon of one VM.
 
-    :param daemon: name that operators know it by.
+    :param daemon: name of the daemon, as operators use it.
     :param role: CONTROL, ENTRY or STORE.
-    :param data_centre: where the VM stands.
-    :param peer_address: IP:port of its peer server, which is also its id in a log.
-    :param seeds: peer addresses of control daemons; they may be out of date.
-    :param found: the whole system starts for the first time.
-    :param data_folder: the only folder that lasts; empty without a disk.
-    :param callers_listen: IP:port for callers; empty where it serves none.
-    :param readiness_listen: IP:port that the balancer asks.
+    :param data_centre: data centre of the VM.
+    :param peer_address: IP:port of its peer server, which is also its id in a replicated log.
+    :param seeds: peer addresses of control daemons; may be out of date.
+    :param found: whether to bootstrap a new system.
+    :param data_folder: the only folder on a persistent disk; empty without a disk.
+    :param callers_listen: IP:port for callers; empty if the daemon serves none.
+    :param readiness_listen: IP:port for the load balancer's readiness checks.
     :param control_listen: IP:port for operators, trainers and endpoints' announcements.
-    :param metrics_listen: IP:port of counters and latency histograms; empty serves none.
-    :param losses: daemons with a disk that may be lost at once.
+    :param metrics_listen: IP:port that serves counters and latency histograms; empty disables it.
+    :param losses: number of daemons with a disk whose simultaneous loss must be tolerated.
     :param platform_url: base URL of the platform's interface; empty for none.
-    :param holder_gap_s: seconds that must lie between two orders of one holder of a duty where
-        another one ordered in between.
+    :param holder_gap_s: minimum seconds between two orders of one holder of a duty if another
+        holder sent an order in between.
     :param announce_every_s: seconds between announcements of an endpoint.
-    :param usage_window_s: seconds that one usage window spans; 0 reports none.
+    :param usage_window_s: length of a usage window in seconds; 0 disables usage reports.
     :param scales: whether endpoints may be ordered from the platform.
     :param stop_s: seconds from SIGTERM until the process is killed.
-    :param result_keep_s: seconds after a job's submission during which its results stay.
+    :param result_keep_s: seconds after a job's submission for which its results are stored.
     """
 
     daemon: str
--- a/packages/ibisspring-core/src/ibisspring_core/timer.py
+++ b/packages/ibisspring-core/src/ibisspring_core/timer.py
@@ -1,4 +1,4 @@
-"""The timer service: parts subscribe to ticks instead of sleeping in loops of their own."""
+"""The service `timer`: calls its subscribers periodically."""
 
 from __future__ import annotations
 
@@ -18,20 +18,21 @@
 
 
 class Subscription:
-    """One subscriber's ticks; cancel it to end them."""
+    """The periodic calls of one subscriber."""
 
     def __init__(self, task: asyncio.Task[None]) -> None:
         self._task = task
 
     def cancel(self) -> None:
-        """End the ticks; a callback that is running is cancelled."""
+        """Stop the periodic calls; a running callback is cancelled."""
         self._task.cancel()
 
 
 class TimerService:
     """
-    Calls each subscriber at its interval, one task per subscriber, never two calls of one at a
-    time.
+    Calls each subscriber at its interval.
+
+    Each subscriber has a task of its own, so its calls never overlap.
     """
 
     name = "timer"
@@ -41,7 +42,7 @@
         self._counters: Counters | None = None
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the counters; subscriptions start their own task."""
+        """Look up the counters, if there are any; each subscription starts its own task."""
         self._counters = kernel.find_optional("counters")
 
     async def stop(self) -> None:
@@ -51,9 +52,9 @@
 
     def now(self) -> float:
         """
-        Read the lease clock.
+        Read the clock that leases use.
 
-        :return: seconds since boot, suspension included.
+        :return: seconds since boot, including time in suspension.
         """
         return boot_now()
 
@@ -61,9 +62,9 @@
         """
         Call `callback(now)` every `interval_s` seconds, the first time after one interval.
 
-        :param name: for the log when the callback raises.
+        :param name: name of the subscriber in log lines and metrics.
         :param interval_s: seconds between the end of one call and the start of the next.
-        :param callback: coroutine function; what it raises is logged and the ticks go on.
+        :param callback: coroutine function. Exceptions are logged and do not stop the calls.
         :return: the subscription.
         """
         task = asyncio.create_task(self._tick(name, interval_s, callback), name=f"timer:{name}")
--- a/tests/unit/core/routes/test_routes.py
+++ b/tests/unit/core/routes/test_routes.py
@@ -34,13 +34,13 @@
     return dataclasses.replace(TABLE, routes=(dataclasses.replace(LOOKUP, **changes),))
 
 
-def test_a_good_table_has_no_findings() -> None:
+def test_valid_table_has_no_findings() -> None:
     assert check_table(TABLE) == ()
 
 
 def test_each_fault_is_found() -> None:
-    # One typing error in a configuration would send certificate fetches nowhere; it is refused as a
-    # whole, and all its faults are told at once.
+    # A typing error in a configuration would leave certificate fetches without an endpoint. The
+    # configuration is rejected and all its faults are reported together.
     faulty = {
         "unknown service": with_route(shares=(Share("nowhere", 1.0),)),
         "no weight": with_route(shares=(Share("archive", 0.0),)),
--- a/tests/unit/core/rules/test_parser.py
+++ b/tests/unit/core/rules/test_parser.py
@@ -22,7 +22,7 @@
 """
 
 
-def test_a_good_file_gives_its_rules() -> None:
+def test_valid_file_is_parsed_into_its_rules() -> None:
     rules = parse_rules(GOOD)
 
     assert isinstance(rules, Rules)
@@ -38,7 +38,7 @@
     assert rules.timeout_s_by_service["archive-app"] == 2.5
 
 
-def test_a_key_finds_its_client_account_and_a_withdrawn_one_none() -> None:
+def test_valid_key_finds_its_client_account_and_withdrawn_key_none() -> None:
     rules = parse_rules(GOOD)
     withdrawn = parse_rules(GOOD.replace(f" key sha256:{OTHER}", ""))
 
@@ -67,14 +67,14 @@
         (f"staleness trainer t two versions {ASKED}", 21, "a whole number"),
     ],
 )
-def test_a_faulty_rule_is_found_at_its_column(rule: str, column: int, message: str) -> None:
+def test_faulty_rule_is_reported_at_its_column(rule: str, column: int, message: str) -> None:
     findings = parse_rules(f"\n{rule}\n")
 
     assert [(finding.line, finding.column) for finding in findings] == [(2, column)]
     assert message in findings[0].message
 
 
-def test_all_findings_of_a_file_come_together() -> None:
+def test_all_findings_of_a_file_are_reported_together() -> None:
     text = (
         f"timeout a 1 s {ASKED}\n"
         f"timeout a 2 s {ASKED}\n"
--- a/tests/unit/core/rules/test_parser_fuzz.py
+++ b/tests/unit/core/rules/test_parser_fuzz.py
@@ -20,7 +20,7 @@
 
 @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
 @given(TEXTS)
-def test_fuzz_any_text_gives_rules_or_findings_with_their_place(text: str) -> None:
+def test_fuzz_any_text_gives_rules_or_findings_with_positions(text: str) -> None:
     parsed = parse_rules(text)
 
     if isinstance(parsed, Rules):
--- a/tests/unit/core/test_current_settings.py
+++ b/tests/unit/core/test_current_settings.py
@@ -22,8 +22,8 @@
     return lines
 
 
-def test_changed_seeds_are_in_force_at_once(logged) -> None:
-    # A daemon whose known control VMs are all gone finds none without them.
+def test_changed_seeds_take_effect_immediately(logged) -> None:
+    # A daemon whose known control VMs have all been replaced reaches control only by new seeds.
     current = CurrentSettings(settings("a"), lambda: settings("b", "c", losses=2))
 
     current.reload()
@@ -34,8 +34,8 @@
     assert line == {"kind": "settings:changed", "seeds": ["b", "c"], "at_next_start": ["losses"]}
 
 
-def test_a_file_that_cannot_be_read_changes_nothing(logged) -> None:
-    # The file is read while it is being written: half of it names no seeds.
+def test_unreadable_file_changes_no_settings(logged) -> None:
+    # The file is read while it is being written, and its first half contains no seeds.
     reads = [(Finding("boot.json", 0, 0, "cut short"),)] * 2
     reads.append(settings("b"))
     current = CurrentSettings(settings("a"), lambda: reads.pop(0))
--- a/tests/unit/core/test_grpc_runtime.py
+++ b/tests/unit/core/test_grpc_runtime.py
@@ -11,8 +11,8 @@
 from ibisspring_core.grpc_runtime import GrpcRuntime
 from ibisspring_core.kernel import Kernel
 
-# Starts a daemon's gRPC server with few descriptors, and lets it have more once it says that it
-# waits.
+# Starts a daemon's gRPC server with few free descriptors, and raises the limit when the daemon logs
+# that it waits for descriptors.
 PROGRAM = """
 import asyncio, os, resource, sys
 import eliot
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("spare", range(6))
 def test_a_daemon_that_starts_without_descriptors_does_not_crash(spare) -> None:
-    # A daemon whose VM is out of descriptors while it starts ends by signal 11 or 6.
+    # A daemon whose VM runs out of descriptors during the start crashed with signal 11 or 6.
     ended = subprocess.run(
         [sys.executable, "-c", PROGRAM, str(spare)], capture_output=True, text=True, timeout=60
     )
@@ -62,8 +62,8 @@
 
 
 def test_calls_without_descriptors_are_refused() -> None:
-    # A running daemon that is out of descriptors while all of its channels are closed ends by
-    # signal 6.
+    # A running daemon that had no free descriptor while all of its channels were closed crashed
+    # with signal 6.
     program = PROGRAM.replace("await kernel.start()", CALLS)
     ended = subprocess.run(
         [sys.executable, "-c", program, "100"], capture_output=True, text=True, timeout=60
@@ -72,7 +72,8 @@
 
 
 async def test_a_daemon_that_waits_for_descriptors_stops_when_told(monkeypatch) -> None:
-    # A daemon that waits for descriptors is killed after its grace in place of stopping.
+    # A daemon that waited for descriptors did not stop on a signal and was killed after its grace
+    # period.
     def eventfd(value: int) -> int:
         raise OSError(24, "Too many open files")
 
@@ -89,8 +90,8 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (len(before) + 3, hard))
     try:
-        assert grpc_runtime._refusal() is not None
+        assert grpc_runtime._descriptor_error() is not None
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     assert len(os.listdir("/proc/self/fd")) == len(before)
-    assert grpc_runtime._refusal() is None
+    assert grpc_runtime._descriptor_error() is None
--- a/tests/unit/core/test_guarded_http.py
+++ b/tests/unit/core/test_guarded_http.py
@@ -17,7 +17,7 @@
 
 
 class _Receiver:
-    """Takes bytes and never answers."""
+    """Server that reads bytes and never responds."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -48,8 +48,8 @@
 
 
 async def test_a_process_frozen_after_its_check_sends_nothing(receiver, monkeypatch) -> None:
-    # A leader checks its lease, opens the connection, is frozen for long and thaws. Its successor
-    # gives orders by now, so not one byte of the old order may leave.
+    # A leader checks its lease, opens the connection, is frozen and thawed after its lease has
+    # lapsed. Its successor sends orders by then, so no byte of the old order may be sent.
     thawed = threading.Event()
     connect = aiohttp.TCPConnector.connect
 
@@ -82,8 +82,8 @@
 
 
 async def test_bytes_written_into_a_partition_do_not_arrive_when_it_heals(receiver) -> None:
-    # The order's bytes were written, the partition held them. The lease lapses, the partition
-    # heals: TCP would retransmit the order next to those of the new leader.
+    # The order's bytes are sent during a network partition. The lease lapses and the partition
+    # heals: TCP would retransmit the order beside those of the new leader.
     proxy = await FaultProxy.before(receiver.address)
     await proxy.set_modes(Mode.HOLD, Mode.HOLD)
     end_s = boot_now() + 1.0
@@ -97,8 +97,9 @@
 
 
 async def test_the_kernel_stops_retransmission_while_the_process_is_frozen() -> None:
-    # The receiver's window is full, so the kernel keeps the order's rest. The sender is frozen
-    # past its lease and cannot abort; the receiver reads again, before the sender thaws.
+    # The receiver's window is full, so the kernel buffers the remainder of the order. The sender is
+    # frozen past the end of its lease and cannot abort; the receiver reads again before the sender
+    # is thawed.
     order = b"x" * 400_000
     received: list[int] = []
     listener = socket.socket()
--- a/tests/unit/core/test_kernel.py
+++ b/tests/unit/core/test_kernel.py
@@ -30,7 +30,7 @@
     assert events == ["start a", "start b", "stop b", "stop a"]
 
 
-async def test_a_failed_start_stops_what_had_started() -> None:
+async def test_failed_start_stops_the_services_that_had_started() -> None:
     events: list[str] = []
     kernel = Kernel.from_services((_Recorder("a", events), _Recorder("b", events, fails=True)))
 
@@ -40,6 +40,6 @@
     assert events == ["start a", "stop a"]
 
 
-def test_a_name_is_registered_once() -> None:
+def test_second_service_with_the_same_name_is_rejected() -> None:
     with pytest.raises(ValueError, match="twice"):
         Kernel.from_services((_Recorder("a", []), _Recorder("a", [])))
--- a/tests/unit/core/test_metrics_server.py
+++ b/tests/unit/core/test_metrics_server.py
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 async def served():
-    """Counters and the address at which they are served."""
+    """Yield the counters and the address that serves them."""
     address = free_address()
     counters = Counters.from_config(None)
     kernel = Kernel.from_services((counters, MetricsServer(address)))
@@ -74,8 +74,8 @@
     assert value_by_sample[("ibisspring_request_seconds_count", "answered")] == 1
 
 
-def test_a_process_that_nobody_reads_does_not_pay_for_the_exposition() -> None:
-    # Its modules are a megabyte of the thirty of an entry, in each of two hundred processes.
+def test_exporter_is_not_imported_before_the_first_read() -> None:
+    # The exporter's modules use one of an entry's thirty megabytes, in each of 200 processes.
     program = "import sys, ibisspring_platform.main; print('prometheus_client' in sys.modules)"
     environment = {**os.environ, "PYTHONPATH": "platform"}
     ran = subprocess.run(
@@ -90,11 +90,11 @@
     assert ran.stdout.strip() == "False"
 
 
-async def test_a_reader_that_stops_in_its_question_keeps_no_other_reader_waiting(served) -> None:
+async def test_stalled_reader_does_not_block_other_readers(served) -> None:
     """
-    A collector connects, sends half a question and hangs; the figures are wanted just then.
+    A collector connects, sends half a request and hangs.
 
-    Answered one after the other, the next reader would wait for it for ever.
+    If requests were served one after the other, the next reader would wait without end.
     """
     counters, address = served
     counters.add("samples.raced")
@@ -109,7 +109,7 @@
     hanging.close()
 
 
-async def test_a_port_that_is_taken_costs_the_figures_and_not_the_daemon() -> None:
+async def test_daemon_starts_without_metrics_if_the_port_is_in_use() -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
--- a/tests/unit/core/test_retry_after.py
+++ b/tests/unit/core/test_retry_after.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("up_s", "told_s"),
+    ("up_s", "expected_s"),
     [
         (0.4, TABLE_DUE_S - 0.4),
         (0.8, TABLE_DUE_S - 0.8),
@@ -18,11 +18,11 @@
         (60.0, LEAST_RETRY_S),
     ],
 )
-def test_callers_come_back_once_there_may_be_a_leader(monkeypatch, up_s, told_s) -> None:
-    # All processes end and are back within a second. A lookup is refused by an entry that has no
-    # table yet; sent back too early, it is refused once more and given up.
+def test_callers_come_back_once_there_may_be_a_leader(monkeypatch, up_s, expected_s) -> None:
+    # All processes restart within a second. An entry without a table refuses a lookup; with too
+    # small a Retry-After the caller's only retry is refused as well.
     monkeypatch.setattr(directory_view, "PROCESS_STARTED_S", STARTED_S)
     monkeypatch.setattr(directory_view, "boot_now", lambda: STARTED_S + up_s)
     view = DirectoryView.from_config(VmSettings("e1", ENTRY, "derby", "10.0.0.1:1", ()))
 
-    assert view.retry_after_s() == pytest.approx(max(told_s, LEAST_RETRY_S))
+    assert view.retry_after_s() == pytest.approx(max(expected_s, LEAST_RETRY_S))
--- a/tests/unit/core/test_settings.py
+++ b/tests/unit/core/test_settings.py
@@ -27,7 +27,7 @@
     return load_settings(str(path))
 
 
-def test_good_settings_load(tmp_path: Path) -> None:
+def test_valid_settings_load(tmp_path: Path) -> None:
     settings = _load(tmp_path, GOOD)
 
     assert isinstance(settings, Settings)
@@ -35,7 +35,7 @@
     assert settings.control.heartbeat_s == 0.2
 
 
-def test_every_finding_is_reported_at_once_with_its_place(tmp_path: Path) -> None:
+def test_all_findings_are_reported_together_with_positions(tmp_path: Path) -> None:
     text = GOOD.replace("daemon: c1", "deamon: c1").replace(
         "  listen_peer: 127.0.0.1:8090", "  renew_every_s: often"
     )
--- a/tests/unit/core/test_timer.py
+++ b/tests/unit/core/test_timer.py
@@ -5,7 +5,7 @@
 from ibisspring_core.timer import TimerService
 
 
-async def test_ticks_go_on_after_a_callback_raised() -> None:
+async def test_exception_in_a_callback_does_not_stop_its_calls() -> None:
     timer = TimerService()
     calls = 0
     enough = asyncio.Event()
