--- a/packages/ibisspring-core/src/ibisspring_core/caller_leaving.py
+++ b/packages/ibisspring-core/src/ibisspring_core/caller_leaving.py
@@ -35,19 +35,19 @@
             return
         body = _Body(receive)
 
-        async def send_in_time(event: Event) -> None:
+        async def send_with_timeout(event: Event) -> None:
             async with asyncio.timeout(silence_s):
                 await send(event)
 
-        work = asyncio.ensure_future(application(scope, body.receive, send_in_time))
-        disconnecting = asyncio.ensure_future(body.wait_disconnected())
+        request_task = asyncio.ensure_future(application(scope, body.receive, send_with_timeout))
+        disconnect_task = asyncio.ensure_future(body.wait_disconnected())
         try:
-            await asyncio.wait({work, disconnecting}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({request_task, disconnect_task}, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            disconnecting.cancel()
-            work.cancel()
+            disconnect_task.cancel()
+            request_task.cancel()
         try:
-            await work
+            await request_task
         except asyncio.CancelledError:
             # The caller is disconnected, so there is no reader for a response.
             return
--- a/packages/ibisspring-core/src/ibisspring_core/connections.py
+++ b/packages/ibisspring-core/src/ibisspring_core/connections.py
@@ -84,23 +84,23 @@
             allow_redirects=False,
         )
 
-    async def ask(self, question: HttpRequest, timeout_s: float) -> HttpAnswer | NoAnswer:
+    async def ask(self, request: HttpRequest, timeout_s: float) -> HttpAnswer | NoAnswer:
         """
         Send a read-only request over a pooled connection.
 
-        :param question: a request without side effects; orders use the guarded connections of
+        :param request: a request without side effects; orders use the guarded connections of
             `guarded_http` instead.
         :param timeout_s: seconds until the complete response must have arrived.
         :return: the response, or the error that prevented it.
         """
-        url = URL(question.url, encoded=True)
-        headers = tuple(question.headers.items())
+        url = URL(request.url, encoded=True)
+        headers = tuple(request.headers.items())
         address = f"{url.host}:{url.port}"
         try:
             async with (
                 asyncio.timeout(timeout_s),
                 self.request(
-                    question.method, address, url.raw_path_qs, headers, question.body
+                    request.method, address, url.raw_path_qs, headers, request.body
                 ) as response,
             ):
                 body = await response.read()
--- a/packages/ibisspring-core/src/ibisspring_core/control_client.py
+++ b/packages/ibisspring-core/src/ibisspring_core/control_client.py
@@ -33,7 +33,7 @@
 RENEW_TRY_S = 0.8
 RENEW_TOTAL_S = 1.7
 RETRY_PAUSE_S = 0.1
-HINT_PAUSE_S = 0.01
+REDIRECT_PAUSE_S = 0.01
 MIN_TIMEOUT_S = 0.05
 # An address that did not answer is not used for this long, not even after a redirect: the other
 # replicas redirect to a frozen leader until they have elected a new one.
@@ -47,12 +47,12 @@
     The outcome of one try.
 
     :param reply: the reply; None if there is none.
-    :param why: the reason why there is no reply.
+    :param reason: the reason why there is no reply.
     :param sent: True if the request may have reached a leader, although there is no reply.
     """
 
     reply: Any | None
-    why: Reason = Reason.NO_LEADER
+    reason: Reason = Reason.NO_LEADER
     sent: bool = False
 
 
@@ -139,19 +139,19 @@
         return await self._call("Renew", request, hold_s + RENEW_TRY_S, hold_s + RENEW_TOTAL_S)
 
     async def _call(self, method: str, request: Any, try_s: float, total_s: float) -> Any:
-        end = boot_now() + total_s
+        end_s = boot_now() + total_s
         sent = False
         detail = "no control daemon answered"
         while True:
-            left = end - boot_now()
-            if left <= 0.0:
+            left_s = end_s - boot_now()
+            if left_s <= 0.0:
                 return self._refuse(sent, detail)
             address = self._next_address()
-            attempt = await self._try(address, method, request, min(try_s, left))
+            attempt = await self._try(address, method, request, min(try_s, left_s))
             sent = sent or attempt.sent
             reply = attempt.reply
             if reply is None:
-                await self._pause(attempt.why, end)
+                await self._pause(attempt.reason, end_s)
                 continue
             if reply.status == control_pb2.OK:
                 self._leader_address = address
@@ -162,19 +162,19 @@
             if reply.status == control_pb2.UNKNOWN:
                 # The leader's reply: the command is being committed or waits for the entries.
                 sent = True
-                await self._pause(Reason.IN_PROGRESS, end)
+                await self._pause(Reason.IN_PROGRESS, end_s)
                 continue
             self._follow(reply.leader_hint, address)
-            await self._pause(Reason.NO_LEADER, end)
+            await self._pause(Reason.NO_LEADER, end_s)
 
     async def _try(self, address: str, method: str, request: Any, timeout_s: float) -> Attempt:
-        start = boot_now()
+        start_s = boot_now()
         if not await self._channels.connect(address, timeout_s):
             self._avoid(address)
             return Attempt(None)
         try:
             call = getattr(self._channels.stub(address), method)
-            left_s = max(MIN_TIMEOUT_S, timeout_s - (boot_now() - start))
+            left_s = max(MIN_TIMEOUT_S, timeout_s - (boot_now() - start_s))
             return Attempt(await call(request, timeout=left_s))
         except asyncio.CancelledError:
             if is_task_cancelled():
@@ -220,14 +220,14 @@
         if self._leader_address == address:
             self._leader_address = None
 
-    async def _pause(self, why: Reason, end: float) -> None:
+    async def _pause(self, reason: Reason, end_s: float) -> None:
         if self._counters is not None:
-            self._counters.retried(why)
+            self._counters.retried(reason)
         # Two replicas may redirect to each other for a short time, so there is a pause before
         # following a redirect too.
-        redirected = self._leader_address is not None and why is Reason.NO_LEADER
-        pause_s = HINT_PAUSE_S if redirected else RETRY_PAUSE_S
-        await asyncio.sleep(min(pause_s, max(0.0, end - boot_now())))
+        redirected = self._leader_address is not None and reason is Reason.NO_LEADER
+        pause_s = REDIRECT_PAUSE_S if redirected else RETRY_PAUSE_S
+        await asyncio.sleep(min(pause_s, max(0.0, end_s - boot_now())))
 
     def _refuse(self, sent: bool, detail: str) -> Refusal:
         if self._counters is not None:
--- a/packages/ibisspring-core/src/ibisspring_core/directory_view.py
+++ b/packages/ibisspring-core/src/ibisspring_core/directory_view.py
@@ -35,11 +35,11 @@
 KEEP_ENDPOINTS_S = 3600.0
 # When all processes restart together, a daemon receives its first table about this long after its
 # own start: one election timeout with its random part, then the first renewals.
-TABLE_DUE_S = 1.15
-LEAST_RETRY_S = 0.3
+TABLE_EXPECTED_S = 1.15
+MIN_RETRY_AFTER_S = 0.3
 
 UsageSource = Callable[[int], tuple[UsageCount, ...]]
-Describe = Callable[[Renew], Renew]
+CompleteRenewal = Callable[[Renew], Renew]
 
 
 class DirectoryView:
@@ -51,8 +51,8 @@
         self._settings = settings
         self._incarnation = secrets.token_hex(8)
         self._on_change: list[Callable[[], None]] = []
-        self._usage: UsageSource = lambda closed: ()
-        self._complete_renewal: Describe = lambda renew: renew
+        self._usage_source: UsageSource = lambda closed: ()
+        self._complete_renewal: CompleteRenewal = lambda renew: renew
         self._renewed_at: float | None = None
         self._wall_offset_s = wall_now() - boot_now()
         self.view = View(0, 0)
@@ -94,7 +94,7 @@
         :param source: called with the number of the newest closed window; returns the counts of
             later windows.
         """
-        self._usage = source
+        self._usage_source = source
 
     async def tell_usage(self) -> Any:
         """
@@ -102,13 +102,13 @@
 
         :return: `UsageCounted`, or a `Refusal`.
         """
-        usage = self._usage(self.view.closed_window)
+        usage = self._usage_source(self.view.closed_window)
         message = CountUsage(self._settings.peer_address, self._incarnation, usage)
         return await self._usage_leader.call(message, CALL_TIMEOUT_S, CALL_TIMEOUT_S)
 
-    def describe(self, describe: Describe) -> None:
+    def describe(self, complete: CompleteRenewal) -> None:
         """Set a function that completes each renewal, for example with the daemon's disk."""
-        self._complete_renewal = describe
+        self._complete_renewal = complete
 
     @property
     def table_version(self) -> int:
@@ -128,7 +128,7 @@
         With 0.3 s right after a start, callers repeated their request before a leader was elected
         and had then used up their only retry.
         """
-        return max(LEAST_RETRY_S, PROCESS_STARTED_S + TABLE_DUE_S - boot_now())
+        return max(MIN_RETRY_AFTER_S, PROCESS_STARTED_S + TABLE_EXPECTED_S - boot_now())
 
     def wall_s(self) -> float:
         """Return the wall clock that most daemons agree on, in seconds since 1970."""
@@ -157,7 +157,7 @@
             revision=self.view.revision,
             table_version=self.table_version,
             hold_s=HOLD_S,
-            usage=self._usage(self.view.closed_window),
+            usage=self._usage_source(self.view.closed_window),
             wall_s=wall_now(),
         )
         answer = await self._leader.call(
--- a/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
+++ b/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
@@ -26,7 +26,7 @@
 ROLES = ("engine", "plain", "scorer")
 KINDS = ("standard", "cheap")
 
-FORGET_AFTER_TTLS = 12
+DELETE_AFTER_TTLS = 12
 """
 Number of TTLs after the last announcement at which a record is deleted.
 
@@ -150,7 +150,7 @@
         expired = []
         for endpoint, heard in list(self._received_by_endpoint.items()):
             age_s = now - heard.heard_at
-            if age_s > self._ttl_s * FORGET_AFTER_TTLS:
+            if age_s > self._ttl_s * DELETE_AFTER_TTLS:
                 del self._received_by_endpoint[endpoint]
                 self.changed.discard(endpoint)
                 continue
--- a/packages/ibisspring-core/src/ibisspring_core/grpc_runtime.py
+++ b/packages/ibisspring-core/src/ibisspring_core/grpc_runtime.py
@@ -33,13 +33,13 @@
 
     async def start(self, kernel: Kernel) -> None:
         """Wait until `DESCRIPTORS_NEEDED` descriptors are free, then create the pollers."""
-        refused = False
+        logged = False
         while (error := _descriptor_error()) is not None:
-            if not refused:
+            if not logged:
                 eliot.log_message(
                     "grpc_runtime:refused", error=repr(error), needed=DESCRIPTORS_NEEDED
                 )
-            refused = True
+            logged = True
             await _pause(kernel.stopping)
         # This server never listens. While it exists, the library keeps its pollers, even when all
         # channels are closed.
--- a/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
+++ b/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
@@ -82,7 +82,7 @@
         bound_ms = max(1, int(self.lease_left() * 1000))
         self.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, bound_ms)
         if self.lease_left() < self.least_left_s:
-            raise ConnectionAbortedError("the lease does not outlast the order")
+            raise ConnectionAbortedError("too little of the lease is left to send the order")
         self.sent = True
         return super().send(data, flags)
 
@@ -115,7 +115,7 @@
         # aiohttp repeats an idempotent request once if the connection closes without a response.
         # That second order would have no committed intent, so the second connection is refused.
         if self.transport is not None:
-            raise aiohttp.ClientConnectionError("the connection ended without an answer")
+            raise aiohttp.ClientConnectionError("the connection closed without a response")
         connection = await super().connect(*arguments, **keywords)
         self.transport = connection.transport
         return connection
@@ -144,12 +144,12 @@
     :return: the response, or the reason why there is none.
     """
     if lease_left() < least_left_s:
-        return NoAnswer(False, "the lease does not outlast the order")
+        return NoAnswer(False, "too little of the lease is left to send the order")
     connector = _GuardedConnector(lease_left, least_left_s)
     async with aiohttp.ClientSession(connector=connector) as session:
         exchange = asyncio.create_task(_exchange(session, request))
         try:
-            cause = await _wait_end(exchange, lease_left, timeout_s)
+            cause = await _wait_until_done(exchange, lease_left, timeout_s)
             if cause:
                 return NoAnswer(connector.sent(), cause)
             return exchange.result()
@@ -161,7 +161,7 @@
             await asyncio.gather(exchange, return_exceptions=True)
 
 
-async def _wait_end(
+async def _wait_until_done(
     exchange: asyncio.Task[HttpAnswer], lease_left: LeaseLeft, timeout_s: float
 ) -> str:
     # The event loop's timers stop while the VM is suspended, so the clocks are polled.
--- a/packages/ibisspring-core/src/ibisspring_core/leader_client.py
+++ b/packages/ibisspring-core/src/ibisspring_core/leader_client.py
@@ -46,16 +46,16 @@
         self._client = client
         self._addresses = addresses
         self._leader = ""
-        self._next = 0
+        self._rotation = 0
         self._last_first = ""
 
-    async def call(self, message: Any, timeout_s: float, one_call_s: float) -> Any:
+    async def call(self, message: Any, timeout_s: float, call_timeout_s: float) -> Any:
         """
         Call the leader, and search for it if its address is unknown.
 
         :param message: an idempotent message.
         :param timeout_s: time limit of all tries together, in seconds.
-        :param one_call_s: time limit of a call to one daemon, in seconds.
+        :param call_timeout_s: time limit of a call to one daemon, in seconds.
         :return: the leader's answer; a `Refusal` with NO_LEADER if no leader answered in time.
         """
         end_s = boot_now() + timeout_s
@@ -67,12 +67,12 @@
             if not address:
                 await asyncio.sleep(min(RETRY_PAUSE_S, left_s))
                 continue
-            answer = await self._client.call(address, message, min(one_call_s, left_s))
+            answer = await self._client.call(address, message, min(call_timeout_s, left_s))
             if isinstance(answer, NotLeader):
-                # Without this, a follower whose hint is still the dead leader, or its own address,
-                # would cause an endless loop.
-                known = answer.hint if answer.hint != address else ""
-                self._leader = known if address != self._leader or known else ""
+                # A follower whose hint is still a dead leader would redirect the call to it without
+                # end.
+                hint = answer.hint if answer.hint != address else ""
+                self._leader = hint if address != self._leader or hint else ""
                 if not self._leader:
                     await asyncio.sleep(RETRY_PAUSE_S)
                 continue
@@ -92,8 +92,8 @@
             # be called only seconds later.
             self._last_first = addresses[0]
             return addresses[0]
-        self._next += 1
-        return addresses[self._next % len(addresses)]
+        self._rotation += 1
+        return addresses[self._rotation % len(addresses)]
 
 
 __all__ = ["LeaderClient", "NotLeader"]
--- a/packages/ibisspring-core/src/ibisspring_core/log_budget.py
+++ b/packages/ibisspring-core/src/ibisspring_core/log_budget.py
@@ -21,7 +21,7 @@
 # A burst of one or two seconds, as after a change of leader, is written completely.
 BURST_S = 2.0
 # Buffer size: the lines of ten seconds at 600 lines a second, for a reader that stops that long.
-WAITING_BYTES = 2_000_000
+BUFFER_BYTES = 2_000_000
 # Share of the buffer that routine lines may fill.
 ROUTINE_SHARE = 0.5
 
@@ -34,7 +34,7 @@
         self._tokens = per_s * BURST_S
         self._refilled_s = now
 
-    def take(self, now: float) -> bool:
+    def consume(self, now: float) -> bool:
         refilled = self._tokens + (now - self._refilled_s) * self._per_s
         self._tokens = min(self._per_s * BURST_S, refilled)
         self._refilled_s = now
@@ -51,31 +51,31 @@
         self._bucket_by_kind: dict[tuple[str, bool], _TokenBucket] = {}
         self._dropped_by_kind: dict[str, int] = {}
 
-    def admit(self, kind: str, failure: bool, waiting_bytes: int, now: float) -> bool:
+    def admit(self, kind: str, failure: bool, buffered_bytes: int, now: float) -> bool:
         """
         Decide whether a line is written.
 
         :param kind: the line's message type.
         :param failure: whether the line reports a failure or a refusal.
-        :param waiting_bytes: size of the lines that are buffered and not written yet.
+        :param buffered_bytes: size of the lines that are buffered and not written yet.
         :param now: seconds on a monotonic clock.
         :return: False for a line that is dropped; it is counted.
         """
-        limit_bytes = WAITING_BYTES if failure else WAITING_BYTES * ROUTINE_SHARE
+        limit_bytes = BUFFER_BYTES if failure else BUFFER_BYTES * ROUTINE_SHARE
         key = (kind, failure)
         bucket = self._bucket_by_kind.get(key)
         if bucket is None:
             bucket = _TokenBucket(FAILURES_PER_S if failure else ROUTINE_PER_S, now)
             self._bucket_by_kind[key] = bucket
-        if waiting_bytes < limit_bytes and bucket.take(now):
+        if buffered_bytes < limit_bytes and bucket.consume(now):
             return True
         self._dropped_by_kind[kind] = self._dropped_by_kind.get(kind, 0) + 1
         return False
 
-    def take_left_out(self) -> dict[str, int]:
+    def reset_dropped(self) -> dict[str, int]:
         """Return and reset the number of dropped lines by message type."""
-        taken, self._dropped_by_kind = self._dropped_by_kind, {}
-        return taken
+        count_by_kind, self._dropped_by_kind = self._dropped_by_kind, {}
+        return count_by_kind
 
 
 __all__ = [
@@ -83,6 +83,6 @@
     "FAILURES_PER_S",
     "ROUTINE_PER_S",
     "ROUTINE_SHARE",
-    "WAITING_BYTES",
+    "BUFFER_BYTES",
     "LogBudget",
 ]
--- a/packages/ibisspring-core/src/ibisspring_core/logs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/logs.py
@@ -22,7 +22,7 @@
 # A line in which one of these fields is not empty reports a failure.
 FAILURE_FIELDS = ("reason", "error")
 # Lines that arrive within this time are written in one call. A process that is killed loses them.
-GATHER_S = 0.01
+WRITE_DELAY_S = 0.01
 # Seconds between two reports of dropped lines.
 DROPPED_REPORT_EVERY_S = 1.0
 # At exit a process waits this long, in seconds, for a reader of the remaining lines.
@@ -44,7 +44,7 @@
         self._process = process
         self._budget = LogBudget()
         self._lines: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._buffered_bytes = 0
         self._bytes_lock = threading.Lock()
         self._wake = threading.Event()
         self._closing = False
@@ -63,18 +63,18 @@
         kind = message.get("message_type", "")
         failure = any(message.get(name) for name in FAILURE_FIELDS)
         now = boot_now()
-        if not self._budget.admit(kind, failure, self._waiting_bytes, now):
+        if not self._budget.admit(kind, failure, self._buffered_bytes, now):
             return
         fields = {name: value for name, value in message.items() if name not in _ACTION_FIELDS}
-        self._put(fields, now)
+        self._enqueue(fields, now)
 
-    def _put(self, fields: dict[str, Any], now: float) -> None:
+    def _enqueue(self, fields: dict[str, Any], now: float) -> None:
         fields["process"] = self._process
         # The wall clock of a VM may be wrong or jump; this one is monotonic.
         fields["boot_s"] = round(now, 4)
         line = msgspec.json.encode(fields, enc_hook=str) + b"\n"
         with self._bytes_lock:
-            self._waiting_bytes += len(line)
+            self._buffered_bytes += len(line)
         self._lines.append(line)
         self._wake.set()
 
@@ -82,21 +82,21 @@
         while True:
             self._wake.wait(DROPPED_REPORT_EVERY_S)
             if not self._closing:
-                time.sleep(GATHER_S)
+                time.sleep(WRITE_DELAY_S)
             self._wake.clear()
             self._report_dropped()
             closing = self._closing
-            self._write_waiting()
+            self._write_buffered()
             if closing and not self._lines:
                 return
 
     def _report_dropped(self) -> None:
-        count_by_kind = self._budget.take_left_out()
+        count_by_kind = self._budget.reset_dropped()
         if count_by_kind:
             fields = {"message_type": LEFT_OUT, "timestamp": time.time(), "count": count_by_kind}
-            self._put(fields, boot_now())
+            self._enqueue(fields, boot_now())
 
-    def _write_waiting(self) -> None:
+    def _write_buffered(self) -> None:
         lines = []
         while self._lines:
             lines.append(self._lines.popleft())
@@ -111,7 +111,7 @@
             # The reader has closed the pipe, or the disk is full; the error cannot be logged.
             pass
         with self._bytes_lock:
-            self._waiting_bytes -= size
+            self._buffered_bytes -= size
 
     def close(self) -> None:
         """Write the buffered lines, for at most `FLUSH_S` seconds."""
--- a/packages/ibisspring-core/src/ibisspring_core/routes/check.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/check.py
@@ -47,15 +47,15 @@
         if share.service not in services:
             faults.append(f"service {share.service!r} is unknown")
     if not route.shares:
-        faults.append("names no service")
+        faults.append("no service is listed")
     if any(share.weight < 0 for share in route.shares):
         faults.append("a weight is negative")
     if sum(share.weight for share in route.shares) <= 0:
         faults.append("the weights add up to 0")
     if route.timeout_s <= 0:
-        faults.append("the timeout is 0")
+        faults.append("the timeout must be above 0")
     if not route.host:
-        faults.append("names no host")
+        faults.append("the host is missing")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         faults.append("the prefix must begin and end with a slash")
     return faults
--- a/packages/ibisspring-core/src/ibisspring_core/rules/line.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/line.py
@@ -80,7 +80,7 @@
             if name is None:
                 return None
             if name in names:
-                self.report(f"{name!r} stands here twice", column)
+                self.report(f"{name!r} is listed twice", column)
                 return None
             names.append(name)
             if self.peek() != ",":
@@ -114,7 +114,7 @@
         self._next += 1
         return float(digits)
 
-    def whole(self, what: str) -> int | None:
+    def integer(self, what: str) -> int | None:
         """Consume and return an integer from 0; `what` names it in a finding."""
         token = self.peek() or ""
         if not _INTEGER.match(token):
--- a/packages/ibisspring-core/src/ibisspring_core/rules/parser.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/parser.py
@@ -136,7 +136,7 @@
     trainer = line.name("the trainer's name") if line.keyword("trainer") else None
     if trainer is None or not draft.define(line, "staleness", trainer):
         return
-    versions = line.whole("the bound")
+    versions = line.integer("the bound")
     if versions is None or not line.keyword("versions") or not line.end():
         return
     draft.refer(line, "trainer", trainer)
@@ -150,7 +150,7 @@
     data_centres = line.names("a data centre's name")
     if data_centres is None:
         return
-    count = line.whole("the count") if line.keyword("count") else None
+    count = line.integer("the count") if line.keyword("count") else None
     if count is None:
         return
     percent: float | None = 0.0
--- a/packages/ibisspring-core/src/ibisspring_core/settings/current.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/current.py
@@ -19,7 +19,7 @@
 # The file may change without a signal. A daemon that cannot reach any control daemon reads changed
 # seeds within this time.
 READ_EVERY_S = 1.0
-_IN_FORCE_AT_ONCE = frozenset({"seeds"})
+_APPLIED_IMMEDIATELY = frozenset({"seeds"})
 
 
 class CurrentSettings:
@@ -62,8 +62,8 @@
             return
         changed = _changed_fields(self._settings, read)
         self._settings = read
-        waiting = [name for name in changed if name not in _IN_FORCE_AT_ONCE]
-        eliot.log_message("settings:changed", seeds=list(read.seeds), at_next_start=waiting)
+        deferred = [name for name in changed if name not in _APPLIED_IMMEDIATELY]
+        eliot.log_message("settings:changed", seeds=list(read.seeds), at_next_start=deferred)
 
     def _log_unreadable(self, findings: tuple[Finding, ...]) -> None:
         """Log once that the file is incomplete or invalid, and keep the current settings."""
--- a/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
@@ -38,7 +38,7 @@
     reader = _Reader(path)
     settings = reader.read(node, Settings, "")
     if not reader.findings:
-        reader.check_whole(settings, node)
+        reader.check_consistency(settings, node)
     if reader.findings:
         return tuple(sorted(reader.findings, key=lambda finding: (finding.line, finding.column)))
     return settings
@@ -75,15 +75,15 @@
         value_by_name: dict[str, Any] = {}
         for key_node, value_node in node.value:
             name = key_node.value
-            inner = f"{where}.{name}" if where else name
+            full_name = f"{where}.{name}" if where else name
             if name not in hint_by_name:
                 known = ", ".join(sorted(hint_by_name))
-                self.report(key_node, f"unknown setting {inner!r}; known here: {known}")
+                self.report(key_node, f"unknown setting {full_name!r}; known here: {known}")
                 continue
             if name in value_by_name:
-                self.report(key_node, f"{inner!r} is set twice")
+                self.report(key_node, f"{full_name!r} is set twice")
                 continue
-            value_by_name[name] = self.read(value_node, hint_by_name[name], inner)
+            value_by_name[name] = self.read(value_node, hint_by_name[name], full_name)
         for item in dataclasses.fields(hint):
             has_default = (
                 item.default is not dataclasses.MISSING
@@ -121,7 +121,7 @@
             return self.report(node, f"{where} must not be negative")
         return value
 
-    def check_whole(self, settings: Settings, node: yaml.Node) -> None:
+    def check_consistency(self, settings: Settings, node: yaml.Node) -> None:
         """Report conflicts between settings."""
         for role in settings.roles:
             if role not in ROLES:
--- a/tests/unit/core/test_kernel.py
+++ b/tests/unit/core/test_kernel.py
@@ -13,7 +13,7 @@
 
     async def start(self, kernel: Kernel) -> None:
         if self.fails:
-            raise RuntimeError("no start")
+            raise RuntimeError("start failed")
         self.events.append(f"start {self.name}")
 
     async def stop(self) -> None:
--- a/tests/unit/core/test_leader_client.py
+++ b/tests/unit/core/test_leader_client.py
@@ -22,12 +22,12 @@
     # The jobs' leader dies and the directory reports another. In rotation each of thirty stores
     # would take a tenth of a second until the leader is found, and no item would run meanwhile.
     peers = _Peers(DAEMONS[0])
-    known = [DAEMONS]
-    client = LeaderClient(peers, lambda: known[0])
+    addresses = [DAEMONS]
+    client = LeaderClient(peers, lambda: addresses[0])
     assert await client.call("work", 1.0, 1.0) == "answer"
 
     peers.leader = DAEMONS[20]
-    known[0] = (DAEMONS[20], *DAEMONS)
+    addresses[0] = (DAEMONS[20], *DAEMONS)
     peers.called.clear()
 
     assert await client.call("work", 1.0, 1.0) == "answer"
--- a/tests/unit/core/test_log_budget.py
+++ b/tests/unit/core/test_log_budget.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from ibisspring_core.log_budget import (
+    BUFFER_BYTES,
     BURST_S,
     FAILURES_PER_S,
     ROUTINE_PER_S,
-    WAITING_BYTES,
     LogBudget,
 )
 
@@ -36,8 +36,8 @@
     bound = FAILURES_PER_S * (SECONDS + BURST_S)
     assert bound * 0.99 <= written_by_kind["forward:refused"] <= bound
     dropped = FLOOD_PER_S * SECONDS - written_by_kind["forward:refused"]
-    assert budget.take_left_out() == {"forward:refused": dropped}
-    assert budget.take_left_out() == {}
+    assert budget.reset_dropped() == {"forward:refused": dropped}
+    assert budget.reset_dropped() == {}
 
 
 def test_lines_about_failures_have_the_larger_limit() -> None:
@@ -52,14 +52,14 @@
     budget = LogBudget()
 
     assert _replay(budget, "runner:ended", False, 60) == 60 * SECONDS
-    assert budget.take_left_out() == {}
+    assert budget.reset_dropped() == {}
 
 
 def test_failures_are_written_while_routine_lines_wait_for_a_slow_reader() -> None:
     budget = LogBudget()
-    half = WAITING_BYTES // 2
+    half = BUFFER_BYTES // 2
 
     assert not budget.admit("runner:ended", False, half, 0.0)
     assert budget.admit("forward:refused", True, half, 0.0)
-    assert not budget.admit("forward:refused", True, WAITING_BYTES, 0.0)
-    assert budget.take_left_out() == {"runner:ended": 1, "forward:refused": 1}
+    assert not budget.admit("forward:refused", True, BUFFER_BYTES, 0.0)
+    assert budget.reset_dropped() == {"runner:ended": 1, "forward:refused": 1}
--- a/tests/unit/core/test_retry_after.py
+++ b/tests/unit/core/test_retry_after.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ibisspring_core import directory_view
-from ibisspring_core.directory_view import LEAST_RETRY_S, TABLE_DUE_S, DirectoryView
+from ibisspring_core.directory_view import MIN_RETRY_AFTER_S, TABLE_EXPECTED_S, DirectoryView
 from ibisspring_core.settings.vm import ENTRY, VmSettings
 
 STARTED_S = 500.0
@@ -12,10 +12,10 @@
 @pytest.mark.parametrize(
     ("up_s", "expected_s"),
     [
-        (0.4, TABLE_DUE_S - 0.4),
-        (0.8, TABLE_DUE_S - 0.8),
-        (1.0, LEAST_RETRY_S),
-        (60.0, LEAST_RETRY_S),
+        (0.4, TABLE_EXPECTED_S - 0.4),
+        (0.8, TABLE_EXPECTED_S - 0.8),
+        (1.0, MIN_RETRY_AFTER_S),
+        (60.0, MIN_RETRY_AFTER_S),
     ],
 )
 def test_callers_come_back_once_there_may_be_a_leader(monkeypatch, up_s, expected_s) -> None:
@@ -25,4 +25,4 @@
     monkeypatch.setattr(directory_view, "boot_now", lambda: STARTED_S + up_s)
     view = DirectoryView.from_config(VmSettings("e1", ENTRY, "derby", "10.0.0.1:1", ()))
 
-    assert view.retry_after_s() == pytest.approx(max(expected_s, LEAST_RETRY_S))
+    assert view.retry_after_s() == pytest.approx(max(expected_s, MIN_RETRY_AFTER_S))
