--- a/packages/ibisspring-core/src/ibisspring_core/directory_view.py
+++ b/packages/ibisspring-core/src/ibisspring_core/directory_view.py
@@ -98,7 +98,7 @@
 
     async def tell_usage(self) -> Any:
         """
-        Send the usage counts to the leader at once, outside of the renewals.
+        Send the usage counts to the leader immediately, outside of the renewals.
 
         :return: `UsageCounted`, or a `Refusal`.
         """
--- a/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
+++ b/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
@@ -119,9 +119,9 @@
         :param endpoint: id of a known endpoint.
         :param version_by_adapter: weight version by adapter name.
         """
-        heard = self._received_by_endpoint[endpoint]
-        record = dataclasses.replace(heard.record, version_by_adapter=version_by_adapter)
-        self._put(dataclasses.replace(heard, record=record), heard)
+        received = self._received_by_endpoint[endpoint]
+        record = dataclasses.replace(received.record, version_by_adapter=version_by_adapter)
+        self._put(dataclasses.replace(received, record=record), received)
 
     def _update_received_at(self, known: Heard, heard_at: float) -> str:
         if heard_at > known.heard_at:
@@ -130,14 +130,14 @@
             )
         return ""
 
-    def _put(self, heard: Heard, known: Heard | None) -> None:
-        endpoint = heard.record.endpoint
-        self._received_by_endpoint[endpoint] = heard
-        if known is None or comparable_fields(heard.record) != comparable_fields(known.record):
+    def _put(self, received: Heard, known: Heard | None) -> None:
+        endpoint = received.record.endpoint
+        self._received_by_endpoint[endpoint] = received
+        if known is None or comparable_fields(received.record) != comparable_fields(known.record):
             self.changed.add(endpoint)
             return
         # The daemon that stops a draining endpoint waits until its load is zero.
-        if heard.record.state == LEAVING and heard.record.load != known.record.load:
+        if received.record.state == LEAVING and received.record.load != known.record.load:
             self.changed.add(endpoint)
 
     def expire(self, now: float) -> tuple[str, ...]:
@@ -148,16 +148,16 @@
         :return: ids of the endpoints that changed to GONE in this call.
         """
         expired = []
-        for endpoint, heard in list(self._received_by_endpoint.items()):
-            age_s = now - heard.heard_at
+        for endpoint, received in list(self._received_by_endpoint.items()):
+            age_s = now - received.heard_at
             if age_s > self._ttl_s * DELETE_AFTER_TTLS:
                 del self._received_by_endpoint[endpoint]
                 self.changed.discard(endpoint)
                 continue
-            if age_s <= self._ttl_s or heard.record.state in (GONE, LEAVING):
+            if age_s <= self._ttl_s or received.record.state in (GONE, LEAVING):
                 continue
-            record = dataclasses.replace(heard.record, state=GONE)
-            self._received_by_endpoint[endpoint] = dataclasses.replace(heard, record=record)
+            record = dataclasses.replace(received.record, state=GONE)
+            self._received_by_endpoint[endpoint] = dataclasses.replace(received, record=record)
             self.changed.add(endpoint)
             expired.append(endpoint)
         return tuple(expired)
@@ -172,11 +172,11 @@
         """
         newest_by_address = self._newest_incarnation_by_address()
         found = []
-        for heard in self._received_by_endpoint.values():
-            record = heard.record
+        for received in self._received_by_endpoint.values():
+            record = received.record
             if record.service != service or record.state != SERVING:
                 continue
-            if now - heard.heard_at > self._ttl_s:
+            if now - received.heard_at > self._ttl_s:
                 continue
             if newest_by_address[record.address] > record.incarnation:
                 continue
@@ -191,8 +191,8 @@
         started at the same address. Without this check both would count as serving there.
         """
         newest: dict[str, int] = {}
-        for heard in self._received_by_endpoint.values():
-            record = heard.record
+        for received in self._received_by_endpoint.values():
+            record = received.record
             newest[record.address] = max(newest.get(record.address, 0), record.incarnation)
         return newest
 
@@ -204,15 +204,15 @@
         """
         List the endpoints without an announcement for more than half a TTL.
 
-        Peers are asked whether they have received a newer one.
+        This entry asks its peers for newer announcements of these endpoints.
 
         :param now: seconds on this entry's boot clock.
         :return: their ids.
         """
         found = []
-        for heard in self._received_by_endpoint.values():
-            if now - heard.heard_at > self._ttl_s / 2 and heard.record.state != LEAVING:
-                found.append(heard.record.endpoint)
+        for received in self._received_by_endpoint.values():
+            if now - received.heard_at > self._ttl_s / 2 and received.record.state != LEAVING:
+                found.append(received.record.endpoint)
         return tuple(found)
 
     def heard_lately(self, endpoints: Iterable[str], now: float) -> tuple[Heard, ...]:
@@ -225,23 +225,25 @@
         """
         found = []
         for endpoint in endpoints:
-            heard = self._received_by_endpoint.get(endpoint)
-            if heard is not None and now - heard.heard_at <= self._ttl_s / 2:
-                found.append(heard)
+            received = self._received_by_endpoint.get(endpoint)
+            if received is not None and now - received.heard_at <= self._ttl_s / 2:
+                found.append(received)
         return tuple(found)
 
     def record_of(self, endpoint: str) -> EndpointRecord | None:
         """Return the record of an endpoint in any state, or None if the id is unknown."""
-        heard = self._received_by_endpoint.get(endpoint)
-        return None if heard is None else heard.record
+        received = self._received_by_endpoint.get(endpoint)
+        return None if received is None else received.record
 
     def digest(self) -> int:
         """Return a digest of all records that are not GONE; equal tables have equal digests."""
         total = 0
-        for heard in self._received_by_endpoint.values():
-            if heard.record.state == GONE:
+        for received in self._received_by_endpoint.values():
+            if received.record.state == GONE:
                 continue
-            total ^= xxhash.xxh64_intdigest(msgspec.msgpack.encode(comparable_fields(heard.record)))
+            total ^= xxhash.xxh64_intdigest(
+                msgspec.msgpack.encode(comparable_fields(received.record))
+            )
         # On the wire 0 means that no comparison is requested. An empty table, as after a start,
         # has to be compared as well.
         return total or 1
--- a/packages/ibisspring-core/src/ibisspring_core/messages/step_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/step_commands.py
@@ -23,7 +23,7 @@
 @dataclass(frozen=True)
 class OpenStep:
     """
-    Open a training step, or take it over from an entry that no longer runs.
+    Open a training step, or take it over from an entry that was lost.
 
     :param trainer: name of the trainer.
     :param step: number of the step.
--- a/packages/ibisspring-core/src/ibisspring_core/routes/check.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/check.py
@@ -15,7 +15,7 @@
     Check a route table.
 
     :param table: the table to check.
-    :return: all findings, each with the table's entry; none for a valid table.
+    :return: all findings, each with the route or account as its place; empty for a valid table.
     """
     findings: list[Finding] = []
 
--- a/tests/unit/core/test_grpc_runtime.py
+++ b/tests/unit/core/test_grpc_runtime.py
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("spare", range(6))
 def test_a_daemon_that_starts_without_descriptors_does_not_crash(spare) -> None:
-    # A daemon whose VM runs out of descriptors during the start crashed with signal 11 or 6.
+    # A daemon whose VM ran out of descriptors during its start crashed with signal 11 or 6.
     ended = subprocess.run(
         [sys.executable, "-c", PROGRAM, str(spare)], capture_output=True, text=True, timeout=60
     )
