--- a/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
@@ -63,7 +63,7 @@
 
     :param job: id of the job.
     :param client_account: account that submitted the job; only this account may read it.
-    :param host: host of the job's route, also sent to endpoints in the Host header.
+    :param host: host of the job's route, also sent to endpoints.
     :param service: name of the service that runs the items.
     :param model: name of the model that runs the items.
     :param items: the requests.
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True)
 class UnknownJob:
-    """The job does not exist for this client account; a quorum has confirmed it."""
+    """The job does not exist for this client account; the leader is confirmed by a quorum."""
 
 
 @dataclass(frozen=True)
@@ -319,7 +319,7 @@
         run failed; `impossible` if it reported that no run can succeed; `broken` if the stream
         broke or timed out; `turned_away` if the endpoint rejected the request before it started;
         `stale` if the endpoint has another weight version; `unscored` if the reward call failed
-        `max_attempts` times.
+        the maximum number of times.
     :param output: data of the run's events since its last report, joined by line feeds.
     :param events: number of these events.
     :param versions: weight versions that generated them, in order.
