--- a/packages/ibisspring-core/src/ibisspring_core/routes/check.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/check.py
@@ -1,4 +1,4 @@
-"""Checks of a route table that no single field shows."""
+"""Checks of a route table that involve several fields."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """
     Check a route table.
 
-    :param table: what was sent.
-    :return: all findings, each with its place; none for a table that may come into force.
+    :param table: the table to check.
+    :return: all findings, each with the route or account as its place; empty for a valid table.
     """
     findings: list[Finding] = []
 
@@ -34,7 +34,8 @@
     account_by_key: dict[str, str] = {}
     for number, account in enumerate(table.accounts):
         for key in account.keys:
-            # One account may hold a key twice; shared, it would not tell who called.
+            # A key may be listed twice for one account. Shared by two accounts, it would not
+            # identify the caller.
             if account_by_key.setdefault(key, account.name) != account.name:
                 report(f"accounts[{number}]", f"shares a key with {account_by_key[key]!r}")
     return tuple(findings)
@@ -46,15 +47,15 @@
         if share.service not in services:
             faults.append(f"service {share.service!r} is unknown")
     if not route.shares:
-        faults.append("names no service")
+        faults.append("no service is listed")
     if any(share.weight < 0 for share in route.shares):
         faults.append("a weight is negative")
     if sum(share.weight for share in route.shares) <= 0:
         faults.append("the weights add up to 0")
     if route.timeout_s <= 0:
-        faults.append("the timeout is 0")
+        faults.append("the timeout must be above 0")
     if not route.host:
-        faults.append("names no host")
+        faults.append("the host is missing")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         faults.append("the prefix must begin and end with a slash")
     return faults
--- a/packages/ibisspring-core/src/ibisspring_core/rules/parser.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/parser.py
@@ -1,4 +1,4 @@
-"""Parses a rules file; every finding of the file is reported at once, with its place."""
+"""Parses a rules file and reports all findings together, with line and column."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     """
     Parse and check a rules file.
 
-    :param text: the whole file.
+    :param text: text of the file.
     :param place: file name for the findings.
-    :return: the rules, or every finding in order of line and column.
+    :return: the rules, or all findings in order of line and column.
     """
     if len(text.encode("utf-8", "surrogateescape")) > MAX_RULES_BYTES:
         return (Finding(place, 0, 0, f"the file is longer than {MAX_RULES_BYTES} bytes"),)
@@ -89,7 +89,8 @@
         line.report("expected sha256: and 64 lower-case hexadecimal digits", column)
         return None
     digest = match.group(1)
-    # One key on two client accounts would bill and admit a request for whichever came last.
+    # With one key on two client accounts, requests would be admitted and billed for the account
+    # that is defined last.
     if not draft.define(line, "key", f"sha256:{digest}"):
         return None
     return digest
@@ -135,7 +136,7 @@
     trainer = line.name("the trainer's name") if line.keyword("trainer") else None
     if trainer is None or not draft.define(line, "staleness", trainer):
         return
-    versions = line.whole("the bound")
+    versions = line.integer("the bound")
     if versions is None or not line.keyword("versions") or not line.end():
         return
     draft.refer(line, "trainer", trainer)
@@ -149,7 +150,7 @@
     data_centres = line.names("a data centre's name")
     if data_centres is None:
         return
-    count = line.whole("the count") if line.keyword("count") else None
+    count = line.integer("the count") if line.keyword("count") else None
     if count is None:
         return
     percent: float | None = 0.0
--- a/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads a settings file into data classes and collects every finding with its line and column."""
+"""Loads a settings file into data classes and collects findings with line and column."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 def load_settings(path: str) -> Settings | tuple[Finding, ...]:
     """
-    Read and check a settings file.
+    Load and check a settings file.
 
-    :param path: the YAML file.
-    :return: the settings, or every finding in the file.
+    :param path: path of the YAML file.
+    :return: the settings, or all findings in order of line and column.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -38,14 +38,14 @@
     reader = _Reader(path)
     settings = reader.read(node, Settings, "")
     if not reader.findings:
-        reader.check_whole(settings, node)
+        reader.check_consistency(settings, node)
     if reader.findings:
         return tuple(sorted(reader.findings, key=lambda finding: (finding.line, finding.column)))
     return settings
 
 
 class _Reader:
-    """Walks the YAML nodes beside the data classes' type hints."""
+    """Converts YAML nodes to the types that the data classes' type hints name."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -75,15 +75,15 @@
         value_by_name: dict[str, Any] = {}
         for key_node, value_node in node.value:
             name = key_node.value
-            inner = f"{where}.{name}" if where else name
+            full_name = f"{where}.{name}" if where else name
             if name not in hint_by_name:
                 known = ", ".join(sorted(hint_by_name))
-                self.report(key_node, f"unknown setting {inner!r}; known here: {known}")
+                self.report(key_node, f"unknown setting {full_name!r}; known here: {known}")
                 continue
             if name in value_by_name:
-                self.report(key_node, f"{inner!r} is set twice")
+                self.report(key_node, f"{full_name!r} is set twice")
                 continue
-            value_by_name[name] = self.read(value_node, hint_by_name[name], inner)
+            value_by_name[name] = self.read(value_node, hint_by_name[name], full_name)
         for item in dataclasses.fields(hint):
             has_default = (
                 item.default is not dataclasses.MISSING
@@ -121,8 +121,8 @@
             return self.report(node, f"{where} must not be negative")
         return value
 
-    def check_whole(self, settings: Settings, node: yaml.Node) -> None:
-        """Check what no single setting shows."""
+    def check_consistency(self, settings: Settings, node: yaml.Node) -> None:
+        """Report conflicts between settings."""
         for role in settings.roles:
             if role not in ROLES:
                 self.report(node, f"unknown role {role!r}; roles are {', '.join(ROLES)}")
@@ -142,8 +142,8 @@
         control = settings.control
         if settings.daemon not in settings.control_addresses:
             self.report(node, f"control_addresses does not name this daemon {settings.daemon!r}")
-        # A lease as long as an election lets a new leader rise while the old one still is in
-        # charge: two senders.
+        # With a lease as long as the election timeout, a new leader may be elected before the lease
+        # of the earlier one lapses, and both would send orders.
         if control.leader_lease_s >= control.election_timeout_s:
             self.report(node, "control.leader_lease_s must be under control.election_timeout_s")
         if control.heartbeat_s * 2 > control.leader_lease_s:
--- a/tests/unit/core/rules/test_parser.py
+++ b/tests/unit/core/rules/test_parser.py
@@ -22,7 +22,7 @@
 """
 
 
-def test_a_good_file_gives_its_rules() -> None:
+def test_valid_file_is_parsed_into_its_rules() -> None:
     rules = parse_rules(GOOD)
 
     assert isinstance(rules, Rules)
@@ -38,7 +38,7 @@
     assert rules.timeout_s_by_service["archive-app"] == 2.5
 
 
-def test_a_key_finds_its_client_account_and_a_withdrawn_one_none() -> None:
+def test_valid_key_finds_its_client_account_and_withdrawn_key_none() -> None:
     rules = parse_rules(GOOD)
     withdrawn = parse_rules(GOOD.replace(f" key sha256:{OTHER}", ""))
 
@@ -60,21 +60,21 @@
         (f"client_account a key sha256:12 rate 1/s weight 1 {ASKED}", 22, "64 lower-case"),
         (f"client_account a rate 1 weight 1 {ASKED}", 23, "such as 40/s"),
         (f"client_account a rate 1/s weight 1 burst 0.5 {ASKED}", 42, "at least 1"),
-        (f"place a in b, b count 1 {ASKED}", 15, "stands here twice"),
+        (f"place a in b, b count 1 {ASKED}", 15, "is listed twice"),
         (f"place a in b count 1 cheap at-most 101% {ASKED}", 40, "at most 100%"),
         (f"idempotent a post {ASKED}", 14, "in capitals"),
         (f"share a trainer t {ASKED}", 17, "no rule defines trainer 't'"),
         (f"staleness trainer t two versions {ASKED}", 21, "a whole number"),
     ],
 )
-def test_a_faulty_rule_is_found_at_its_column(rule: str, column: int, message: str) -> None:
+def test_faulty_rule_is_reported_at_its_column(rule: str, column: int, message: str) -> None:
     findings = parse_rules(f"\n{rule}\n")
 
     assert [(finding.line, finding.column) for finding in findings] == [(2, column)]
     assert message in findings[0].message
 
 
-def test_all_findings_of_a_file_come_together() -> None:
+def test_all_findings_of_a_file_are_reported_together() -> None:
     text = (
         f"timeout a 1 s {ASKED}\n"
         f"timeout a 2 s {ASKED}\n"
@@ -93,5 +93,5 @@
         (5, 1),
         (6, 1),
     ]
-    assert str(findings[0]) == "rules.txt:2:1: timeout 'a' stands on line 1 already"
-    assert "has no bound" in findings[-1].message
+    assert str(findings[0]) == "rules.txt:2:1: timeout 'a' is already defined on line 1"
+    assert "has no staleness bound" in findings[-1].message
