--- a/packages/ibisspring-entry/src/ibisspring_entry/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/__init__.py
@@ -1,3 +1,3 @@
-"""Callers' HTTP, routing, endpoint registry and samples."""
+"""The entry role: callers' HTTP interface, routing, endpoint registry and sample collection."""
 
 from __future__ import annotations
--- a/packages/ibisspring-entry/src/ibisspring_entry/admission/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission of callers by their client account's rate, shared with the other entries."""
+"""Admission of requests at each client account's rate, which all entries share."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/admission/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/admission/service.py
@@ -1,4 +1,4 @@
-"""The service `admission`."""
+"""The service `admission`: limits the request rate of each client account over all entries."""
 
 from __future__ import annotations
 
@@ -14,69 +14,75 @@
     from ibisspring_core.settings import Settings
 
 SHARE_EVERY_S = 0.5
+"""Seconds between two updates of this entry's share of each client account's rate."""
 
 
 class AdmissionService:
-    """Lets callers in at the rate of their client account over all entries together."""
+    """Admits requests at their client account's rate, which holds for all entries together."""
 
     name = "admission"
 
     def __init__(self, daemon: str) -> None:
         self._daemon = daemon
         self._admission = Admission.from_rules({}, boot_now())
-        self._followed: Rules | None = None
+        self._applied_rules: Rules | None = None
 
     @classmethod
     def from_config(cls, settings: Settings) -> AdmissionService:
         """
         Build the service.
 
-        :param settings: this daemon's settings.
-        :return: the service.
+        :param settings: validated settings of this daemon.
+        :return: the service, not started.
         """
         return cls(settings.daemon)
 
     async def start(self, kernel: Kernel) -> None:
-        """Follow the rules and the peers' demand."""
+        """
+        Find the required services and schedule the exchange of demand with the peers.
+
+        :param kernel: the daemon's kernel.
+        """
         self._lease = kernel.find("lease")
         self._registry = kernel.find("registry")
-        kernel.find("timer").subscribe("admission", SHARE_EVERY_S, self._share)
+        kernel.find("timer").subscribe("admission", SHARE_EVERY_S, self._update_shares)
 
     async def stop(self) -> None:
-        """Nothing to stop: the timer ends the ticks."""
+        """No-op: the timer service stops the scheduled callback."""
 
     def ask(self, client_account: str) -> Refusal | None:
         """
-        Let one request in.
+        Admit or reject one request.
 
-        :param client_account: who calls.
-        :return: None where it may go on, else when to come back; nothing was done for it.
+        :param client_account: the client account of the caller.
+        :return: None if the request is admitted. Otherwise the refusal, with the seconds after
+            which to retry; a refused request has not been run.
         """
         rules = self._lease.rules()
         if isinstance(rules, Refusal):
             return rules
         now = boot_now()
-        if rules is not self._followed:
+        if rules is not self._applied_rules:
             self._admission.follow_rules(rules.client_account_by_name, now)
-            self._followed = rules
+            self._applied_rules = rules
         decision = self._admission.ask(client_account, now)
         if isinstance(decision, Admitted):
             return None
-        detail = f"{client_account} is over its rate"
+        detail = f"{client_account} exceeds its request rate"
         return Refusal(Reason.RATE_LIMITED, True, decision.retry_after_s, detail)
 
-    async def _share(self, now: float) -> None:
+    async def _update_shares(self, now: float) -> None:
         self._registry.set_demand(self._admission.demand(now))
         view = self._lease.view()
         if isinstance(view, Refusal):
             return
-        told = self._registry.peer_demand()
+        demand_by_daemon = self._registry.peer_demand()
         peers = []
         for daemon in view.peer_by_daemon:
             if daemon == self._daemon:
                 continue
-            heard_s, demand = told.get(daemon, (None, {}))
-            peers.append(PeerDemand(heard_s, demand))
+            received_s, demand = demand_by_daemon.get(daemon, (None, {}))
+            peers.append(PeerDemand(received_s, demand))
         self._admission.share(tuple(peers), now)
 
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/claims/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Idempotency keys of calls that may run at most once."""
+"""Idempotency keys: each call under a key is sent to an endpoint at most once."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/claims/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/claims/service.py
@@ -1,4 +1,4 @@
-"""The service `claims`."""
+"""The service `claims`: runs each call under an Idempotency-Key at most once."""
 
 from __future__ import annotations
 
@@ -18,17 +18,24 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings import Settings
 
-MAX_KEY = 200
-STORED_BYTES = 65_536
-"""Largest answer that is stored in the replicated state."""
+MAX_KEY_LENGTH = 200
+"""Largest number of characters of an Idempotency-Key."""
+
+MAX_STORED_BYTES = 65_536
+"""Largest answer body that is stored in the replicated state."""
 
 IN_PROGRESS_RETRY_S = 1.0
+"""Seconds after which a caller should retry a call that is in progress or could not be claimed."""
+
 SETTLE_WAIT_S = 0.5
+"""Seconds that a caller waits for its claim to be settled before it gets the answer anyway."""
+
 SETTLE_TRIES = 20
 SETTLE_PAUSE_S = 0.5
+"""Seconds between two attempts to settle a claim."""
 
 ResultT = TypeVar("ResultT")
-Run = Callable[[], Awaitable[PlainAnswer | Refusal]]
+SendCall = Callable[[], Awaitable[PlainAnswer | Refusal]]
 
 
 @dataclass(frozen=True)
@@ -36,7 +43,8 @@
     """
     A call under a caller's Idempotency-Key.
 
-    :param digest: digest of what is asked, so that a key used for something else is refused.
+    :param digest: digest of the call's content; a call with the same key but another digest is
+        rejected.
     """
 
     client_account: str
@@ -51,73 +59,85 @@
         """
         Build a call.
 
-        :param parts: what is asked; two calls are the same where these are.
-        :return: the call.
+        :param client_account: the client account of the caller.
+        :param key: the caller's Idempotency-Key.
+        :param request_id: the id of this request.
+        :param parts: the call's content; two calls with equal parts count as the same call.
+        :return: the call, with the digest of `parts`.
         """
         digest = xxhash.xxh3_128_hexdigest(msgspec.msgpack.encode(parts))
         return cls(client_account, key, digest, request_id)
 
 
 class Claims:
-    """Sends each call under an idempotency key once at most, whichever entry the caller asks."""
+    """Sends each call under an Idempotency-Key at most once, over all entries together."""
 
     name = "claims"
 
     def __init__(self, daemon: str, drain_s: float) -> None:
         self._daemon = daemon
         self._drain_s = drain_s
-        self._running: set[asyncio.Task[Any]] = set()
+        self._tasks: set[asyncio.Task[Any]] = set()
 
     @classmethod
     def from_config(cls, settings: Settings) -> Claims:
         """
         Build the service.
 
-        :param settings: this daemon's settings.
-        :return: the service.
+        :param settings: validated settings of a daemon with the entry role.
+        :return: the service, not started.
         """
         return cls(settings.daemon, settings.entry.drain_s)
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the services that it needs."""
+        """
+        Find the required services.
+
+        :param kernel: the daemon's kernel.
+        """
         self._endpoints = kernel.find("endpoints")
         self._control = kernel.find("control_client")
         self._lease = kernel.find("lease")
         self._counters = kernel.find("counters")
 
     async def stop(self) -> None:
-        """Let what was sent be settled, as long as running requests get at a stop."""
-        if self._running:
-            await asyncio.wait(self._running, timeout=self._drain_s)
+        """
+        Wait until all claims are settled.
+
+        The wait ends after `drain_s`, the limit for running requests at a stop.
+        """
+        if self._tasks:
+            await asyncio.wait(self._tasks, timeout=self._drain_s)
 
     async def call(self, request: PlainRequest, key: str) -> PlainAnswer | Refusal:
         """
-        Send a call of a plain service under the caller's key.
+        Call a plain service under the caller's key.
 
         :param request: the call.
         :param key: the caller's Idempotency-Key.
-        :return: the answer, also when an earlier call under the key got it, or a refusal.
+        :return: the endpoint's answer or the stored answer of an earlier call under the same key,
+            else a refusal.
         """
         parts = (request.service, request.method, request.path, request.body)
         keyed = KeyedCall.from_parts(request.client_account, key, request.request_id, parts)
         return await self.run_once(keyed, lambda: self._endpoints.call(request))
 
-    async def run_once(self, call: KeyedCall, run: Run) -> PlainAnswer | Refusal:
+    async def run_once(self, call: KeyedCall, send: SendCall) -> PlainAnswer | Refusal:
         """
-        Claim the key, run, settle.
+        Claim the key, send the call and settle the claim.
 
-        :param call: what is claimed.
-        :param run: sends the request; called once at most, and only with the claim committed.
-        :return: the answer or a refusal.
+        :param call: the call whose key is claimed.
+        :param send: sends the call; invoked at most once, and only after the claim is committed.
+        :return: the answer, which may be the stored one of an earlier call, or a refusal.
         """
-        if not 0 < len(call.key) <= MAX_KEY:
-            detail = f"Idempotency-Key must have 1 to {MAX_KEY} characters"
+        if not 0 < len(call.key) <= MAX_KEY_LENGTH:
+            detail = f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} characters"
             return Refusal(Reason.BAD_REQUEST, True, None, detail)
-        # The caller may leave at any moment; what it began is claimed, sent and settled all the
-        # same, or the claim would stay "running" for a call of which nobody knows whether it ran.
-        return await asyncio.shield(self._keep(self._claim_and_run(call, run)))
+        # Claiming, sending and settling continue if the caller disconnects. Cancelled halfway, the
+        # claim would stay "running" although it is unknown whether the call ran.
+        return await asyncio.shield(self._track(self._claim_and_run(call, send)))
 
-    async def _claim_and_run(self, call: KeyedCall, run: Run) -> PlainAnswer | Refusal:
+    async def _claim_and_run(self, call: KeyedCall, send: SendCall) -> PlainAnswer | Refusal:
         claim = ClaimKey(
             client_account=call.client_account,
             key=call.key,
@@ -128,31 +148,33 @@
         )
         state = await self._control.propose(claim, f"claim-{call.request_id}")
         if isinstance(state, Refusal) and not state.not_run:
-            # The claim may be committed all the same: it is released, or the caller's next try
-            # would be told for minutes that a call runs which never was sent.
-            self._keep(self._settle(settlement_of(claim, unclaimed(state))))
+            # The claim may be committed although its proposal failed. It is released, because
+            # otherwise the caller's retries would be rejected for minutes as "in progress" although
+            # the call was never sent.
+            self._track(self._settle(settlement_of(claim, refusal_without_claim(state))))
         if not isinstance(state, ClaimState):
-            return unclaimed(state)
+            return refusal_without_claim(state)
         if state.state != "granted":
-            return answer_of(call, state)
-        return await self._run_claimed(claim, run)
+            return answer_of_earlier_call(call, state)
+        return await self._run_claimed(claim, send)
 
-    def _keep(self, work: Coroutine[Any, Any, ResultT]) -> asyncio.Task[ResultT]:
+    def _track(self, work: Coroutine[Any, Any, ResultT]) -> asyncio.Task[ResultT]:
         task = asyncio.create_task(work)
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         return task
 
-    async def _run_claimed(self, claim: ClaimKey, run: Run) -> PlainAnswer | Refusal:
-        answer = await run()
-        settling = self._keep(self._settle(settlement_of(claim, answer)))
-        # While control has no leader the caller need not wait for it: the answer is its own, and
-        # until it is stored another try under the key is told that the call runs.
+    async def _run_claimed(self, claim: ClaimKey, send: SendCall) -> PlainAnswer | Refusal:
+        answer = await send()
+        settling = self._track(self._settle(settlement_of(claim, answer)))
+        # While the control group has no leader the claim cannot be settled. The caller gets its
+        # answer without waiting for that; until the answer is stored, another request under the key
+        # is rejected as "in progress".
         await asyncio.wait({settling}, timeout=SETTLE_WAIT_S)
         return answer
 
     async def _settle(self, settlement: SettleClaim) -> None:
-        """Propose until it is committed: it is safe to resend, only the first counts."""
+        """Propose the settlement until it is committed; only the first commit takes effect."""
         for _ in range(SETTLE_TRIES):
             request_id = f"settle-{settlement.request_id}"
             if not isinstance(await self._control.propose(settlement, request_id), Refusal):
@@ -163,28 +185,28 @@
 
 def settlement_of(claim: ClaimKey, answer: PlainAnswer | Refusal) -> SettleClaim:
     """
-    Decide how a claim ends.
+    Build the command that settles a claim.
 
     :param claim: the claim.
-    :param answer: what came of it.
-    :return: the command.
+    :param answer: the result of the claimed call.
+    :return: the command, with the answer's body if that has at most `MAX_STORED_BYTES`.
     """
-    place = (claim.client_account, claim.key, claim.request_id)
+    claim_id = (claim.client_account, claim.key, claim.request_id)
     if isinstance(answer, Refusal):
         outcome = "not_run" if answer.not_run else "may_have_run"
-        return SettleClaim(*place, outcome)
-    stored = len(answer.body) <= STORED_BYTES
+        return SettleClaim(*claim_id, outcome)
+    stored = len(answer.body) <= MAX_STORED_BYTES
     content_type = dict(answer.headers).get("content-type", "")
     body = answer.body if stored else b""
-    return SettleClaim(*place, "done", answer.status, body, content_type, stored)
+    return SettleClaim(*claim_id, "done", answer.status, body, content_type, stored)
 
 
-def unclaimed(result: Refused | Refusal) -> Refusal:
+def refusal_without_claim(result: Refused | Refusal) -> Refusal:
     """
-    Refuse a call whose claim was not committed; nothing was sent.
+    Build the refusal of a call whose claim was not granted; the call was not sent.
 
-    :param result: why it was not.
-    :return: the refusal, not run.
+    :param result: the control leader's rejection, or the failure of the proposal.
+    :return: the refusal, with `not_run` set and seconds after which to retry.
     """
     if isinstance(result, Refused):
         return Refusal(Reason(result.reason), True, IN_PROGRESS_RETRY_S, result.detail)
@@ -192,16 +214,16 @@
     return Refusal(result.reason, True, retry_after_s, result.detail)
 
 
-def answer_of(call: KeyedCall, state: ClaimState) -> PlainAnswer | Refusal:
+def answer_of_earlier_call(call: KeyedCall, state: ClaimState) -> PlainAnswer | Refusal:
     """
-    Answer a call whose key was claimed before.
+    Answer a call whose key was already claimed by an earlier call.
 
-    :param call: the call.
-    :param state: what became of the earlier one.
-    :return: its stored answer, or why there is none.
+    :param call: the new call.
+    :param state: the state of the earlier claim.
+    :return: the stored answer of the earlier call, or a refusal that says why there is none.
     """
     if state.state == "running":
-        detail = "the first call under this Idempotency-Key still runs"
+        detail = "the first call under this Idempotency-Key is still running"
         return Refusal(Reason.IN_PROGRESS, False, IN_PROGRESS_RETRY_S, detail)
     if state.state == "conflict":
         detail = "this Idempotency-Key was used for another call"
@@ -212,7 +234,13 @@
     if state.state == "done":
         detail = f"the first call ran (status {state.status}); its answer was too large to store"
         return Refusal(Reason.CONFLICT, False, None, detail)
-    return Refusal(Reason.MAY_HAVE_RUN, False, None, "the first call may have run")
+    return Refusal(Reason.MAY_HAVE_RUN, False, None, "the first call under this key may have run")
 
 
-__all__ = ["Claims", "KeyedCall", "answer_of", "settlement_of", "unclaimed"]
+__all__ = [
+    "Claims",
+    "KeyedCall",
+    "answer_of_earlier_call",
+    "settlement_of",
+    "refusal_without_claim",
+]
--- a/packages/ibisspring-entry/src/ibisspring_entry/lease/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/lease/__init__.py
@@ -1,4 +1,4 @@
-"""The entry's lease and the state that it may act on while the lease lasts."""
+"""The entry's lease from the control leader, and the view and rules that are valid under it."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/lease/holding.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/lease/holding.py
@@ -1,4 +1,4 @@
-"""What an entry holds under its lease: pure, `now` is an argument."""
+"""The state of an entry's lease, without input or output; times are passed as arguments."""
 
 from __future__ import annotations
 
@@ -12,61 +12,63 @@
     from ibisspring_core.messages.views import EntryView
 
 RETRY_AFTER_S = 1.0
+"""Seconds after which a caller should retry while the lease is lapsed."""
 
 
-class Holding:
-    """The newest view, its rules and the end of the lease."""
+class LeaseState:
+    """The newest view from the leader, its parsed rules and the time at which the lease lapses."""
 
     def __init__(self) -> None:
         self.view: EntryView | None = None
         self.rules = Rules()
         self.peers_digest = 0
-        self.lapses_s = 0.0
+        self.lapses_at = 0.0
 
     def extend(self, sent_s: float, lease_s: float) -> None:
         """
-        Count a grant from the moment at which its renewal was sent.
+        Extend the lease, counted from the time at which the renewal was sent.
 
-        Counted from its receipt, an answer that was long under way would keep this entry serving
-        after the leader took the lease for lapsed: a withdrawn key would go on working.
+        If the lease counted from the receipt of the reply, a delayed reply would let this entry
+        serve after the leader considers the lease lapsed, and a withdrawn key would still work.
 
-        :param sent_s: boot-clock second before the renewal left.
+        :param sent_s: boot-clock time, in seconds, taken before the renewal was sent.
         :param lease_s: seconds granted.
         """
-        self.lapses_s = max(self.lapses_s, sent_s + lease_s)
+        self.lapses_at = max(self.lapses_at, sent_s + lease_s)
 
     def accepts(self, view: EntryView) -> bool:
         """
-        Tell whether a view may come into force.
+        Return whether a view may be applied.
 
-        Two answers may overtake each other, and a view that fell back would give a withdrawn key
-        its power again. Rules that do not parse show a release that differs from the leader's,
-        which parsed the same text before it accepted it; the lease then lapses instead of old
-        rules living on.
+        Replies may arrive out of order, and applying an older view would make a withdrawn key valid
+        again. Rules that do not parse mean that this entry runs another release than the leader,
+        which parsed the same text before it accepted the rules; the lease then lapses, so that the
+        outdated rules do not stay in force.
 
-        :param view: from the leader.
-        :return: False where this entry must not act on it, nor extend its lease by its answer.
+        :param view: a view from the leader.
+        :return: False if this entry must neither apply the view nor extend its lease by the reply
+            that carried it.
         """
         if self.view is not None and view.index < self.view.index:
             return False
-        return self._parsed(view) is not None
+        return self._parse_rules(view) is not None
 
-    def take(self, view: EntryView, peers_digest: int) -> bool:
+    def apply(self, view: EntryView, peers_digest: int) -> bool:
         """
-        Act on a view that is accepted.
+        Apply a view for which `accepts` returned True.
 
-        :param view: from the leader.
-        :param peers_digest: digest of its live entries.
-        :return: True where the rules changed.
+        :param view: a view from the leader.
+        :param peers_digest: the leader's digest of its live entries, sent back in renewals.
+        :return: True if the rules changed.
         """
-        rules = self._parsed(view)
+        rules = self._parse_rules(view)
         changed = rules is not self.rules
         self.view = self._with_known_peers(view)
         self.rules = rules
         self.peers_digest = peers_digest
         return changed
 
-    def _parsed(self, view: EntryView) -> Rules | None:
+    def _parse_rules(self, view: EntryView) -> Rules | None:
         if self.view is not None and view.rules_version == self.view.rules_version:
             return self.rules
         parsed = parse_rules(view.rules_text)
@@ -74,10 +76,11 @@
 
     def _with_known_peers(self, view: EntryView) -> EntryView:
         """
-        Keep the entries that a new leader may not have heard of yet.
+        Keep known entries that are missing from the incomplete view of a new leader.
 
-        Taken for gone, they would leave this entry the whole rate of every client account while
-        they go on serving.
+        A new leader has not yet received renewals from all entries. If the missing entries counted
+        as stopped, this entry would use the complete rate of every client account while they still
+        serve.
         """
         if view.peers_complete or self.view is None:
             return view
@@ -85,13 +88,13 @@
         return dataclasses.replace(view, peer_by_daemon=known)
 
     def lapsed(self, now: float) -> bool:
-        """Whether the lease is over, or never began."""
-        return self.view is None or now >= self.lapses_s
+        """Return whether the lease has lapsed or was never granted."""
+        return self.view is None or now >= self.lapses_at
 
     def refusal(self) -> Refusal:
-        """What every caller gets while the lease is lapsed."""
+        """Return the refusal that every caller gets while the lease is lapsed."""
         detail = "this entry holds no lease from the control leader"
         return Refusal(Reason.LEASE_LAPSED, True, RETRY_AFTER_S, detail)
 
 
-__all__ = ["Holding"]
+__all__ = ["LeaseState"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/__init__.py
@@ -1,4 +1,4 @@
-"""Which endpoints exist: announcements and the exchange between entries."""
+"""The endpoint registry: announcements by endpoints and the exchange between entries."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/announcement.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/announcement.py
@@ -1,4 +1,4 @@
-"""Endpoints' announcements: wire format (docs/API.md) and what is wrong with one."""
+"""Endpoints' announcements: wire format (docs/API.md) and validation."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ibisspring_core.json_input import decode_json
 from ibisspring_core.messages.endpoints import EndpointRecord
 
-MAX_NAME = 200
+MAX_NAME_LENGTH = 200
 MAX_PREFIXES = 256
 
 
 def parse_announcement(data: bytes) -> EndpointRecord | tuple[Finding, ...]:
     """
-    Parse and check an announcement.
+    Parse and validate an announcement.
 
-    :param data: the body, one JSON object with the fields of `EndpointRecord`.
-    :return: the record, or everything that is wrong with it.
+    :param data: the request body, one JSON object with the fields of `EndpointRecord`.
+    :return: the record, or all errors found in it.
     """
     try:
         record = decode_json(data, EndpointRecord)
@@ -28,8 +28,8 @@
         return (Finding("announcement", 0, 0, str(error)),)
     findings = []
     for field in ("endpoint", "service", "data_centre"):
-        if not 0 < len(getattr(record, field)) <= MAX_NAME:
-            findings.append(_finding(field, f"must have 1 to {MAX_NAME} characters"))
+        if not 0 < len(getattr(record, field)) <= MAX_NAME_LENGTH:
+            findings.append(_finding(field, f"must have 1 to {MAX_NAME_LENGTH} characters"))
     for field, allowed in (("role", ROLES), ("kind", KINDS), ("state", STATES)):
         if getattr(record, field) not in allowed:
             findings.append(_finding(field, f"must be one of {', '.join(allowed)}"))
@@ -38,7 +38,7 @@
     if not _is_address(record.address):
         findings.append(_finding("address", "must be IP:port"))
     if len(record.prefixes) > MAX_PREFIXES:
-        findings.append(_finding("prefixes", f"must be {MAX_PREFIXES} at most"))
+        findings.append(_finding("prefixes", f"must have at most {MAX_PREFIXES} items"))
     return tuple(findings) if findings else record
 
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
@@ -1,4 +1,4 @@
-"""What one peer was given: whole records once, then only that they go on."""
+"""Tracks what was sent to one peer: a complete record once, then only refreshes of it."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 @dataclass(frozen=True)
 class Delta:
     """
-    What one exchange carries.
+    The endpoint records that one exchange carries.
 
-    :param whole: records that the peer may lack, or whose content changed.
-    :param refreshes: records of which only the sequence and the load changed.
+    :param whole: complete records that the peer may lack or whose content changed.
+    :param refreshes: updates of records of which only the sequence and the load changed.
     """
 
     whole: tuple[Heard, ...]
@@ -33,68 +33,69 @@
 @dataclass
 class SentToPeer:
     """
-    What a peer has acknowledged.
+    The records that a peer has acknowledged.
 
-    :param until: announcements heard before this moment need not be sent.
+    :param sent_until: boot-clock time of the last successful exchange; announcements received
+        before it are not sent again.
     :param content_by_endpoint: each record as the peer has it, without sequence and load.
     """
 
-    until: float = 0.0
+    sent_until: float = 0.0
     content_by_endpoint: dict[str, tuple] = field(default_factory=dict)
 
-    def delta(self, heard: Iterable[Heard], now: float) -> Delta:
+    def delta(self, received: Iterable[Heard], now: float) -> Delta:
         """
-        Choose what the peer lacks.
+        Select the records and refreshes that the peer lacks.
 
-        Relayed records are not passed on: every entry hears from every other, and n entries that
-        pass on what they heard would send n^2 copies of each announcement.
+        Records received from other peers are not forwarded: every entry exchanges with every other,
+        and n entries that forwarded records would send n^2 copies of each announcement.
 
-        :param heard: this entry's table.
+        :param received: all records of this entry's table.
         :param now: seconds on this entry's boot clock.
-        :return: what to send.
+        :return: the records and refreshes to send.
         """
-        whole = []
+        complete = []
         refreshes = []
-        for one in heard:
-            if not one.first_hand or one.heard_at < self.until:
+        for item in received:
+            if not item.first_hand or item.heard_at < self.sent_until:
                 continue
-            record = one.record
+            record = item.record
             known = self.content_by_endpoint.get(record.endpoint)
             if record.state != SERVING or known != content_of(record):
-                whole.append(one)
+                complete.append(item)
                 continue
-            refreshes.append(refresh_of(record, now - one.heard_at))
-        return Delta(tuple(whole), tuple(refreshes))
+            refreshes.append(refresh_of(record, now - item.heard_at))
+        return Delta(tuple(complete), tuple(refreshes))
 
     def acknowledged(self, delta: Delta, began: float) -> None:
         """
-        Note that the peer took a delta.
+        Record that the peer received a delta.
 
-        :param delta: what was sent.
-        :param began: when the exchange began.
+        :param delta: the delta that was sent.
+        :param began: boot-clock time at which the exchange began.
         """
-        self.until = began
-        for one in delta.whole:
-            self.content_by_endpoint[one.record.endpoint] = content_of(one.record)
+        self.sent_until = began
+        for item in delta.whole:
+            self.content_by_endpoint[item.record.endpoint] = content_of(item.record)
 
     def lost(self) -> None:
-        """The exchange failed: the peer may have started again, and know nothing."""
+        """Forget all acknowledged records: the peer may have restarted and lost them."""
         self.content_by_endpoint.clear()
 
 
 CHANGING_FIELDS = ("sequence", "load")
 content_of = operator.attrgetter(
-    *(one.name for one in dataclasses.fields(EndpointRecord) if one.name not in CHANGING_FIELDS)
+    *(item.name for item in dataclasses.fields(EndpointRecord) if item.name not in CHANGING_FIELDS)
 )
-"""Everything of a record but what changes with each announcement."""
+"""Returns a record's fields except those that change with each announcement."""
 
 
 def refresh_of(record: EndpointRecord, age_s: float) -> entry_peer_pb2.Refresh:
     """
-    Encode that a record goes on.
+    Encode a refresh of a record that the peer has.
 
     :param record: the record.
-    :param age_s: seconds since its endpoint was heard.
+    :param age_s: seconds since the endpoint's last announcement.
     :return: the message.
     """
     return entry_peer_pb2.Refresh(
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_wire.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_wire.py
@@ -1,4 +1,4 @@
-"""Records on the wire between entries (proto/entry_peer.proto), each with its age."""
+"""Encoding of endpoint records between entries (proto/entry_peer.proto), each with its age."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     from ibisspring_core.endpoint_table import EndpointTable, Heard
 
 
-def pack(heard: Iterable[Heard], now: float) -> tuple[list[bytes], list[float]]:
+def pack(received: Iterable[Heard], now: float) -> tuple[list[bytes], list[float]]:
     """
     Encode records.
 
-    :param heard: what to send.
+    :param received: the records to send.
     :param now: seconds on this entry's boot clock.
-    :return: the records and their ages in seconds.
+    :return: the encoded records and, in the same order, their ages in seconds.
     """
     records = []
     ages_s = []
-    for one in heard:
-        records.append(encode(one.record))
-        ages_s.append(max(0.0, now - one.heard_at))
+    for item in received:
+        records.append(encode(item.record))
+        ages_s.append(max(0.0, now - item.heard_at))
     return records, ages_s
 
 
@@ -35,17 +35,18 @@
     table: EndpointTable, records: Sequence[bytes], ages_s: Sequence[float], now: float
 ) -> int:
     """
-    Take a peer's records into the table.
+    Merge a peer's records into the table.
 
-    A peer's word is as old as the peer says, and older by its way, which counts from when the
-    exchange began: so an endpoint that died is gone everywhere one TTL after it was last heard,
-    however many entries tell each other of it.
+    A record counts as old as the age that the peer sent plus the time since the exchange began. So
+    every entry removes a failed endpoint one TTL after its last announcement, however often entries
+    exchange its record.
 
     :param table: this entry's table.
     :param records: encoded records.
-    :param ages_s: their ages; a record without one is not believed.
-    :param now: when the exchange began, on this entry's boot clock.
-    :return: how many could not be read.
+    :param ages_s: the records' ages in seconds, in the same order; records without an age are
+        ignored.
+    :param now: boot-clock time at which the exchange began.
+    :return: the number of records that could not be decoded.
     """
     broken = 0
     for data, age_s in zip(records, ages_s, strict=False):
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peers.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peers.py
@@ -1,4 +1,4 @@
-"""The exchange with the other entries: one task per peer, and the server of EntryPeer."""
+"""The exchange with the other entries: one client task per peer, and the EntryPeer server."""
 
 from __future__ import annotations
 
@@ -27,14 +27,26 @@
     from ibisspring_core.settings import Settings
 
 EXCHANGE_EVERY_S = 1.0
+"""Seconds between two exchanges with a peer."""
+
 DIGEST_EVERY = 2
-"""Every so many exchanges carry the digest, so that a gap is repaired within about two seconds."""
+"""
+One of this many exchanges carries the table's digest, so that missing records are repaired within
+about two seconds.
+"""
 
 EXCHANGE_TIMEOUT_S = 2.0
-TOLD_TTL_S = 5.0
+"""Limit for one exchange."""
+
+PEER_REPORT_TTL_S = 5.0
+"""Seconds for which a peer's report of its demand is used."""
+
 STOP_GRACE_S = 1.0
+"""Seconds that running calls of peers get to end when the server stops."""
+
 CHANNEL_OPTIONS = (
-    # The library's own backoff grows to two minutes: a peer back from a restart would stay unheard.
+    # gRPC's default reconnect backoff grows to two minutes; a restarted peer would not be reached
+    # for that time.
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1000),
@@ -43,27 +55,28 @@
 
 
 @dataclass(frozen=True)
-class ToldByPeer:
+class PeerReport:
     """
-    What a peer is asked for.
+    The demand that a peer reported for itself.
 
-    :param heard_at: when it told, on this entry's boot clock.
-    :param demand_by_client_account: requests a second.
-    :param wanted_by_service: requests under way or waiting.
+    :param received_at: boot-clock time of the report: the start of the exchange if this entry
+        initiated it, else the receipt of the peer's request.
+    :param demand_by_client_account: requests per second.
+    :param wanted_by_service: number of running and waiting requests.
     """
 
-    heard_at: float
+    received_at: float
     demand_by_client_account: dict[str, float]
     wanted_by_service: dict[str, float]
 
 
-def begins_exchange(daemon: str, peer: str) -> bool:
+def initiates_exchange(daemon: str, peer: str) -> bool:
     """
-    Tell which entry of a pair calls the other; an answer carries as much as a call.
+    Decide whether this entry of a pair sends the requests; replies carry as much as requests.
 
-    :param daemon: this entry.
-    :param peer: the other one.
-    :return: the same on both sides for one of them only, spread evenly over all entries.
+    :param daemon: name of this entry's daemon.
+    :param peer: name of the peer's daemon.
+    :return: True on exactly one side of each pair; the pairs are spread evenly over the entries.
     """
     first, second = sorted((daemon, peer))
     even = xxhash.xxh64_intdigest(f"{first} {second}".encode()) % 2 == 0
@@ -71,7 +84,7 @@
 
 
 class PeerExchange:
-    """Hands this entry's endpoint records to the peers and takes theirs."""
+    """Exchanges endpoint records and demand with the other entries."""
 
     def __init__(self, daemon: str, listen: str, table: EndpointTable) -> None:
         self._daemon = daemon
@@ -79,8 +92,8 @@
         self._table = table
         self._task_by_daemon: dict[str, asyncio.Task[None]] = {}
         self._peer_by_daemon: dict[str, PeerRecord] = {}
-        self._told_by_daemon: dict[str, ToldByPeer] = {}
-        self._answered_by_daemon: dict[str, SentToPeer] = {}
+        self._report_by_daemon: dict[str, PeerReport] = {}
+        self._sent_in_replies_by_daemon: dict[str, SentToPeer] = {}
         self._server: grpc.aio.Server | None = None
         self.demand_by_client_account: dict[str, float] = {}
         self.wanted_by_service: dict[str, float] = {}
@@ -90,15 +103,15 @@
         """
         Build the exchange.
 
-        :param settings: settings of a daemon with the entry role.
-        :param table: this entry's table.
-        :return: the exchange.
+        :param settings: validated settings of a daemon with the entry role.
+        :param table: this entry's endpoint table.
+        :return: the exchange, not started.
         """
         return cls(settings.daemon, settings.entry.listen_peer, table)
 
     async def start(self, kernel: Kernel) -> None:
         """
-        Listen for peers and follow the view's list of them.
+        Start the server for peers and schedule the updates of the peer list from the view.
 
         :param kernel: the daemon's kernel.
         """
@@ -111,18 +124,18 @@
         )
         self._server.add_insecure_port(self._listen)
         await self._server.start()
-        kernel.find("timer").subscribe("peers", EXCHANGE_EVERY_S, self._follow_view)
+        kernel.find("timer").subscribe("peers", EXCHANGE_EVERY_S, self._update_peers)
 
     async def stop(self) -> None:
-        """Stop talking to the peers."""
+        """Cancel the exchanges with all peers and stop the server."""
         for task in self._task_by_daemon.values():
             task.cancel()
         await self._server.stop(STOP_GRACE_S)
 
-    async def _follow_view(self, now: float) -> None:
+    async def _update_peers(self, now: float) -> None:
         view = self._lease.view()
-        # A lapsed lease says nothing about the peers: the last known ones are kept, since what they
-        # know of the endpoints stays true.
+        # While the lease is lapsed there is no view. The last known peers are kept, since their
+        # records of endpoints remain valid.
         if not isinstance(view, Refusal):
             self._peer_by_daemon = dict(view.peer_by_daemon)
             self._peer_by_daemon.pop(self._daemon, None)
@@ -130,29 +143,30 @@
             if daemon not in self._peer_by_daemon:
                 self._task_by_daemon.pop(daemon).cancel()
         for daemon in self._peer_by_daemon:
-            if not begins_exchange(self._daemon, daemon):
+            if not initiates_exchange(self._daemon, daemon):
                 continue
-            talking = self._task_by_daemon.get(daemon)
-            if talking is None or talking.done():
-                self._task_by_daemon[daemon] = asyncio.create_task(self._talk(daemon))
+            task = self._task_by_daemon.get(daemon)
+            if task is None or task.done():
+                self._task_by_daemon[daemon] = asyncio.create_task(self._exchange_with(daemon))
 
-    async def _talk(self, daemon: str) -> None:
-        """Exchange with one peer until it leaves the view, over one channel while that works."""
+    async def _exchange_with(self, daemon: str) -> None:
+        """Exchange with one peer until it leaves the view; replace the channel after a failure."""
         channel: grpc.aio.Channel | None = None
         address = ""
         sent = SentToPeer()
-        number = 0
+        exchange_count = 0
         try:
             while True:
                 peer = self._peer_by_daemon[daemon]
                 if channel is None or address != peer.peer_address:
                     address = peer.peer_address
                     channel = grpc.aio.insecure_channel(address, CHANNEL_OPTIONS)
-                with_digest = number % DIGEST_EVERY == 0
-                number += 1
+                with_digest = exchange_count % DIGEST_EVERY == 0
+                exchange_count += 1
                 if not await self._exchange(daemon, channel, sent, with_digest):
-                    # A channel that the network lost track of stays silent for good while a new one
-                    # works: the deadline ends it.
+                    # If a device in the network has dropped a connection's state, its channel never
+                    # delivers a reply again, while a new channel works. The call's timeout detects
+                    # this.
                     await channel.close()
                     channel = None
                 await asyncio.sleep(EXCHANGE_EVERY_S)
@@ -187,17 +201,18 @@
         sent.acknowledged(delta, began)
         broken = take_all(self._table, reply.endpoints, reply.ages_s, began)
         self._counters.add("peer_record_broken", broken)
-        self._take_refreshes(reply.refreshes, began)
+        self._apply_refreshes(reply.refreshes, began)
         if reply.differs:
-            # It may have started again between two exchanges: refreshes of what it does not know
-            # are not taken there, and it begins no exchange with this entry itself.
+            # The peer may have restarted between two exchanges. It ignores refreshes of records
+            # that it lacks, and it never initiates an exchange of this pair, so the next request
+            # must carry complete records.
             sent.lost()
-        self._told_by_daemon[daemon] = ToldByPeer(
+        self._report_by_daemon[daemon] = PeerReport(
             began, dict(reply.demand_by_client_account), dict(reply.wanted_by_service)
         )
         return True
 
-    def _take_refreshes(self, refreshes: Iterable[entry_peer_pb2.Refresh], now: float) -> None:
+    def _apply_refreshes(self, refreshes: Iterable[entry_peer_pb2.Refresh], now: float) -> None:
         for refresh in refreshes:
             load = EndpointLoad(refresh.running, refresh.queued, refresh.capacity)
             start = (refresh.endpoint, refresh.incarnation)
@@ -205,23 +220,24 @@
 
     def answer(self, request: entry_peer_pb2.ExchangeRequest) -> entry_peer_pb2.ExchangeReply:
         """
-        Answer a peer's exchange.
+        Process a peer's request and build the reply.
 
-        An answer that is lost leaves a gap, which the digest of a later exchange repairs.
+        If the reply is lost, the peer lacks records until the digest of a later exchange differs.
 
-        :param request: its records, digest and demand.
-        :return: this entry's demand, and its newer records or, where the digests differ, all.
+        :param request: the peer's records, digest and demand.
+        :return: this entry's demand, with its new records or, if the digests differ, all records.
         """
         now = boot_now()
         broken = take_all(self._table, request.endpoints, request.ages_s, now)
         self._counters.add("peer_record_broken", broken)
-        self._take_refreshes(request.refreshes, now)
-        self._told_by_daemon[request.daemon] = ToldByPeer(
+        self._apply_refreshes(request.refreshes, now)
+        self._report_by_daemon[request.daemon] = PeerReport(
             now, dict(request.demand_by_client_account), dict(request.wanted_by_service)
         )
-        sent = self._answered_by_daemon.setdefault(request.daemon, SentToPeer())
+        sent = self._sent_in_replies_by_daemon.setdefault(request.daemon, SentToPeer())
         delta = sent.delta(self._table.heard(), now)
-        # Whether the answer arrives is not known here; what a lost one leaves out is in the digest.
+        # Whether the reply arrives is unknown here. If it is lost, the digests of a later exchange
+        # differ, and the records are sent again.
         sent.acknowledged(delta, now)
         known = [*delta.whole, *self._table.heard_lately(request.unheard, now)]
         differs = request.digest not in (0, self._table.digest())
@@ -238,22 +254,22 @@
             differs=differs,
         )
 
-    def told(self, now: float) -> dict[str, ToldByPeer]:
+    def recent_reports(self, now: float) -> dict[str, PeerReport]:
         """
-        What the peers told lately of what they are asked for.
+        Return the peers' reports of the last `PEER_REPORT_TTL_S` seconds.
 
         :param now: seconds on this entry's boot clock.
-        :return: by daemon.
+        :return: the newest report of each peer, by daemon name.
         """
         found = {}
-        for daemon, told in self._told_by_daemon.items():
-            if now - told.heard_at <= TOLD_TTL_S:
-                found[daemon] = told
+        for daemon, report in self._report_by_daemon.items():
+            if now - report.received_at <= PEER_REPORT_TTL_S:
+                found[daemon] = report
         return found
 
 
 class PeerServicer(entry_peer_pb2_grpc.EntryPeerServicer):
-    """The server of EntryPeer."""
+    """The gRPC server of the service EntryPeer."""
 
     def __init__(self, exchange: PeerExchange, kernel: Kernel) -> None:
         self._exchange = exchange
@@ -262,13 +278,13 @@
     async def Exchange(
         self, request: entry_peer_pb2.ExchangeRequest, context: grpc.aio.ServicerContext
     ) -> entry_peer_pb2.ExchangeReply:
-        """Take a peer's records; see proto/entry_peer.proto."""
+        """Merge a peer's records and reply with this entry's; see proto/entry_peer.proto."""
         return self._exchange.answer(request)
 
     async def FetchBatch(
         self, request: entry_peer_pb2.FetchBatchRequest, context: grpc.aio.ServicerContext
     ) -> AsyncIterator[entry_peer_pb2.BatchChunk]:
-        """Hand over a batch's payload; the service `rollouts` holds it."""
+        """Stream the payload of a batch that the service `rollouts` of this entry holds."""
         async for chunk in serve_batch(self._kernel.find("rollouts"), request):
             yield chunk
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
@@ -1,4 +1,4 @@
-"""The service `registry`."""
+"""The service `registry`: the endpoints known to this entry."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
     from ibisspring_core.settings import Settings
 
 EXPIRE_EVERY_S = 0.25
+"""Seconds between two checks for endpoints whose announcements have stopped."""
 
 
 class Registry:
-    """The endpoints that this entry knows of, and the exchange with the other entries."""
+    """The endpoints known to this entry, from announcements and from the exchange with peers."""
 
     name = "registry"
 
@@ -34,47 +35,51 @@
         """
         Build the service.
 
-        :param settings: settings of a daemon with the entry role.
-        :return: the service.
+        :param settings: validated settings of a daemon with the entry role.
+        :return: the service, not started.
         """
         table = EndpointTable(settings.entry.announce_ttl_s)
         return cls(table, PeerExchange.from_config(settings, table))
 
     async def start(self, kernel: Kernel) -> None:
-        """Start the exchange with the peers."""
+        """
+        Schedule the expiry of endpoints and start the exchange with the peers.
+
+        :param kernel: the daemon's kernel.
+        """
         self._kernel = kernel
         self._lease = kernel.find("lease")
         self._counters = kernel.find("counters")
-        kernel.find("timer").subscribe("registry", EXPIRE_EVERY_S, self._tick)
+        kernel.find("timer").subscribe("registry", EXPIRE_EVERY_S, self._expire_endpoints)
         await self._exchange.start(kernel)
 
     async def stop(self) -> None:
-        """End the exchange."""
+        """Stop the exchange with the peers."""
         await self._exchange.stop()
 
-    async def _tick(self, now: float) -> None:
+    async def _expire_endpoints(self, now: float) -> None:
         for endpoint in self.table.expire(now):
             self._counters.add("endpoint_silent")
             eliot.log_message("registry:endpoint_gone", endpoint=endpoint)
 
     def announce(self, record: EndpointRecord) -> str:
         """
-        Take an endpoint's own announcement.
+        Register an announcement that an endpoint sent to this entry.
 
-        :param record: the checked announcement.
-        :return: empty where it was taken, else why it was not.
+        :param record: the validated announcement.
+        :return: an empty text if the record was accepted, else the reason of its rejection.
         """
-        refused = self.table.take(record, boot_now())
-        if refused:
+        rejection = self.table.take(record, boot_now())
+        if rejection:
             self._counters.add("announcement_refused")
-        return refused
+        return rejection
 
     def records_of(self, service: str) -> tuple[EndpointRecord, ...]:
         """
-        Find the endpoints that may get new work: alive, not leaving, not draining.
+        Find the endpoints that may get new requests: not expired, not leaving and not draining.
 
-        :param service: the name that callers ask for.
-        :return: their records.
+        :param service: the service's name, as in callers' requests.
+        :return: the endpoints' records.
         """
         view = self._lease.view()
         draining = getattr(view, "draining", ())
@@ -87,13 +92,14 @@
 
     def pending_changes(self) -> tuple[tuple[EndpointRecord, ...], bool]:
         """
-        What the leader does not know yet; the renewal carries it.
+        Return the records that the next renewal must send to the leader.
 
-        :return: records that changed in more than load (of leaving ones, load as well), and whether
-            these are all records.
+        :return: records that changed in more than sequence and load, together with those of
+            draining endpoints and those of leaving endpoints whose load changed; and whether these
+            are all records of the table.
         """
         if self._all_pending:
-            return tuple(heard.record for heard in self.table.heard()), True
+            return tuple(received.record for received in self.table.heard()), True
         records = []
         for endpoint in sorted(self.table.changed | self._draining()):
             record = self.table.record_of(endpoint)
@@ -103,37 +109,37 @@
 
     def disprove(self, disproof: Disproof) -> None:
         """
-        Note that an engine's tokens disproved its announcement; the next renewal carries it.
+        Record that an engine's tokens contradicted its announcement, for the next renewal.
 
-        :param disproof: what was announced.
+        :param disproof: the announcement that was contradicted.
         """
         self._disproofs.add(disproof)
 
     def pending_disproofs(self) -> tuple[Disproof, ...]:
-        """What the leader was not told yet of disproved announcements."""
+        """Return the disproofs that the leader has not yet acknowledged."""
         return tuple(self._disproofs)
 
-    def disproofs_taken(self, disproofs: tuple[Disproof, ...]) -> None:
+    def disproofs_acknowledged(self, disproofs: tuple[Disproof, ...]) -> None:
         """
-        The leader has them.
+        Remove disproofs that the leader has acknowledged.
 
-        :param disproofs: what `pending_disproofs` gave before the renewal was sent.
+        :param disproofs: the result of `pending_disproofs` that the renewal carried.
         """
         self._disproofs.difference_update(disproofs)
 
-    def changes_taken(self, records: tuple[EndpointRecord, ...]) -> None:
+    def changes_acknowledged(self, records: tuple[EndpointRecord, ...]) -> None:
         """
-        The leader has them: what changed since stays pending.
+        Remove changes that the leader has acknowledged; records changed since then stay pending.
 
-        :param records: what `pending_changes` gave before the renewal was sent.
+        :param records: the records from `pending_changes` that the renewal carried.
         """
         self._all_pending = False
         for record in records:
             if self.table.record_of(record.endpoint) == record:
                 self.table.changed.discard(record.endpoint)
 
-    def want_all(self) -> None:
-        """The leader asks for all records: it is new, or missed something."""
+    def mark_all_pending(self) -> None:
+        """Send all records with the next renewal, because the leader is new or lacks some."""
         self._all_pending = True
 
     def _draining(self) -> set[str]:
@@ -142,38 +148,42 @@
 
     def set_demand(self, demand_by_client_account: dict[str, float]) -> None:
         """
-        Tell the peers what this entry's client accounts ask for.
+        Set the demand of client accounts at this entry that exchanges send to the peers.
 
-        :param demand_by_client_account: requests a second.
+        :param demand_by_client_account: requests per second.
         """
         self._exchange.demand_by_client_account = dict(demand_by_client_account)
 
     def set_wanted(self, wanted_by_service: dict[str, float]) -> None:
         """
-        Tell the peers what this entry has to do.
+        Set the number of requests at this entry that exchanges send to the peers.
 
-        :param wanted_by_service: requests under way or waiting.
+        :param wanted_by_service: number of running and waiting requests.
         """
         self._exchange.wanted_by_service = dict(wanted_by_service)
 
     def peer_demand(self) -> dict[str, tuple[float, dict[str, float]]]:
         """
-        What the other entries' client accounts ask for there.
+        Return the demand of client accounts at the other entries.
 
-        :return: by daemon, when it told and the demand by client account; only of peers heard
-            lately.
+        :return: by daemon name, the boot-clock time of the report and the requests per second by
+            client account; only of peers with a recent report.
         """
-        told = self._exchange.told(boot_now())
-        return {name: (one.heard_at, one.demand_by_client_account) for name, one in told.items()}
+        reports = self._exchange.recent_reports(boot_now())
+        return {
+            daemon: (report.received_at, report.demand_by_client_account)
+            for daemon, report in reports.items()
+        }
 
     def peer_wanted(self) -> dict[str, dict[str, float]]:
         """
-        What the other entries have to do.
+        Return the number of requests at the other entries.
 
-        :return: by daemon, requests under way or waiting by service; only of peers heard lately.
+        :return: by daemon name, the number of running and waiting requests by service; only of
+            peers with a recent report.
         """
-        told = self._exchange.told(boot_now())
-        return {name: one.wanted_by_service for name, one in told.items()}
+        reports = self._exchange.recent_reports(boot_now())
+        return {daemon: report.wanted_by_service for daemon, report in reports.items()}
 
 
 __all__ = ["Registry"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/role.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/role.py
@@ -22,11 +22,11 @@
     """
     Build the services of this role in start order.
 
-    `http` starts last, when all routes are known, and stops first, so that running requests finish
-    while everything that they need still works.
+    `http` starts last, when all routes are registered, and stops first, so that running requests
+    can finish while the services that they use still run.
 
-    :param settings: checked settings.
-    :return: the services.
+    :param settings: validated settings of this daemon.
+    :return: the services, in the order in which the kernel starts them.
     """
     return (
         Lease.from_config(settings),
--- a/tests/unit/entry/lease/test_holding.py
+++ b/tests/unit/entry/lease/test_holding.py
@@ -3,76 +3,80 @@
 from ibisspring_core.errors import Reason
 from ibisspring_core.messages.views import EntryView, PeerRecord
 from ibisspring_core.rules import key_digest
-from ibisspring_entry.lease.holding import Holding
+from ibisspring_entry.lease.holding import LeaseState
 
-ASKED = "# asked: archive desk, ticket 118"
-GRANTED = f"client_account forge key sha256:{key_digest('key')} rate 1/s weight 1 {ASKED}"
-WITHDRAWN = f"client_account forge rate 1/s weight 1 {ASKED}"
+RULE_COMMENT = "# asked: archive desk, ticket 118"
+GRANTED = f"client_account forge key sha256:{key_digest('key')} rate 1/s weight 1 {RULE_COMMENT}"
+WITHDRAWN = f"client_account forge rate 1/s weight 1 {RULE_COMMENT}"
 
 
 def test_a_grant_counts_from_its_sending_however_late_its_answer_comes() -> None:
     """
-    The answer to a renewal is ten seconds under way; the leader has long taken the lease for
-    lapsed and told an operator that the key is withdrawn everywhere.
+    The reply to a renewal arrives after 10 seconds. By then the leader counts the lease as lapsed
+    and has reported to an operator that the key is withdrawn on every entry.
 
-    Counted from the receipt the entry would serve that key for three seconds more.
+    If the lease counted from the receipt of the reply, the entry would accept that key for 3 more
+    seconds.
     """
-    holding = Holding()
-    holding.take(EntryView(5, 1, GRANTED), 1)
+    state = LeaseState()
+    state.apply(EntryView(5, 1, GRANTED), 1)
 
-    holding.extend(sent_s=100.0, lease_s=3.0)
+    state.extend(sent_s=100.0, lease_s=3.0)
 
-    assert holding.lapsed(110.0)
-    assert not holding.lapsed(102.9)
-    refusal = holding.refusal()
+    assert state.lapsed(110.0)
+    assert not state.lapsed(102.9)
+    refusal = state.refusal()
     assert (refusal.reason, refusal.not_run) == (Reason.LEASE_LAPSED, True)
 
 
 def test_an_older_view_never_comes_back_into_force() -> None:
     """
-    Two answers overtake each other: the one without the withdrawn key is in force, then the older
-    one arrives.
+    Two replies arrive out of order: the view without the withdrawn key is already in force when the
+    older view arrives.
 
-    Taken, it would give the withdrawn key its power again.
+    Applying the older view would make the withdrawn key valid again.
     """
-    holding = Holding()
-    holding.take(EntryView(5, 1, GRANTED), 1)
-    assert holding.rules.client_account_of("key") == "forge"
-    assert holding.take(EntryView(9, 2, WITHDRAWN), 1)
+    state = LeaseState()
+    state.apply(EntryView(5, 1, GRANTED), 1)
+    assert state.rules.client_account_of("key") == "forge"
+    assert state.apply(EntryView(9, 2, WITHDRAWN), 1)
 
-    assert not holding.accepts(EntryView(5, 1, GRANTED))
+    assert not state.accepts(EntryView(5, 1, GRANTED))
 
-    assert holding.rules.client_account_of("key") is None
-    assert holding.accepts(EntryView(9, 2, WITHDRAWN))
+    assert state.rules.client_account_of("key") is None
+    assert state.accepts(EntryView(9, 2, WITHDRAWN))
 
 
 def test_without_a_view_there_is_no_lease() -> None:
-    holding = Holding()
-    holding.extend(sent_s=100.0, lease_s=3.0)
+    state = LeaseState()
+    state.extend(sent_s=100.0, lease_s=3.0)
 
-    assert holding.lapsed(100.1)
+    assert state.lapsed(100.1)
 
 
-def test_rules_that_do_not_parse_are_not_taken() -> None:
-    holding = Holding()
-    holding.take(EntryView(5, 1, GRANTED), 1)
+def test_rules_that_do_not_parse_are_not_accepted() -> None:
+    state = LeaseState()
+    state.apply(EntryView(5, 1, GRANTED), 1)
 
-    assert not holding.accepts(EntryView(6, 2, "a rule of a later release"))
+    assert not state.accepts(EntryView(6, 2, "a rule of a later release"))
 
 
-def test_entries_that_a_new_leader_has_not_heard_of_stay_known() -> None:
+def test_peers_missing_from_a_new_leaders_incomplete_view_are_kept() -> None:
     """
-    A leader has just risen and has heard from one entry only; its view names that one.
+    A newly elected leader has received a renewal from one entry only, and its view lists only that.
 
-    Taken as all, the entry would use the whole rate of each client account beside its peers.
+    If this entry treated the list as complete, it would use the complete rate of each client
+    account although its peers use their shares too.
     """
     peers = {name: PeerRecord(name, 1, "derby", "a") for name in ("e1", "e2")}
-    holding = Holding()
-    holding.take(EntryView(5, 1, GRANTED, peer_by_daemon=peers), 1)
+    state = LeaseState()
+    state.apply(EntryView(5, 1, GRANTED, peer_by_daemon=peers), 1)
 
-    early = EntryView(5, 1, GRANTED, peer_by_daemon={"e1": peers["e1"]}, peers_complete=False)
-    holding.take(early, 2)
-    assert sorted(holding.view.peer_by_daemon) == ["e1", "e2"]
+    incomplete_view = EntryView(
+        5, 1, GRANTED, peer_by_daemon={"e1": peers["e1"]}, peers_complete=False
+    )
+    state.apply(incomplete_view, 2)
+    assert sorted(state.view.peer_by_daemon) == ["e1", "e2"]
 
-    holding.take(EntryView(5, 1, GRANTED, peer_by_daemon={"e1": peers["e1"]}), 3)
-    assert sorted(holding.view.peer_by_daemon) == ["e1"]
+    state.apply(EntryView(5, 1, GRANTED, peer_by_daemon={"e1": peers["e1"]}), 3)
+    assert sorted(state.view.peer_by_daemon) == ["e1"]
--- a/tests/unit/entry/registry/test_peers.py
+++ b/tests/unit/entry/registry/test_peers.py
@@ -5,23 +5,24 @@
 from ibisspring_core.counters import Counters
 from ibisspring_core.endpoint_table import EndpointTable
 from ibisspring_core.pb import entry_peer_pb2
-from ibisspring_entry.registry.peers import PeerExchange, begins_exchange
+from ibisspring_entry.registry.peers import PeerExchange, initiates_exchange
 
 
-def test_one_of_each_pair_begins_and_no_entry_carries_most_pairs() -> None:
+def test_one_entry_of_each_pair_initiates_and_pairs_are_spread_evenly() -> None:
     names = [f"e{number}" for number in range(40)]
-    begun = dict.fromkeys(names, 0)
+    pairs_by_entry = dict.fromkeys(names, 0)
 
     for first, second in combinations(names, 2):
-        assert begins_exchange(first, second) != begins_exchange(second, first)
-        begun[first if begins_exchange(first, second) else second] += 1
+        assert initiates_exchange(first, second) != initiates_exchange(second, first)
+        pairs_by_entry[first if initiates_exchange(first, second) else second] += 1
 
-    assert max(begun.values()) < 2 * 39 / 2
+    assert max(pairs_by_entry.values()) < 2 * 39 / 2
 
 
-def test_peer_that_started_again_says_that_it_lacks_records() -> None:
-    # An entry starts again between two exchanges. The other goes on sending it refreshes of records
-    # that it does not know, and its callers are refused for want of endpoints.
+def test_a_restarted_peer_reports_that_it_lacks_records() -> None:
+    # An entry restarts between two exchanges. Without the report, the peer would send it only
+    # refreshes of records that the restarted entry lacks, and that entry would refuse its callers
+    # because it knows no endpoints.
     restarted = PeerExchange("e2", "", EndpointTable(5.0))
     restarted._counters = Counters.from_config(None)
 
