--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/__init__.py
@@ -1,4 +1,4 @@
-"""Trainers' steps: gathering, scoring and delivering samples."""
+"""Training steps: generates, scores and delivers the samples of each step."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one sample: a generation whose labels are taken run by run."""
+"""One attempt to generate one sample, with a weight version label for each run of tokens."""
 
 from __future__ import annotations
 
@@ -16,59 +16,62 @@
 
 
 @dataclass(frozen=True)
-class Bound:
+class StalenessBound:
     """
-    The staleness bound as it stands now.
+    The staleness bound of a trainer at one moment.
 
     :param trainer_version: the trainer's newest weight version.
-    :param versions: how many versions a sample may be behind it.
+    :param max_versions_behind: how many versions a sample may be older than `trainer_version`.
     """
 
     trainer_version: int
-    versions: int
+    max_versions_behind: int
 
     def allows(self, oldest_version: int) -> bool:
-        """Whether a sample whose oldest token was made by that version is fresh enough."""
-        return not is_stale(oldest_version, self.trainer_version, self.versions)
+        """Return whether a sample whose oldest label is `oldest_version` is fresh enough."""
+        return not is_stale(oldest_version, self.trainer_version, self.max_versions_behind)
 
 
 @dataclass(frozen=True)
 class AttemptPlan:
     """
-    What one attempt generates.
+    The generation that one attempt runs.
 
-    :param sample: id of the sample that it makes, its own also in a race.
+    :param sample_id: id of the sample; unique to the attempt, also when two attempts race for the
+        same sample.
     """
 
-    sample: str
+    sample_id: str
     group: str
     member: int
     prompt: str
     request: GenerateRequest
 
 
-class EngineInUse:
+class AttemptEngine:
     """
-    Where an attempt runs, filled as its tokens come; a race goes elsewhere.
+    The engine that runs an attempt and the version of its first tokens.
 
-    :param bound: the staleness bound when the attempt began.
+    Both are set while the attempt runs. A second attempt at the same sample avoids this engine.
+
+    :param bound: the staleness bound when the attempt started.
     """
 
-    def __init__(self, bound: Bound) -> None:
+    def __init__(self, bound: StalenessBound) -> None:
         self._bound = bound
         self.endpoint = ""
         self.first_version: int | None = None
 
-    def is_disproved(self) -> bool:
-        """Whether the first tokens were too old already when the attempt began."""
+    def was_stale_at_start(self) -> bool:
+        """Return whether the first tokens were already too old when the attempt started."""
         return self.first_version is not None and not self._bound.allows(self.first_version)
 
-    def note_endpoint(self, endpoint: str) -> None:
-        """Note where the generation is tried."""
+    def set_endpoint(self, endpoint: str) -> None:
+        """Set the endpoint to which the generation request was sent."""
         self.endpoint = endpoint
 
-    def note_version(self, version: int | None) -> None:
-        """Note the label of tokens."""
+    def set_version(self, version: int | None) -> None:
+        """Set the version label of the first tokens; later calls have no effect."""
         if self.first_version is None:
             self.first_version = version
 
@@ -76,12 +79,12 @@
 @dataclass(frozen=True)
 class Discarded:
     """
-    An attempt that made no sample.
+    The result of an attempt that produced no sample.
 
     :param cause: `missing_label`, `stale`, `short` or `failed`; counted as
         `samples.discarded.<cause>`.
     :param reason: why the generation failed, for `failed`.
-    :param retry_after_s: when the endpoints said that another try helps.
+    :param retry_after_s: seconds after which the endpoints asked for a retry.
     """
 
     cause: str
@@ -90,18 +93,21 @@
 
 
 async def run_attempt(
-    endpoints: Any, plan: AttemptPlan, bound: Callable[[], Bound], engine: EngineInUse
+    endpoints: Any,
+    plan: AttemptPlan,
+    current_bound: Callable[[], StalenessBound],
+    engine: AttemptEngine,
 ) -> Sample | Discarded:
     """
     Generate one sample.
 
     :param endpoints: the kernel's `endpoints`.
     :param plan: what to generate.
-    :param bound: the staleness bound at the moment of the call; a sample that has become too old is
-        given up at once, before it costs more. The check that counts is made at the delivering
-        commit.
-    :param engine: told which engine the tokens come from.
-    :return: the whole sample with its label runs, or why there is none.
+    :param current_bound: returns the staleness bound at the time of the call. An attempt whose
+        tokens have become too old is cancelled at once to save engine time; the binding check is
+        made when the delivery of the batch is committed.
+    :param engine: receives the version of the first tokens.
+    :return: the complete sample with its label runs, or the cause why none was produced.
     """
     tokens: list[int] = []
     runs: tuple[LabelRun, ...] = ()
@@ -111,27 +117,27 @@
             if isinstance(item, Failed):
                 return Discarded("failed", item.refusal.reason, item.refusal.retry_after_s)
             if isinstance(item, End):
-                return _finish(plan, tokens, runs, item)
+                return _complete_sample(plan, tokens, runs, item)
             if not isinstance(item, TokenRun) or not item.tokens:
                 continue
-            engine.note_version(item.version)
+            engine.set_version(item.version)
             labelled = add_run(runs, item.version, len(item.tokens))
             if labelled is None:
                 return Discarded("missing_label")
             runs = labelled
             tokens.extend(item.tokens)
-            if not bound().allows(_oldest(runs)):
+            if not current_bound().allows(_oldest_version(runs)):
                 return Discarded("stale")
     finally:
         await stream.aclose()
     return Discarded("short")
 
 
-def _oldest(runs: tuple[LabelRun, ...]) -> int:
+def _oldest_version(runs: tuple[LabelRun, ...]) -> int:
     return min(run.version for run in runs)
 
 
-def _finish(
+def _complete_sample(
     plan: AttemptPlan,
     tokens: list[int],
     runs: tuple[LabelRun, ...],
@@ -140,8 +146,8 @@
     if end.total != len(tokens) or not tokens:
         return Discarded("short")
     return Sample(
-        plan.sample, plan.group, plan.member, plan.prompt, tuple(tokens), runs, end.endpoint_s
+        plan.sample_id, plan.group, plan.member, plan.prompt, tuple(tokens), runs, end.endpoint_s
     )
 
 
-__all__ = ["AttemptPlan", "Bound", "Discarded", "run_attempt"]
+__all__ = ["AttemptPlan", "Discarded", "StalenessBound", "run_attempt"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/engine_choice.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/engine_choice.py
@@ -1,4 +1,4 @@
-"""Which engines may work for a trainer now, and how many attempts they have room for."""
+"""Selects the engines that may run attempts of a trainer's step, and how many in parallel."""
 
 from __future__ import annotations
 
@@ -6,24 +6,26 @@
 
 from ibisspring_core.messages.endpoints import Disproof
 from ibisspring_decisions.sampling import is_stale
-from ibisspring_entry.rollouts.trainer_rules import bound_of, room_of
+from ibisspring_entry.rollouts.trainer_rules import staleness_bound_of, trainer_concurrency_limit
 
 if TYPE_CHECKING:
     from ibisspring_core.messages.endpoints import EndpointRecord
 
-DISTRUST_S = 5.0
-"""Long enough to keep a lying engine from eating a step's time, short against the minutes between
-versions, so that an engine that mends itself is soon used again."""
+EXCLUSION_S = 5.0
+"""Seconds without attempts on an engine whose tokens were unlabelled or older than announced.
+
+Long enough that such an engine does not use up the time of a step; short against the minutes
+between two versions, so that an engine that has recovered is soon used again."""
 
 
 class EngineChoice:
     """
-    The engines of one step.
+    The engines that one step may use.
 
-    An engine is left out while it announces a version that is too old for the trainer, and for a
-    while after its tokens had no label or an older one than announced (a swap that was reported
-    done and was not). Work started there would only be thrown away. Neither is needed for a true
-    label.
+    An engine is excluded while it announces a version that is too old for the trainer, and for
+    `EXCLUSION_S` after its tokens had no label or an older version than announced (a weight swap
+    that was reported as done but was not). Samples generated there would only be discarded. The
+    exclusion saves work; correct labels do not depend on it.
     """
 
     def __init__(
@@ -37,50 +39,52 @@
         self._registry = registry
         self._trainer = trainer
         self._model = model
-        self._distrusted_until_s: dict[str, float] = {}
+        self._excluded_until_s: dict[str, float] = {}
 
-    def room(self, running: int, now: float) -> int:
+    def concurrency_limit(self, running: int, now: float) -> int:
         """
-        Count the attempts that the step may run at a time.
+        Return how many attempts of the step may run concurrently.
 
         :param running: attempts of the step that run now.
-        :param now: seconds on the clock of `distrust`.
+        :param now: monotonic time in seconds, on the same clock as for `exclude`.
         """
-        left_out = self.left_out(now)
-        engines = tuple(record for record in self._engines() if record.endpoint not in left_out)
-        return room_of(self._lease, engines, self._trainer, self._model, running)
+        excluded = self.excluded(now)
+        engines = tuple(record for record in self._engines() if record.endpoint not in excluded)
+        return trainer_concurrency_limit(self._lease, engines, self._trainer, self._model, running)
 
-    def left_out(self, now: float) -> tuple[str, ...]:
+    def excluded(self, now: float) -> tuple[str, ...]:
         """
-        List the engines that no attempt may use.
+        Return the names of the engines on which no attempt may start.
 
-        :param now: seconds on the clock of `distrust`.
+        :param now: monotonic time in seconds, on the same clock as for `exclude`.
         """
-        bound = bound_of(self._lease, self._trainer)
+        bound = staleness_bound_of(self._lease, self._trainer)
         found = []
         for record in self._engines():
             version = announced_version(record, self._trainer)
-            old = version is not None and is_stale(version, bound.trainer_version, bound.versions)
-            if old or self._distrusted_until_s.get(record.endpoint, 0.0) > now:
+            old = version is not None and is_stale(
+                version, bound.trainer_version, bound.max_versions_behind
+            )
+            if old or self._excluded_until_s.get(record.endpoint, 0.0) > now:
                 found.append(record.endpoint)
         return tuple(found)
 
-    def distrust(self, endpoint: str, now: float) -> None:
+    def exclude(self, endpoint: str, now: float) -> None:
         """
-        Leave an engine out for a while.
+        Exclude an engine for `EXCLUSION_S`.
 
-        :param now: seconds.
+        :param now: monotonic time in seconds.
         """
-        self._distrusted_until_s[endpoint] = now + DISTRUST_S
+        self._excluded_until_s[endpoint] = now + EXCLUSION_S
 
-    def disprove(self, endpoint: str, version: int, now: float) -> None:
+    def exclude_and_report(self, endpoint: str, version: int, now: float) -> None:
         """
-        Leave an engine out whose first tokens were older than announced, and tell the leader.
+        Exclude an engine whose first tokens were older than announced, and report it to the leader.
 
-        :param version: what the tokens said.
-        :param now: seconds.
+        :param version: version label of the tokens.
+        :param now: monotonic time in seconds.
         """
-        self.distrust(endpoint, now)
+        self.exclude(endpoint, now)
         for record in self._engines():
             announced = record.version_by_adapter.get(self._trainer)
             if record.endpoint != endpoint or announced is None or announced <= version:
@@ -96,12 +100,13 @@
 
 def announced_version(record: EndpointRecord, trainer: str) -> int | None:
     """
-    Read what an engine says that it uses for a trainer.
+    Return the weight version that an engine announces for a trainer.
 
-    :return: the adapter's version, else the base's; None where it says neither.
+    :return: the version of the trainer's adapter, else of the base model; None if neither is
+        announced.
     """
     versions = record.version_by_adapter
     return versions.get(trainer, versions.get(""))
 
 
-__all__ = ["DISTRUST_S", "EngineChoice", "announced_version"]
+__all__ = ["EXCLUSION_S", "EngineChoice", "announced_version"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
@@ -1,4 +1,4 @@
-"""Gathers the samples of one open step on the entry that owns it."""
+"""Generates the samples of one open step on the entry that owns it."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from ibisspring_decisions.sampling import may_start, plan_starts
 from ibisspring_entry.proxy import GenerateRequest
 from ibisspring_entry.rollouts.attempt import (
+    AttemptEngine,
     AttemptPlan,
-    Bound,
     Discarded,
-    EngineInUse,
+    StalenessBound,
     run_attempt,
 )
 from ibisspring_entry.rollouts.member import Member
@@ -27,20 +27,20 @@
     from ibisspring_entry.rollouts.engine_choice import EngineChoice
     from ibisspring_entry.rollouts.step_request import StepRequest
 
-RETRY_FIRST_S = 0.1
-RETRY_MOST_S = 5.0
-LOOK_AGAIN_S = 0.2
-# As long as a sample may take: a straggler is raced long before.
-ATTEMPT_S = 600.0
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
+PLAN_INTERVAL_S = 0.2
+# Upper limit for generating one sample; a second attempt is started long before for a straggler.
+ATTEMPT_TIMEOUT_S = 600.0
 
 
 @dataclass(frozen=True)
 class StepKey:
     """
-    Names a step and who gathers it.
+    Identifies a step under one owner.
 
-    :param epoch: rises when the step changes hands; sample ids contain it, so that what a lost
-        owner still held can never be taken for a sample of the new one.
+    :param epoch: increases when another entry takes over the step. Sample ids contain it, so that
+        samples still held by a lost owner cannot be confused with those of the new owner.
     """
 
     trainer: str
@@ -49,53 +49,55 @@
 
 
 @dataclass(frozen=True)
-class GatherNeeds:
+class GatheringContext:
     """
-    What a gathering is given.
+    The services and rules that a gathering uses.
 
     :param endpoints: the kernel's `endpoints`.
     :param counters: the kernel's `counters`.
-    :param client_account: whom the tokens are for.
-    :param bound: the staleness bound now.
-    :param engines: which engines may be used and what they have room for.
-    :param expected: versions that the trainer will probably publish before it asks for the batch.
-    :param score: waits until a sample has a score of its own version.
+    :param client_account: client account that the generated tokens are billed to.
+    :param current_bound: returns the staleness bound at the time of the call.
+    :param engines: selects the engines and limits the concurrent attempts.
+    :param expected_publications: number of versions that the trainer will probably publish before
+        it requests the batch.
+    :param score: scores a sample for its newest version and returns it; None for a step without
+        scores.
     """
 
     endpoints: Any
     counters: Any
     client_account: str
-    bound: Callable[[], Bound]
+    current_bound: Callable[[], StalenessBound]
     engines: EngineChoice
-    expected: int = 0
+    expected_publications: int = 0
     score: Callable[[tuple[Sample, ...]], Any] | None = None
 
 
 class Gathering:
-    """The samples of one step, made again until the batch is whole."""
+    """Generates the samples of one step and replaces stale ones until the batch is complete."""
 
-    def __init__(self, key: StepKey, request: StepRequest, needs: GatherNeeds) -> None:
+    def __init__(self, key: StepKey, request: StepRequest, context: GatheringContext) -> None:
         self.key = key
         self.request = request
-        self._needs = needs
+        self._context = context
         self._members = [
             Member(group, member)
             for group in range(len(request.groups))
             for member in range(request.group_size)
         ]
         self._durations_s: list[float] = []
-        self._opened_version = needs.bound().trainer_version
-        self._trainer_waits = False
-        self._checked_bound: Bound | None = None
+        self._opened_version = context.current_bound().trainer_version
+        self._batch_requested = False
+        self._checked_bound: StalenessBound | None = None
         self._wake = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to gather."""
+        """Start the task that generates the samples."""
         self._task = asyncio.create_task(self._run(), name=f"gather:{self.key}")
 
     async def stop(self) -> None:
-        """Cancel all attempts; the engines are told by the closed streams."""
+        """Cancel all attempts; closing their streams makes the engines stop generating."""
         tasks = [task for member in self._members for task in member.tasks]
         if self._task is not None:
             tasks.append(self._task)
@@ -103,43 +105,43 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def trainer_asks(self) -> int | None:
+    def note_batch_request(self) -> int | None:
         """
-        Note that the trainer asked for the batch.
+        Record that the trainer requested the batch.
 
-        :return: at its first question, how many versions it published since the step was opened;
-            None later.
+        :return: at the first request, how many versions the trainer has published since the step
+            was opened; None at later requests.
         """
-        if self._trainer_waits:
+        if self._batch_requested:
             return None
-        self._trainer_waits = True
+        self._batch_requested = True
         self._wake.set()
-        return self._needs.bound().trainer_version - self._opened_version
+        return self._context.current_bound().trainer_version - self._opened_version
 
-    def ready(self) -> int:
-        """How many samples are there, fresh and scored where scores were asked for."""
+    def ready_count(self) -> int:
+        """Return the number of finished samples, scored if the step requires scores."""
         return sum(1 for member in self._members if member.sample is not None)
 
-    def whole(self) -> tuple[Sample, ...] | None:
-        """Every sample in the order of groups and members, or None while one is missing."""
+    def complete_samples(self) -> tuple[Sample, ...] | None:
+        """Return all samples in the order of groups and members, or None while one is missing."""
         self.discard_stale()
         samples = tuple(member.sample for member in self._members if member.sample is not None)
         return samples if len(samples) == len(self._members) else None
 
-    def replace(self, sample_ids: tuple[str, ...]) -> None:
+    def regenerate(self, sample_ids: tuple[str, ...]) -> None:
         """
-        Make samples again under new ids.
+        Discard samples and generate them again under new ids.
 
-        :param sample_ids: samples that the delivering commit found too old.
+        :param sample_ids: samples that were too old when the delivery was committed.
         """
         for member in self._members:
-            if member.sample is not None and member.sample.sample in sample_ids:
+            if member.sample is not None and member.sample.sample_id in sample_ids:
                 self._discard(member, "stale")
         self._wake.set()
 
     def discard_stale(self) -> None:
-        """Throw away finished samples that have become too old, before they cost a commit."""
-        bound = self._needs.bound()
+        """Discard finished samples that have become too old, to save a commit that would fail."""
+        bound = self._context.current_bound()
         if bound == self._checked_bound:
             return
         self._checked_bound = bound
@@ -151,30 +153,35 @@
 
     def _discard(self, member: Member, cause: str) -> None:
         member.sample = None
-        member.taken = False
-        self._needs.counters.add(f"samples.discarded.{cause}")
+        member.has_winner = False
+        self._context.counters.add(f"samples.discarded.{cause}")
 
     async def _run(self) -> None:
         while True:
             self._wake.clear()
             self.discard_stale()
-            self._start_planned()
-            # Not wait_for: it drops a cancellation that comes in the same turn as the event, and
-            # stop() would wait for this task for ever.
+            self._start_attempts()
+            # Not wait_for: it loses a cancellation that arrives in the same iteration of the event
+            # loop as the event, and stop() would wait for this task forever.
             try:
-                async with asyncio.timeout(LOOK_AGAIN_S):
+                async with asyncio.timeout(PLAN_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 continue
 
-    def _start_planned(self) -> None:
+    def _start_attempts(self) -> None:
         running = sum(len(member.started_by_task) for member in self._members)
-        bound = self._needs.bound()
+        bound = self._context.current_bound()
         published = bound.trainer_version - self._opened_version
-        if not may_start(self._needs.expected, published, bound.versions, self._trainer_waits):
+        if not may_start(
+            self._context.expected_publications,
+            published,
+            bound.max_versions_behind,
+            self._batch_requested,
+        ):
             return
         now = time.monotonic()
-        free = self._needs.engines.room(running, now) - running
+        free = self._context.engines.concurrency_limit(running, now) - running
         if free <= 0:
             return
         views = tuple(member.view() for member in self._members)
@@ -182,76 +189,79 @@
         for start in starts:
             member = self._members[start.group * self.request.group_size + start.member]
             if start.race:
-                self._needs.counters.add("samples.raced")
-            self._start(member)
+                self._context.counters.add("samples.raced")
+            self._start_attempt(member)
 
-    def _start(self, member: Member) -> None:
+    def _start_attempt(self, member: Member) -> None:
         member.attempts += 1
-        engine = EngineInUse(self._needs.bound())
+        engine = AttemptEngine(self._context.current_bound())
         plan = self._plan(member, engine)
-        task = asyncio.create_task(self._attempt(member, plan, engine))
-        member.started(task, engine, time.monotonic())
+        task = asyncio.create_task(self._run_attempt(member, plan, engine))
+        member.add_attempt(task, engine, time.monotonic())
 
-    def _plan(self, member: Member, engine: EngineInUse) -> AttemptPlan:
+    def _plan(self, member: Member, engine: AttemptEngine) -> AttemptPlan:
         group = self.request.groups[member.group]
         key = self.key
-        # By the group's number: its name may hold what a header or a path cannot.
-        place = f"{member.group}:{member.member}.{member.attempts}"
-        sample = f"{key.trainer}:{key.step}:{key.epoch}:{place}"
+        # Uses the index of the group: its name may contain characters that are not allowed in a
+        # header or a path.
+        position = f"{member.group}:{member.member}.{member.attempts}"
+        sample_id = f"{key.trainer}:{key.step}:{key.epoch}:{position}"
         request = GenerateRequest(
-            request_id=sample,
-            client_account=self._needs.client_account,
+            request_id=sample_id,
+            client_account=self._context.client_account,
             model=self.request.model,
             adapter=key.trainer,
             prompt=group.prompt,
             max_tokens=self.request.max_tokens,
-            avoid=self._needs.engines.left_out(time.monotonic()) + member.endpoints(),
-            deadline_s=ATTEMPT_S,
-            note_endpoint=engine.note_endpoint,
+            avoid=self._context.engines.excluded(time.monotonic()) + member.engines_in_use(),
+            deadline_s=ATTEMPT_TIMEOUT_S,
+            note_endpoint=engine.set_endpoint,
         )
-        return AttemptPlan(sample, group.group, member.member, group.prompt, request)
+        return AttemptPlan(sample_id, group.group, member.member, group.prompt, request)
 
-    async def _attempt(self, member: Member, plan: AttemptPlan, engine: EngineInUse) -> None:
+    async def _run_attempt(self, member: Member, plan: AttemptPlan, engine: AttemptEngine) -> None:
         started_s = time.monotonic()
-        result = await run_attempt(self._needs.endpoints, plan, self._needs.bound, engine)
-        if member.taken:
+        result = await run_attempt(
+            self._context.endpoints, plan, self._context.current_bound, engine
+        )
+        if member.has_winner:
             return
         if isinstance(result, Sample):
-            member.take(asyncio.current_task())
-            # With the wait for a turn: whoever only waits is no straggler, and racing it would make
-            # the line longer.
+            member.select_winner(asyncio.current_task())
+            # Includes the time in the queue for an engine: an attempt that is only queued is not a
+            # straggler, and a second attempt for it would make the queue longer.
             self._durations_s.append(time.monotonic() - started_s)
             self._wake.set()
-            member.sample = await self._scored(result)
-            # It may have become too old while it waited for its score.
+            member.sample = await self._with_score(result)
+            # Forces a staleness check: the sample may have become too old while it was scored.
             self._checked_bound = None
             member.failures = 0
         else:
-            self._failed(member, plan, result)
+            self._record_failure(member, plan, result)
         now = time.monotonic()
-        if engine.is_disproved():
-            self._needs.engines.disprove(engine.endpoint, engine.first_version, now)
+        if engine.was_stale_at_start():
+            self._context.engines.exclude_and_report(engine.endpoint, engine.first_version, now)
         elif result == Discarded("missing_label"):
-            self._needs.engines.distrust(engine.endpoint, now)
+            self._context.engines.exclude(engine.endpoint, now)
         self._wake.set()
 
-    async def _scored(self, sample: Sample) -> Sample:
-        return sample if self._needs.score is None else await self._needs.score(sample)
+    async def _with_score(self, sample: Sample) -> Sample:
+        return sample if self._context.score is None else await self._context.score(sample)
 
-    def _failed(self, member: Member, plan: AttemptPlan, result: Discarded) -> None:
-        self._needs.counters.add(f"samples.discarded.{result.cause}")
+    def _record_failure(self, member: Member, plan: AttemptPlan, result: Discarded) -> None:
+        self._context.counters.add(f"samples.discarded.{result.cause}")
         if result.reason is not None:
-            self._needs.counters.retried(result.reason)
+            self._context.counters.retried(result.reason)
         eliot.log_message(
             "rollouts:attempt_discarded",
-            sample=plan.sample,
+            sample=plan.sample_id,
             cause=result.cause,
             reason=result.reason.value if result.reason is not None else "",
         )
-        member.taken = False
+        member.has_winner = False
         member.failures += 1
-        backoff_s = min(RETRY_MOST_S, RETRY_FIRST_S * 2 ** (member.failures - 1))
+        backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2 ** (member.failures - 1))
         member.not_before_s = time.monotonic() + max(backoff_s, result.retry_after_s or 0.0)
 
 
-__all__ = ["GatherNeeds", "Gathering", "StepKey"]
+__all__ = ["Gathering", "GatheringContext", "StepKey"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/owned_step.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/owned_step.py
@@ -1,4 +1,4 @@
-"""A step on the entry that owns it."""
+"""State of a step on the entry that owns it."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 class OwnedStep:
     """
-    A step that this entry gathers and whose payload it holds until the trainer has it.
+    A step owned by this entry, which holds the batch until the trainer acknowledges it.
 
-    `proposed` is a batch whose delivery may have been committed, `batch` the one that was.
+    `proposed` is a batch whose delivery was proposed and may have been committed; `batch` is the
+    batch whose delivery is known to be committed.
     """
 
     def __init__(self, request: StepRequest, gathering: Gathering, scorer: ScoreBatcher) -> None:
@@ -26,7 +27,7 @@
         self.batch: Batch | None = None
 
     async def stop(self) -> None:
-        """End all work for the step."""
+        """Cancel generation and scoring of the step."""
         await self.gathering.stop()
         await self.scorer.stop()
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/ownership.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/ownership.py
@@ -1,4 +1,4 @@
-"""Who holds a step, and whether that entry still lives."""
+"""Determines which entry owns a step and whether that entry still holds a valid lease."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 
 
 def is_own(state: StepState, commands: StepCommands) -> bool:
-    """Whether this start of this entry owns the step."""
+    """Return whether this entry, in its current incarnation, owns the step."""
     return state.daemon == commands.daemon and state.incarnation == commands.incarnation
 
 
-def is_current(state: StepState, key: StepKey) -> bool:
-    """Whether what was gathered under a key may still be delivered."""
+def may_deliver(state: StepState, key: StepKey) -> bool:
+    """Return whether samples generated under `key` may still be delivered."""
     return state.state != "acknowledged" and state.epoch == key.epoch
 
 
-def is_lost(lease: Any, state: StepState) -> bool:
+def is_owner_lost(lease: Any, state: StepState) -> bool:
     """
-    Whether a step's owner is gone for good and nobody else took the step.
+    Return whether a step is unfinished and its owner is permanently lost.
 
-    An entry is a live peer until its lease has lapsed, and only then may its step be taken over: an
-    owner that is cut off refuses its trainers by itself from that moment on.
+    An entry is listed as a peer until its lease has lapsed, and its step may be taken over only
+    after that: from then on, an owner that is cut off from control rejects its trainers' requests
+    itself.
 
     :param lease: the kernel's `lease`.
-    :param state: of a step that another entry owns.
+    :param state: state of a step that another entry owns.
     """
     if state.state not in ("open", "delivered"):
         return False
@@ -42,9 +43,10 @@
 
 def address_of_owner(lease: Any, state: StepState) -> str | Refusal:
     """
-    Find the entry that holds a step.
+    Return the address of the entry that owns a step.
 
-    :return: IP:port of its gRPC, or a refusal that says whether it is lost.
+    :return: IP:port of its gRPC server, or a refusal: `owner_lost` if the owner is no longer a
+        peer, else the reason why this entry has no valid view.
     """
     view = lease.view()
     if isinstance(view, Refusal):
@@ -56,8 +58,8 @@
         Reason.OWNER_LOST,
         not_run=True,
         retry_after_s=RETRY_AFTER_S,
-        detail="the entry that held the step is gone; send the step's request again",
+        detail="the entry that owned the step is lost; open the step again",
     )
 
 
-__all__ = ["address_of_owner", "is_current", "is_lost", "is_own"]
+__all__ = ["address_of_owner", "is_own", "is_owner_lost", "may_deliver"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/peer_batches.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/peer_batches.py
@@ -1,4 +1,4 @@
-"""A batch through another entry than the one that holds it, by EntryPeer.FetchBatch."""
+"""Transfers a batch from the entry that owns it to another entry, by EntryPeer.FetchBatch."""
 
 from __future__ import annotations
 
@@ -20,9 +20,12 @@
 @dataclass(frozen=True)
 class Progress:
     """
-    How far a step is.
+    The progress of a step.
 
     :param state: `open`, `delivered` or `acknowledged`.
+    :param ready: number of finished samples.
+    :param samples: number of samples in the complete batch.
+    :param retry_after_s: seconds after which the trainer should ask again.
     """
 
     state: str
@@ -35,13 +38,13 @@
     rollouts: Any, request: entry_peer_pb2.FetchBatchRequest
 ) -> AsyncIterator[entry_peer_pb2.BatchChunk]:
     """
-    Answer another entry; the handler of `EntryPeer.FetchBatch`.
+    Send a batch to another entry; the handler of `EntryPeer.FetchBatch`.
 
     :param rollouts: the kernel's `rollouts`.
     :param request: trainer, step and digest.
-    :return: the payload in chunks, or one chunk that says why it is not there.
+    :return: the payload in chunks, or one chunk with the step's progress or a refusal.
     """
-    result = await rollouts.payload_of(request.trainer, request.step, request.batch_digest)
+    result = await rollouts.fetch_owned(request.trainer, request.step, request.batch_digest)
     if isinstance(result, bytes):
         for start in range(0, len(result), CHUNK_BYTES):
             yield entry_peer_pb2.BatchChunk(found=True, data=result[start : start + CHUNK_BYTES])
@@ -67,12 +70,12 @@
     address: str, trainer: str, step: int, digest: str
 ) -> bytes | Progress | Refusal:
     """
-    Ask the entry that owns a step for its batch.
+    Fetch a batch from the entry that owns the step.
 
-    :param address: IP:port of its gRPC.
-    :param digest: the batch that is meant; empty for whichever is in force.
-    :return: the payload, how far the step is, or a refusal. A stream that ends without its end
-        chunk is no payload: the owner died on the way.
+    :param address: IP:port of the owner's gRPC server.
+    :param digest: digest of the expected batch; empty for the current one.
+    :return: the payload, the step's progress, or a refusal. A stream without the end chunk is
+        rejected, because the owner failed before it had sent the complete payload.
     """
     request = entry_peer_pb2.FetchBatchRequest(trainer=trainer, step=step, batch_digest=digest)
     data = bytearray()
@@ -81,16 +84,16 @@
             stub = entry_peer_pb2_grpc.EntryPeerStub(channel)
             async for chunk in stub.FetchBatch(request, timeout=FETCH_TIMEOUT_S):
                 if not chunk.found:
-                    return _not_found(chunk)
+                    return _reply_without_batch(chunk)
                 if chunk.state == "end":
                     return bytes(data)
                 data.extend(chunk.data)
     except grpc.aio.AioRpcError as error:
-        return _peer_refusal(error.details() or "")
-    return _peer_refusal("the owner's stream ended early")
+        return _peer_timeout(error.details() or "")
+    return _peer_timeout("the owner closed the stream before the batch was complete")
 
 
-def _not_found(chunk: entry_peer_pb2.BatchChunk) -> Progress | Refusal:
+def _reply_without_batch(chunk: entry_peer_pb2.BatchChunk) -> Progress | Refusal:
     if chunk.state != "refused":
         return Progress(chunk.state, chunk.ready, chunk.samples, chunk.retry_after_s)
     return Refusal(
@@ -101,7 +104,7 @@
     )
 
 
-def _peer_refusal(detail: str) -> Refusal:
+def _peer_timeout(detail: str) -> Refusal:
     return Refusal(Reason.TIMEOUT, not_run=True, retry_after_s=1.0, detail=detail)
 
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/resources.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/resources.py
@@ -1,4 +1,4 @@
-"""The trainers' HTTP routes."""
+"""HTTP routes for trainers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class TrainerResource:
-    """What the routes of one trainer share: its key, bodies, and how answers are written."""
+    """Base of the trainer routes: checks the key, reads the body and writes the response."""
 
     def __init__(
         self, kernel: Kernel, rollouts: TrainerCalls, entry_settings: EntrySettings
@@ -35,22 +35,22 @@
         self._rollouts = rollouts
         self._entry_settings = entry_settings
 
-    def _check(self, request: falcon.asgi.Request, trainer: str) -> Refusal | None:
+    def _authorize(self, request: falcon.asgi.Request, trainer: str) -> Refusal | None:
         caller = identify(self._kernel, request)
         if isinstance(caller, Refusal):
             return caller
         return check_trainer(self._kernel.find("lease"), caller.client_account, trainer)
 
-    async def _body(
+    async def _read_body(
         self, request: falcon.asgi.Request, trainer: str, body_type: type[BodyT]
     ) -> BodyT | Refusal:
-        refusal = self._check(request, trainer)
+        refusal = self._authorize(request, trainer)
         if refusal is not None:
             return refusal
         data = await read_body(request, self._entry_settings)
         return data if isinstance(data, Refusal) else parse_body(data, body_type)
 
-    def _write(
+    def _write_response(
         self,
         request: falcon.asgi.Request,
         response: falcon.asgi.Response,
@@ -75,12 +75,12 @@
         trainer: str,
         step: int,
     ) -> None:
-        """Open a step."""
+        """Open a step and respond with its progress."""
         result: StepRequest | Progress | Refusal
-        result = await self._body(request, trainer, StepRequest)
+        result = await self._read_body(request, trainer, StepRequest)
         if isinstance(result, StepRequest):
             result = await self._rollouts.open_step(trainer, step, result)
-        self._write(request, response, result)
+        self._write_response(request, response, result)
 
 
 class BatchResource(TrainerResource):
@@ -93,14 +93,14 @@
         trainer: str,
         step: int,
     ) -> None:
-        """Fetch the whole batch."""
-        refusal = self._check(request, trainer)
+        """Respond with the complete batch, or with 202 and the step's progress."""
+        refusal = self._authorize(request, trainer)
         result = refusal or await self._rollouts.fetch(trainer, step)
         if isinstance(result, bytes):
             response.content_type = falcon.MEDIA_JSON
             response.data = result
             return
-        self._write(request, response, result, 202)
+        self._write_response(request, response, result, 202)
 
 
 class AckResource(TrainerResource):
@@ -113,12 +113,12 @@
         trainer: str,
         step: int,
     ) -> None:
-        """Take the acknowledgement."""
+        """Record that the trainer has received the batch."""
         result: AckBody | Progress | Refusal
-        result = await self._body(request, trainer, AckBody)
+        result = await self._read_body(request, trainer, AckBody)
         if isinstance(result, AckBody):
             result = await self._rollouts.acknowledge(trainer, step, result.digest)
-        self._write(request, response, result)
+        self._write_response(request, response, result)
 
 
 class VersionResource(TrainerResource):
@@ -127,24 +127,24 @@
     async def on_post(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, trainer: str
     ) -> None:
-        """Take a published version."""
+        """Record a weight version that the trainer has published."""
         result: VersionBody | Published | Refusal
-        result = await self._body(request, trainer, VersionBody)
+        result = await self._read_body(request, trainer, VersionBody)
         if isinstance(result, VersionBody):
             result = await self._rollouts.publish(trainer, result.model, result.version)
-        self._write(request, response, result)
+        self._write_response(request, response, result)
 
 
 @dataclass(frozen=True)
 class AckBody:
-    """Body of an acknowledgement."""
+    """Body of an acknowledgement: the digest of the received batch."""
 
     digest: str
 
 
 @dataclass(frozen=True)
 class VersionBody:
-    """Body of a publication."""
+    """Body of the publication of a weight version."""
 
     model: str
     version: int
@@ -154,11 +154,11 @@
     kernel: Kernel, rollouts: TrainerCalls, entry_settings: EntrySettings
 ) -> tuple[tuple[str, TrainerResource], ...]:
     """
-    List the routes.
+    Return the HTTP routes for trainers.
 
     :param kernel: holds lease and counters.
-    :param rollouts: the service that answers.
-    :param entry_settings: the largest body that is taken, and the time for it.
+    :param rollouts: the service that handles the requests.
+    :param entry_settings: contains the size limit of a body and the time limit to receive it.
     :return: pairs of path and resource.
     """
     step = "/v1/trainers/{trainer}/steps/{step:int(min=0)}"
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/samples.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/samples.py
@@ -1,4 +1,4 @@
-"""Samples with their label runs, and the batch that a trainer receives."""
+"""Samples with their version labels, and the batch that is sent to a trainer."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 @dataclass(frozen=True)
 class LabelRun:
     """
-    A range of tokens and the weight version that made it, as the engine wrote it beside them.
+    A range of tokens and the weight version that generated it, as labelled by the engine.
 
     :param start: offset of the first token.
-    :param end: offset behind the last token.
+    :param end: offset after the last token.
     """
 
     version: int
@@ -28,15 +28,15 @@
 @dataclass(frozen=True)
 class Sample:
     """
-    A whole sample.
+    A complete sample.
 
-    :param sample: id, unique over steps, epochs and attempts; it is delivered at most once.
+    :param sample_id: unique over steps, epochs and attempts; a sample is delivered at most once.
     :param member: number of the sample in its group, from 0.
-    :param endpoint_s: seconds that engines worked on it, without its wait for a turn.
-    :param score_version: version that the score is for; None without a scorer.
+    :param endpoint_s: seconds of engine time, without the time in the queue.
+    :param score_version: weight version for which the score was computed; None without a scorer.
     """
 
-    sample: str
+    sample_id: str
     group: str
     member: int
     prompt: str
@@ -47,23 +47,22 @@
     score_version: int | None = None
 
     def oldest_version(self) -> int:
-        """Oldest weight version that made a token of the sample."""
+        """Return the oldest weight version that generated a token of the sample."""
         return min(run.version for run in self.runs)
 
     def newest_version(self) -> int:
-        """Weight version that made the last tokens; scores are asked for it."""
+        """Return the weight version that generated the last tokens; scores are requested for it."""
         return self.runs[-1].version
 
 
 @dataclass(frozen=True)
 class Batch:
     """
-    The samples of one step as they go to the trainer.
+    The samples of one step as they are sent to the trainer.
 
-    :param digest: digest of the samples; names the payload in the log.
-    :param payload: the answer's JSON, the same bytes at every resend.
-    :param labels: what the log records of each sample.
-    :param samples: the samples themselves.
+    :param digest: digest of the samples; identifies the payload in the replicated log.
+    :param payload: JSON of the response, the same bytes at every resend.
+    :param labels: record of each sample for the replicated log.
     """
 
     digest: str
@@ -76,16 +75,16 @@
     runs: tuple[LabelRun, ...], version: int | None, count: int
 ) -> tuple[LabelRun, ...] | None:
     """
-    Append the label of `count` more tokens.
+    Append the version label of `count` more tokens.
 
-    A label that is missing is never filled from a neighbour or from what the engine was ordered to
-    load: a swap may fall between any two chunks, and a guessed label would let a sample of old
-    weights into training unseen.
+    A missing label is never derived from a neighbouring run or from the version that the engine was
+    ordered to load: a weight swap may happen between any two chunks, and a guessed label would let
+    a sample of old weights into training undetected.
 
     :param runs: label runs so far, without gaps.
-    :param version: the version beside the tokens; None where the engine wrote none.
+    :param version: the label of the tokens; None if the engine sent none.
     :param count: number of tokens.
-    :return: the joined runs, or None where the label is missing.
+    :return: the extended runs, or None if the label is missing.
     """
     if version is None:
         return None
@@ -97,12 +96,12 @@
 
 def build_batch(trainer: str, step: int, samples: tuple[Sample, ...]) -> Batch:
     """
-    Encode a whole batch.
+    Encode a complete batch.
 
-    :param trainer: the trainer.
-    :param step: number of its step.
+    :param trainer: name of the trainer.
+    :param step: number of the trainer's step.
     :param samples: every sample of the step, in the order of groups and members.
-    :return: the batch.
+    :return: the batch with payload, digest and labels.
     """
     bodies = tuple(_sample_body(sample) for sample in samples)
     digest = _digest(bodies)
@@ -110,7 +109,7 @@
         {"trainer": trainer, "step": step, "digest": digest, "samples": bodies}
     )
     labels = tuple(
-        SampleLabel(sample.sample, _digest(body), sample.oldest_version())
+        SampleLabel(sample.sample_id, _digest(body), sample.oldest_version())
         for sample, body in zip(samples, bodies, strict=True)
     )
     return Batch(digest, payload, labels, samples)
@@ -118,7 +117,7 @@
 
 def _sample_body(sample: Sample) -> dict[str, Any]:
     return {
-        "sample": sample.sample,
+        "sample": sample.sample_id,
         "group": sample.group,
         "prompt": sample.prompt,
         "tokens": sample.tokens,
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/scoring.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/scoring.py
@@ -1,4 +1,4 @@
-"""Scores samples in batches and uses no score that came late or for another version."""
+"""Scores samples in batches; rejects scores for another batch or another weight version."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     from ibisspring_entry.rollouts.samples import Sample
 
 BATCH_SAMPLES = 32
-GATHER_S = 0.05
+BATCH_DELAY_S = 0.05
 SCORE_TIMEOUT_S = 30.0
-PAUSE_MOST_S = 2.0
+MAX_PAUSE_S = 2.0
 
 
 @dataclass(frozen=True)
 class ScoreItem:
-    """One score as the scorer sent it."""
+    """One score in a scorer's response."""
 
     sample: str
     score: float
@@ -36,22 +36,22 @@
 
 @dataclass(frozen=True)
 class ScoreAnswer:
-    """A scorer's answer."""
+    """A scorer's response to one batch."""
 
     batch_id: str
     scores: tuple[ScoreItem, ...]
 
 
 @dataclass(frozen=True)
-class Waiting:
-    """A sample that waits for its score."""
+class PendingScore:
+    """A sample without a score, and the future that is resolved with the scored sample."""
 
     sample: Sample
-    answer: asyncio.Future[Sample]
+    future: asyncio.Future[Sample]
 
 
 class ScoreBatcher:
-    """Collects a step's samples into scorer batches, one batch a version."""
+    """Collects the samples of a step into scoring batches, each for one weight version."""
 
     def __init__(
         self, adapter: str, addresses: Callable[[], tuple[str, ...]], counters: Any
@@ -59,117 +59,120 @@
         self._adapter = adapter
         self._addresses = addresses
         self._counters = counters
-        self._waiting_by_version: dict[int, list[Waiting]] = {}
+        self._pending_by_version: dict[int, list[PendingScore]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._next_address = 0
 
     async def score(self, sample: Sample) -> Sample:
         """
-        Wait for the score of a sample.
+        Score a sample as part of a batch and wait for the result.
 
-        :param sample: a whole sample.
+        :param sample: a complete sample.
         :return: the sample with the score for its newest version.
         """
         version = sample.newest_version()
-        answer: asyncio.Future[Sample] = asyncio.get_running_loop().create_future()
-        waiting = self._waiting_by_version.setdefault(version, [])
-        waiting.append(Waiting(sample, answer))
-        if len(waiting) == 1:
-            self._start(self._send_soon(version))
-        if len(waiting) >= BATCH_SAMPLES:
-            self._start(self._send_now(version))
-        return await answer
+        future: asyncio.Future[Sample] = asyncio.get_running_loop().create_future()
+        pending = self._pending_by_version.setdefault(version, [])
+        pending.append(PendingScore(sample, future))
+        if len(pending) == 1:
+            self._start_task(self._send_after_delay(version))
+        if len(pending) >= BATCH_SAMPLES:
+            self._start_task(self._send_until_scored(version))
+        return await future
 
     async def stop(self) -> None:
-        """Cancel the batches that are under way."""
+        """Cancel the batches that are waiting or being scored."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _start(self, coroutine: Any) -> None:
+    def _start_task(self, coroutine: Any) -> None:
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _send_soon(self, version: int) -> None:
-        await asyncio.sleep(GATHER_S)
-        await self._send_now(version)
+    async def _send_after_delay(self, version: int) -> None:
+        await asyncio.sleep(BATCH_DELAY_S)
+        await self._send_until_scored(version)
 
-    async def _send_now(self, version: int) -> None:
+    async def _send_until_scored(self, version: int) -> None:
         """
-        Send until each sample has its score.
+        Send a batch repeatedly until each of its samples has a score.
 
-        A scorer that is late for long must not cost the samples as well: made again they would only
-        wait for the same scorer. They end when they have become stale or their step ends.
+        Samples are not discarded because of a slow scorer: regenerated samples would only wait for
+        the same scorer. They are discarded only when they have become stale; the retries end when
+        the step ends.
         """
-        waiting = tuple(self._waiting_by_version.pop(version, ()))
-        pause_s = GATHER_S
-        while waiting:
-            waiting = await self._send(version, waiting)
-            if not waiting:
+        pending = tuple(self._pending_by_version.pop(version, ()))
+        pause_s = BATCH_DELAY_S
+        while pending:
+            pending = await self._send_once(version, pending)
+            if not pending:
                 return
             self._counters.retried(Reason.MISMATCHED_ANSWER)
             await asyncio.sleep(pause_s)
-            pause_s = min(PAUSE_MOST_S, 2 * pause_s)
+            pause_s = min(MAX_PAUSE_S, 2 * pause_s)
 
-    async def _send(self, version: int, waiting: tuple[Waiting, ...]) -> tuple[Waiting, ...]:
+    async def _send_once(
+        self, version: int, pending: tuple[PendingScore, ...]
+    ) -> tuple[PendingScore, ...]:
         addresses = self._addresses()
         if not addresses:
-            return waiting
+            return pending
         self._next_address += 1
         address = addresses[self._next_address % len(addresses)]
         batch_id = secrets.token_hex(8)
-        answer = await _post_batch(address, batch_id, self._adapter, version, waiting)
-        score_by_sample = self._usable(answer, batch_id, version)
+        answer = await _post_batch(address, batch_id, self._adapter, version, pending)
+        score_by_sample_id = self._matching_scores(answer, batch_id, version)
         missing = []
-        for item in waiting:
-            score = score_by_sample.get(item.sample.sample)
+        for item in pending:
+            score = score_by_sample_id.get(item.sample.sample_id)
             if score is None:
                 missing.append(item)
                 continue
             scored = dataclasses.replace(
                 item.sample, score=score.score, score_version=score.version
             )
-            _settle(item, scored)
+            _resolve(item, scored)
         return tuple(missing)
 
-    def _usable(
+    def _matching_scores(
         self, answer: ScoreAnswer | None, batch_id: str, version: int
     ) -> dict[str, ScoreItem]:
         """
-        Pick the scores that are for what was asked.
+        Return the scores that match the requested batch and version, by sample id.
 
-        A scorer that still holds an old model, or whose late answer to another batch comes back on
-        this connection, sends scores that look like any other; they show only by the version and
-        the batch id that they carry, so a score without the asked ones is never used.
+        A scorer that still uses an old model, or whose late response to another batch arrives on
+        this connection, sends scores that look valid. Only their version and batch id reveal the
+        mismatch, so a score is used only if both are the requested ones.
         """
         if answer is None or answer.batch_id != batch_id:
             self._counters.add("scores.mismatched_batch")
             return {}
-        score_by_sample: dict[str, ScoreItem] = {}
+        score_by_sample_id: dict[str, ScoreItem] = {}
         for item in answer.scores:
             if item.version != version:
                 self._counters.add("scores.mismatched_version")
                 continue
-            score_by_sample[item.sample] = item
-        return score_by_sample
+            score_by_sample_id[item.sample] = item
+        return score_by_sample_id
 
 
-def _settle(item: Waiting, result: Sample) -> None:
-    if not item.answer.done():
-        item.answer.set_result(result)
+def _resolve(item: PendingScore, result: Sample) -> None:
+    if not item.future.done():
+        item.future.set_result(result)
 
 
 async def _post_batch(
-    address: str, batch_id: str, adapter: str, version: int, waiting: tuple[Waiting, ...]
+    address: str, batch_id: str, adapter: str, version: int, pending: tuple[PendingScore, ...]
 ) -> ScoreAnswer | None:
     items = [
         {
-            "sample": item.sample.sample,
+            "sample": item.sample.sample_id,
             "prompt": item.sample.prompt,
             "tokens": item.sample.tokens,
         }
-        for item in waiting
+        for item in pending
     ]
     body = {"batch_id": batch_id, "adapter": adapter, "version": version, "items": items}
     timeout = aiohttp.ClientTimeout(total=SCORE_TIMEOUT_S)
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
@@ -1,4 +1,4 @@
-"""The kernel service `rollouts`: trainers' steps on this entry."""
+"""The kernel service `rollouts`: runs the training steps that this entry owns."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from ibisspring_core.messages.commands import BatchStale, StepState
 from ibisspring_decisions.sampling import EXPECTED_FROM, expected_publications
 from ibisspring_entry.rollouts.engine_choice import EngineChoice
-from ibisspring_entry.rollouts.gathering import Gathering, GatherNeeds, StepKey
+from ibisspring_entry.rollouts.gathering import Gathering, GatheringContext, StepKey
 from ibisspring_entry.rollouts.owned_step import OwnedStep
 from ibisspring_entry.rollouts.ownership import (
     address_of_owner,
-    is_current,
-    is_lost,
     is_own,
+    is_owner_lost,
+    may_deliver,
 )
 from ibisspring_entry.rollouts.peer_batches import Progress, fetch_from_peer
 from ibisspring_entry.rollouts.resources import trainer_routes
@@ -24,9 +24,9 @@
 from ibisspring_entry.rollouts.step_request import check_step_request
 from ibisspring_entry.rollouts.trainer_calls import Published
 from ibisspring_entry.rollouts.trainer_rules import (
-    bound_of,
     check_share,
     client_account_of,
+    staleness_bound_of,
 )
 
 if TYPE_CHECKING:
@@ -35,11 +35,11 @@
     from ibisspring_entry.rollouts.step_request import StepRequest
 
 RETRY_AFTER_S = 0.5
-SWEEP_S = 10.0
+SWEEP_INTERVAL_S = 10.0
 
 
 class Rollouts:
-    """Opens steps, gathers their samples and delivers each batch once."""
+    """Opens steps, generates their samples and commits the delivery of each batch once."""
 
     name = "rollouts"
 
@@ -61,10 +61,10 @@
 
     async def start(self, kernel: Kernel) -> None:
         """
-        Find the services that steps need and add the trainers' routes.
+        Look up the services that steps use and add the HTTP routes for trainers.
 
-        :param kernel: holds lease, registry, endpoints, control_client, counters, usage_meter,
-            http.
+        :param kernel: holds lease, registry, endpoints, control_client, counters, timer, http and
+            optionally usage_meter.
         """
         self._lease = kernel.find("lease")
         self._registry = kernel.find("registry")
@@ -72,32 +72,34 @@
         control = kernel.find("control_client")
         self._commands = StepCommands(control, self._daemon, self._lease.incarnation)
         self._counters = kernel.find("counters")
-        self._usage = kernel.find_optional("usage_meter")
-        kernel.find("timer").subscribe("rollouts:sweep", SWEEP_S, self._sweep)
+        self._usage_meter = kernel.find_optional("usage_meter")
+        kernel.find("timer").subscribe("rollouts:sweep", SWEEP_INTERVAL_S, self._sweep)
         for path, resource in trainer_routes(kernel, self, self._entry_settings):
             kernel.find("http").add_route(path, resource)
 
     async def stop(self) -> None:
-        """End all steps; a trainer's next question finds another entry that takes them over."""
+        """Stop all steps; another entry takes over a step at its trainer's next request."""
         for owned in self._step_by_key.values():
             await owned.stop()
         self._step_by_key.clear()
 
     async def open_step(self, trainer: str, step: int, request: StepRequest) -> Progress | Refusal:
         """
-        Open a step, or find it under the same request, or take it over from a lost entry.
+        Open a step, or return it if it is open with the same request, or take it over.
 
-        :param trainer: the trainer; its key was checked.
-        :param step: number of the step; with the trainer it is the idempotency key.
-        :param request: what the step is made of.
-        :return: how far the step is, or a refusal.
+        A step is taken over if the entry that owned it is lost.
+
+        :param trainer: name of the trainer; its API key has been checked.
+        :param step: number of the step; trainer and number together are the idempotency key.
+        :param request: the samples that the step consists of.
+        :return: the step's progress, or a refusal.
         """
         refusal = check_step_request(request) or check_share(self._lease, trainer, request.model)
         if refusal is not None:
             return refusal
         owned = self._step_by_key.get((trainer, step))
         if owned is not None and owned.request != request:
-            return _conflict("the step is open with another request")
+            return _conflict("the step is open with a different request body")
         if owned is not None:
             return self._progress(owned)
         state = await self._commands.open(trainer, step, request)
@@ -107,27 +109,29 @@
         if isinstance(state, Refusal):
             return state
         if state.state == "conflict":
-            return _conflict("the step was opened with another request")
+            return _conflict("the step was opened with a different request body")
         if state.state == "acknowledged" or not is_own(state, self._commands):
             ready = request.sample_count() if state.state != "open" else 0
             return Progress(state.state, ready, request.sample_count(), RETRY_AFTER_S)
-        return await self._begin(trainer, step, request, state)
+        return await self._start_gathering(trainer, step, request, state)
 
     async def fetch(self, trainer: str, step: int) -> bytes | Progress | Refusal:
         """
-        Fetch the batch of a step through this entry.
+        Return the batch of a step, fetched from the owning entry if that is not this one.
 
-        :param trainer: the trainer; its key was checked.
+        :param trainer: name of the trainer; its API key has been checked.
         :param step: number of the step.
-        :return: the payload, how far the step is, or a refusal.
+        :return: the payload, the step's progress, or a refusal.
         """
         if (trainer, step) in self._step_by_key:
-            return await self.payload_of(trainer, step, "")
+            return await self.fetch_owned(trainer, step, "")
         state = await self._commands.read(trainer, step)
         if isinstance(state, Refusal):
             return state
         if state is None:
-            return Refusal(Reason.BAD_REQUEST, not_run=True, detail="no such step; open it first")
+            return Refusal(
+                Reason.BAD_REQUEST, not_run=True, detail="the step does not exist; open it first"
+            )
         if state.state == "acknowledged":
             return Progress("acknowledged", 0, 0, RETRY_AFTER_S)
         address = address_of_owner(self._lease, state)
@@ -135,48 +139,50 @@
             return address
         return await fetch_from_peer(address, trainer, step, state.batch_digest)
 
-    async def payload_of(self, trainer: str, step: int, digest: str) -> bytes | Progress | Refusal:
+    async def fetch_owned(self, trainer: str, step: int, digest: str) -> bytes | Progress | Refusal:
         """
-        The batch of a step that this entry owns; commits its delivery before the first byte.
+        Return the batch of a step that this entry owns, after committing its delivery.
 
-        The commit is made when the trainer asks, not when the last sample arrives: a batch that
-        waits while its trainer publishes new weights would age unseen. It is made again before each
-        resend: an owner whose step was taken over while it was cut off still holds a payload, and
-        the state machine refuses its old epoch, so the old samples are not delivered beside their
-        replacements.
+        The delivery is committed when the trainer requests the batch, not when the last sample is
+        finished: otherwise a batch could become stale undetected while the trainer publishes new
+        weights. The commit is repeated before each resend: an owner whose step was taken over while
+        it was cut off from control still holds a payload, and the state machine rejects the old
+        epoch, so that the old samples are not delivered in addition to their replacements.
 
-        :param digest: the batch that is meant; empty for whichever is in force.
-        :return: the payload, how far the step is, or a refusal.
+        :param digest: digest of the expected batch; empty for the current one.
+        :return: the payload, the step's progress, or a refusal.
         """
         owned = self._step_by_key.get((trainer, step))
         if owned is None:
-            return Refusal(Reason.OWNER_LOST, not_run=True, detail="this entry holds no such step")
-        published = owned.gathering.trainer_asks()
+            return Refusal(
+                Reason.OWNER_LOST, not_run=True, detail="this entry does not own the step"
+            )
+        published = owned.gathering.note_batch_request()
         if published is not None:
             earlier = self._publications_by_trainer.get(trainer, ())
             self._publications_by_trainer[trainer] = (*earlier, published)[-EXPECTED_FROM:]
         batch = owned.batch or owned.proposed
         if batch is None:
-            samples = owned.gathering.whole()
+            samples = owned.gathering.complete_samples()
             if samples is None:
                 return self._progress(owned)
             batch = build_batch(trainer, step, samples)
         if digest and digest != batch.digest:
-            return _conflict("the step has another batch")
+            return _conflict("the digest is of a different batch than that of the step")
         return await self._deliver(owned, batch)
 
     async def acknowledge(self, trainer: str, step: int, digest: str) -> Progress | Refusal:
         """
-        Take the trainer's word that it holds the batch.
+        Record that the trainer has received the batch, and stop the step.
 
-        :param digest: digest of the batch that it holds.
-        :return: the step's end, or a refusal.
+        :param digest: digest of the batch that the trainer received.
+        :return: progress with the state `acknowledged`, or a refusal.
         """
         result = await self._commands.acknowledge(trainer, step, digest)
         if isinstance(result, Refusal):
             return result
         if result.state != "acknowledged":
-            return _conflict("the step has another batch")
+            return _conflict("the digest is of a different batch than that of the step")
         owned = self._step_by_key.pop((trainer, step), None)
         if owned is not None:
             await owned.stop()
@@ -184,35 +190,39 @@
 
     async def publish(self, trainer: str, model: str, version: int) -> Published | Refusal:
         """
-        Take a new weight version of a trainer.
+        Record a new weight version of a trainer.
 
-        :param model: the model that its adapter belongs to.
-        :param version: rises with each publication.
-        :return: the version, or a refusal.
+        :param model: the model that the trainer's adapter belongs to.
+        :param version: increases with each publication.
+        :return: the published version, or a refusal.
         """
         result = await self._commands.publish(trainer, model, version)
         return result if isinstance(result, Refusal) else Published(trainer, version)
 
-    async def _begin(
+    async def _start_gathering(
         self, trainer: str, step: int, request: StepRequest, state: StepState
     ) -> Progress | Refusal:
         owned = self._step_by_key.get((trainer, step))
         if owned is not None and owned.gathering.key.epoch == state.epoch:
-            # The trainer asked twice and the other question was answered first.
+            # A concurrent request of the trainer has already started this step.
             return self._progress(owned)
         if owned is not None:
             await owned.stop()
-        scorer = ScoreBatcher(trainer, lambda: self._scorers(request.scorer), self._counters)
-        needs = GatherNeeds(
+        scorer = ScoreBatcher(
+            trainer, lambda: self._scorer_addresses(request.scorer), self._counters
+        )
+        context = GatheringContext(
             endpoints=self._endpoints,
             counters=self._counters,
             client_account=client_account_of(self._lease, trainer),
-            bound=lambda: bound_of(self._lease, trainer),
+            current_bound=lambda: staleness_bound_of(self._lease, trainer),
             engines=EngineChoice(self._lease, self._registry, trainer, request.model),
-            expected=expected_publications(self._publications_by_trainer.get(trainer, ())),
+            expected_publications=expected_publications(
+                self._publications_by_trainer.get(trainer, ())
+            ),
             score=scorer.score if request.scorer else None,
         )
-        gathering = Gathering(StepKey(trainer, step, state.epoch), request, needs)
+        gathering = Gathering(StepKey(trainer, step, state.epoch), request, context)
         owned = OwnedStep(request, gathering, scorer)
         self._step_by_key[trainer, step] = owned
         gathering.start()
@@ -220,25 +230,25 @@
 
     async def _deliver(self, owned: OwnedStep, batch: Batch) -> bytes | Progress | Refusal:
         key = owned.gathering.key
-        # Kept until its fate is known: where the answer is lost, the commit may have been made, and
-        # only the same batch can then be delivered.
+        # Kept until the result of the commit is known: if the response is lost, the delivery may
+        # have been committed, and then only the same batch can be delivered.
         owned.proposed = batch
         result = await self._commands.deliver(key, batch)
         if isinstance(result, Refusal):
             return result
         if isinstance(result, BatchStale):
             owned.proposed = None
-            owned.gathering.replace(result.stale_samples)
+            owned.gathering.regenerate(result.stale_samples)
             return self._progress(owned)
         if result.epoch != key.epoch or result.batch_digest != batch.digest:
-            return await self._give_up(owned, result)
+            return await self._drop_lost_step(owned, result)
         if owned.batch is None:
             owned.batch = batch
-            await self._settle(owned, batch)
+            await self._stop_and_bill(owned, batch)
         return batch.payload
 
-    async def _give_up(self, owned: OwnedStep, state: StepState) -> Refusal:
-        """The step changed hands or ended: what is held here may never be delivered."""
+    async def _drop_lost_step(self, owned: OwnedStep, state: StepState) -> Refusal:
+        """Drop a step that was taken over or has ended; its local samples must not be delivered."""
         key = owned.gathering.key
         self._counters.add("steps.lost_epoch")
         self._step_by_key.pop((key.trainer, key.step), None)
@@ -247,47 +257,49 @@
             Reason.OWNER_LOST,
             not_run=True,
             retry_after_s=RETRY_AFTER_S,
-            detail=f"the step is {state.state} under epoch {state.epoch}; ask again",
+            detail=f"the step is {state.state} under epoch {state.epoch}; send the request again",
         )
 
-    async def _settle(self, owned: OwnedStep, batch: Batch) -> None:
-        """End the work of a delivered step and account for it once."""
+    async def _stop_and_bill(self, owned: OwnedStep, batch: Batch) -> None:
+        """Stop the work of a delivered step and record its usage once."""
         await owned.stop()
         key = owned.gathering.key
-        if self._usage is None:
+        if self._usage_meter is None:
             return
         for sample in batch.samples:
-            self._usage.record(
+            self._usage_meter.record(
                 client_account_of(self._lease, key.trainer),
                 owned.request.model,
                 len(sample.tokens),
                 1,
                 sample.endpoint_s,
-                sample.sample,
+                sample.sample_id,
             )
 
     async def _sweep(self, now: float) -> None:
-        """Let go of steps that another entry acknowledged or took over."""
+        """Drop steps that were acknowledged or taken over through another entry."""
         for (trainer, step), owned in tuple(self._step_by_key.items()):
             state = await self._commands.read(trainer, step)
             if isinstance(state, Refusal):
                 continue
-            if state is not None and is_current(state, owned.gathering.key):
+            if state is not None and may_deliver(state, owned.gathering.key):
                 continue
             self._step_by_key.pop((trainer, step), None)
             await owned.stop()
 
     def _progress(self, owned: OwnedStep) -> Progress:
         state = "open" if owned.batch is None else "delivered"
-        return Progress(state, owned.gathering.ready(), owned.request.sample_count(), RETRY_AFTER_S)
+        return Progress(
+            state, owned.gathering.ready_count(), owned.request.sample_count(), RETRY_AFTER_S
+        )
 
     def _may_take_over(self, state: StepState, trainer: str, step: int) -> bool:
-        """Whether nobody holds the step: owner lost, or delivered here and dropped since."""
+        """Return whether no entry holds the samples: owner lost, or dropped here after delivery."""
         if is_own(state, self._commands):
             return state.state == "delivered" and (trainer, step) not in self._step_by_key
-        return is_lost(self._lease, state)
+        return is_owner_lost(self._lease, state)
 
-    def _scorers(self, service: str) -> tuple[str, ...]:
+    def _scorer_addresses(self, service: str) -> tuple[str, ...]:
         records = self._registry.records_of(service)
         return tuple(record.address for record in records if record.role == "scorer")
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/step_commands.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/step_commands.py
@@ -1,4 +1,4 @@
-"""The step commands that an entry proposes and the step's state as control has it."""
+"""Proposes the commands of a step to the control plane and reads the step's state from it."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 class StepCommands:
     """
-    Speaks to control in the name of one start of one entry.
+    Sends step commands to the control plane for one incarnation of one entry.
 
-    The state machine makes each command idempotent by what it says, so a command whose answer was
-    lost is proposed again without knowing whether it was applied.
+    The state machine makes each command idempotent by its content, so a command whose response was
+    lost can be proposed again without knowing whether it was applied.
     """
 
     def __init__(self, control: Any, daemon: str, incarnation: int) -> None:
@@ -41,9 +41,10 @@
         self, trainer: str, step: int, request: StepRequest, take_over_epoch: int = 0
     ) -> StepState | Refusal:
         """
-        Open a step, or learn who has it.
+        Open a step, or read which entry owns it.
 
-        :param take_over_epoch: epoch of a lost owner that is replaced; 0 replaces none.
+        :param take_over_epoch: epoch under which a lost entry owned the step, to take it over; 0 to
+            take over nothing.
         :return: the step's state, or a refusal.
         """
         command = OpenStep(
@@ -60,26 +61,26 @@
 
     async def deliver(self, key: StepKey, batch: Batch) -> StepState | BatchStale | Refusal:
         """
-        Commit the delivery of a batch; the staleness bound is checked where this is applied.
+        Commit the delivery of a batch; the state machine checks the staleness bound.
 
-        :return: the step's state after it, the samples that are too old, or a refusal.
+        :return: the step's state after the command, the samples that are too old, or a refusal.
         """
         command = DeliverBatch(key.trainer, key.step, key.epoch, batch.digest, batch.labels)
         return await self._propose(command)
 
     async def acknowledge(self, trainer: str, step: int, digest: str) -> StepState | Refusal:
-        """Note that the trainer holds the batch."""
+        """Record that the trainer has received the batch; return the step's state or a refusal."""
         return await self._propose(AckStep(trainer, step, digest))
 
     async def publish(self, trainer: str, model: str, version: int) -> Any:
-        """Take a trainer's new weight version."""
+        """Record a trainer's new weight version; return the result or a refusal."""
         return await self._propose(PublishVersion(trainer, model, version))
 
     async def read(self, trainer: str, step: int) -> StepState | None | Refusal:
         """
         Read a step's state, confirmed by a quorum.
 
-        :return: the state, None for a step that is not known, or a refusal.
+        :return: the state, None if the step does not exist, or a refusal.
         """
         answer = await self._control.read("step", trainer=trainer, step=step)
         if isinstance(answer, Refusal):
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/step_request.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/step_request.py
@@ -1,4 +1,4 @@
-"""The body with which a trainer opens a step, checked."""
+"""The request body with which a trainer opens a step, and its validation."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class GroupRequest:
-    """A prompt whose samples are only worth something together."""
+    """A prompt whose samples are useful for training only as a complete group."""
 
     group: str
     prompt: str
@@ -24,12 +24,12 @@
 @dataclass(frozen=True)
 class StepRequest:
     """
-    What a trainer asks for.
+    The request body of a step.
 
-    :param model: service whose engines generate.
-    :param group_size: samples a group.
-    :param max_tokens: longest sample.
-    :param scorer: scoring service; empty for samples without scores.
+    :param model: service whose engines generate the samples.
+    :param group_size: number of samples per group.
+    :param max_tokens: maximum length of a sample in tokens.
+    :param scorer: name of the scoring service; empty for samples without scores.
     """
 
     model: str
@@ -39,35 +39,35 @@
     scorer: str = ""
 
     def sample_count(self) -> int:
-        """Samples in the whole batch."""
+        """Return the number of samples in the complete batch."""
         return self.group_size * len(self.groups)
 
     def digest(self) -> str:
-        """Digest of the request: the same body again is the same step, another is a conflict."""
+        """Return the digest; the same step with a different digest is a conflict."""
         return hashlib.sha256(msgspec.json.encode(self)).hexdigest()
 
 
 def check_step_request(request: StepRequest) -> Refusal | None:
     """
-    Check what the types cannot say.
+    Check the limits that the field types do not express.
 
-    :param request: from a trainer.
-    :return: what is wrong, or None.
+    :param request: request of a trainer.
+    :return: a refusal that describes the error, or None if the request is valid.
     """
     if not 1 <= request.group_size <= MAX_GROUP_SIZE:
-        return _bad(f"group_size must be from 1 to {MAX_GROUP_SIZE}")
+        return _bad_request(f"group_size must be from 1 to {MAX_GROUP_SIZE}")
     if request.max_tokens < 1:
-        return _bad("max_tokens must be 1 or more")
+        return _bad_request("max_tokens must be 1 or more")
     if not request.groups:
-        return _bad("groups must not be empty")
+        return _bad_request("groups must not be empty")
     if len({group.group for group in request.groups}) != len(request.groups):
-        return _bad("each group needs a name of its own")
+        return _bad_request("the names of the groups must be unique")
     if request.sample_count() > MAX_SAMPLES:
-        return _bad(f"a step has {MAX_SAMPLES} samples at most")
+        return _bad_request(f"a step can have at most {MAX_SAMPLES} samples")
     return None
 
 
-def _bad(detail: str) -> Refusal:
+def _bad_request(detail: str) -> Refusal:
     return Refusal(Reason.BAD_REQUEST, not_run=True, detail=detail)
 
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_calls.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_calls.py
@@ -1,4 +1,4 @@
-"""What the trainers' routes ask of the service behind them."""
+"""Interface between the trainers' HTTP routes and the service that handles their requests."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 @dataclass(frozen=True)
 class Published:
-    """A version that was taken."""
+    """Response to the publication of a weight version."""
 
     trainer: str
     version: int
 
 
 class TrainerCalls(Protocol):
-    """A trainer's calls; each is answered by what was asked for or by a refusal."""
+    """The requests of a trainer; each returns its result or a refusal."""
 
     async def open_step(self, trainer: str, step: int, request: StepRequest) -> Progress | Refusal:
-        """Open a step."""
+        """Open a step and return its progress."""
 
     async def fetch(self, trainer: str, step: int) -> bytes | Progress | Refusal:
-        """Bring a step's batch, or how far it is."""
+        """Return a step's batch, or its progress while the batch is incomplete."""
 
     async def acknowledge(self, trainer: str, step: int, digest: str) -> Progress | Refusal:
-        """Take in that the trainer has the batch."""
+        """Record that the trainer has received the batch with this digest."""
 
     async def publish(self, trainer: str, model: str, version: int) -> Published | Refusal:
-        """Take in a weight version."""
+        """Record a published weight version."""
 
 
 __all__ = ["Published", "TrainerCalls"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_rules.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_rules.py
@@ -1,4 +1,4 @@
-"""What the rules in force say of a trainer; without a valid lease they allow nothing."""
+"""Applies the current rules to a trainer; without a valid lease nothing is allowed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from ibisspring_core.errors import Reason, Refusal
 from ibisspring_decisions.sampling import share_of_places
-from ibisspring_entry.rollouts.attempt import Bound
+from ibisspring_entry.rollouts.attempt import StalenessBound
 
 if TYPE_CHECKING:
     from ibisspring_core.messages.endpoints import EndpointRecord
@@ -14,12 +14,12 @@
 
 def check_trainer(lease: Any, client_account: str, trainer: str) -> Refusal | None:
     """
-    Check that a client account may speak for a trainer.
+    Check that a client account may send requests for a trainer.
 
     :param lease: the kernel's `lease`.
-    :param client_account: whose key came with the request.
-    :param trainer: the trainer in the path.
-    :return: why not, or None.
+    :param client_account: client account of the request's API key.
+    :param trainer: name of the trainer in the request path.
+    :return: a refusal, or None if the account may use the trainer.
     """
     rules = lease.rules()
     if isinstance(rules, Refusal):
@@ -27,7 +27,7 @@
     rule = rules.trainer_by_name.get(trainer)
     if rule is not None and rule.client_account == client_account:
         return None
-    detail = f"no rule gives your client account the trainer {trainer}"
+    detail = f"no rule assigns the trainer {trainer} to your client account"
     return Refusal(Reason.NOT_ALLOWED, not_run=True, detail=detail)
 
 
@@ -35,7 +35,7 @@
     """
     Check that a trainer may use the engines of a model.
 
-    :return: why not, or None.
+    :return: a refusal, or None if a share rule allows it.
     """
     rules = lease.rules()
     if isinstance(rules, Refusal):
@@ -46,41 +46,41 @@
     return Refusal(Reason.NOT_ALLOWED, not_run=True, detail=detail)
 
 
-def bound_of(lease: Any, trainer: str) -> Bound:
+def staleness_bound_of(lease: Any, trainer: str) -> StalenessBound:
     """
-    Read the staleness bound of a trainer.
+    Return the current staleness bound of a trainer.
 
-    It only saves work, so a lapsed lease gives one that lets everything pass: the state machine
-    checks again when the batch is delivered.
+    The bound only saves work on this entry; the state machine checks again when the batch is
+    delivered. A lapsed lease therefore gives a bound that every sample passes.
     """
     view = lease.view()
     rules = lease.rules()
     if isinstance(view, Refusal) or isinstance(rules, Refusal):
-        return Bound(0, 0)
+        return StalenessBound(0, 0)
     rule = rules.trainer_by_name.get(trainer)
     if rule is None:
-        return Bound(0, 0)
-    return Bound(view.version_by_trainer.get(trainer, 0), rule.staleness_versions)
+        return StalenessBound(0, 0)
+    return StalenessBound(view.version_by_trainer.get(trainer, 0), rule.staleness_versions)
 
 
 def client_account_of(lease: Any, trainer: str) -> str:
-    """Name the client account that a trainer's tokens are for; empty where the rules name none."""
+    """Return the client account that a trainer's tokens are billed to; empty without a rule."""
     rules = lease.rules()
     if isinstance(rules, Refusal) or trainer not in rules.trainer_by_name:
         return ""
     return rules.trainer_by_name[trainer].client_account
 
 
-def room_of(
+def trainer_concurrency_limit(
     lease: Any, engines: tuple[EndpointRecord, ...], trainer: str, model: str, running: int
 ) -> int:
     """
-    Count the attempts that one trainer's step may run on a model's engines at a time.
+    Return how many attempts of a trainer's step may run concurrently on a model's engines.
 
     :param engines: the model's serving engines.
     :param running: attempts of the step that run now.
-    :return: its part of their places and what the others leave free; 0 once the rules no longer
-        name the trainer.
+    :return: the trainer's share of the engines' capacity plus the capacity that other trainers
+        leave free; 0 if the rules no longer contain the trainer.
     """
     rules = lease.rules()
     if isinstance(rules, Refusal) or not engines:
@@ -89,9 +89,15 @@
     if trainer not in sharing or trainer not in rules.trainer_by_name:
         return 0
     loads = [engine.load for engine in engines]
-    places = sum(load.capacity for load in loads)
+    capacity = sum(load.capacity for load in loads)
     free = sum(max(0, load.capacity - load.running - load.queued) for load in loads)
-    return share_of_places(places, len(sharing), running, free)
+    return share_of_places(capacity, len(sharing), running, free)
 
 
-__all__ = ["bound_of", "check_share", "check_trainer", "client_account_of", "room_of"]
+__all__ = [
+    "check_share",
+    "check_trainer",
+    "client_account_of",
+    "staleness_bound_of",
+    "trainer_concurrency_limit",
+]
--- a/tests/unit/entry/rollouts/test_engine_choice.py
+++ b/tests/unit/entry/rollouts/test_engine_choice.py
@@ -4,7 +4,7 @@
 from ibisspring_core.messages.views import EntryView
 from ibisspring_core.rules import Rules
 from ibisspring_core.rules.model import Trainer
-from ibisspring_entry.rollouts.engine_choice import DISTRUST_S, EngineChoice
+from ibisspring_entry.rollouts.engine_choice import EXCLUSION_S, EngineChoice
 
 IDLE = EndpointLoad(capacity=8)
 
@@ -60,30 +60,31 @@
     return EngineChoice(_Lease(sharing), _Registry(records), "t", "scorer-lm")
 
 
-def test_no_work_starts_where_the_announced_version_is_too_old() -> None:
-    choice = _choice(old=3, bound=4, newest=5, silent=None)
+def test_engine_with_too_old_announced_version_is_excluded() -> None:
+    choice = _choice(old=3, bound=4, newest=5, unannounced=None)
 
-    assert choice.left_out(0.0) == ("old",)
-    assert choice.room(0, 0.0) == 24
+    assert choice.excluded(0.0) == ("old",)
+    assert choice.concurrency_limit(0, 0.0) == 24
 
 
-def test_an_engine_whose_labels_disprove_it_is_left_out_for_a_while() -> None:
+def test_engine_with_falsely_announced_version_is_excluded_for_a_limited_time() -> None:
     """
-    An engine announces version 5 and writes tokens of version 1.
+    An engine announces version 5 but labels its tokens with version 1.
 
-    Kept in use, the emptiest engine would be the lying one, and each sample there is thrown away.
+    Without the exclusion, this engine would remain the least loaded one and receive every new
+    attempt, and each of its samples would be discarded.
     """
-    choice = _choice(liar=5, honest=5)
-    choice.disprove("liar", 1, 10.0)
+    choice = _choice(wrong=5, correct=5)
+    choice.exclude_and_report("wrong", 1, 10.0)
 
-    assert choice._registry.disproofs == [Disproof("liar", 1, "t", 5)]
-    assert choice.left_out(10.1) == ("liar",)
-    assert choice.left_out(10.1 + DISTRUST_S) == ()
+    assert choice._registry.disproofs == [Disproof("wrong", 1, "t", 5)]
+    assert choice.excluded(10.1) == ("wrong",)
+    assert choice.excluded(10.1 + EXCLUSION_S) == ()
 
 
-def test_trainers_share_the_engines_by_rule() -> None:
+def test_concurrency_limit_follows_the_share_rules() -> None:
     busy = EndpointLoad(running=8, capacity=8)
-    assert _choice(("t", "u"), newest=5).room(0, 0.0) == 8
-    assert _choice(("t", "u"), load=busy, newest=5).room(0, 0.0) == 4
-    assert _choice(("t", "u", "v"), old=3).room(0, 0.0) == 0
-    assert _choice(("u",), newest=5).room(0, 0.0) == 0
+    assert _choice(("t", "u"), newest=5).concurrency_limit(0, 0.0) == 8
+    assert _choice(("t", "u"), load=busy, newest=5).concurrency_limit(0, 0.0) == 4
+    assert _choice(("t", "u", "v"), old=3).concurrency_limit(0, 0.0) == 0
+    assert _choice(("u",), newest=5).concurrency_limit(0, 0.0) == 0
--- a/tests/unit/entry/rollouts/test_service.py
+++ b/tests/unit/entry/rollouts/test_service.py
@@ -35,7 +35,7 @@
 
 
 class _Control:
-    """The real state machine behind a client without a network."""
+    """A control client that applies commands directly to a real state machine."""
 
     name = "control_client"
 
@@ -64,8 +64,8 @@
         return {"found": True, **dataclasses.asdict(found)}
 
 
-class _Entry:
-    """Lease, registry, endpoints and http of one entry."""
+class _EntryServices:
+    """Test double for the services lease, registry, endpoints and http of one entry."""
 
     def __init__(self, name: str, control: _Control, live: set[str]) -> None:
         self.name = name
@@ -103,30 +103,31 @@
     applied = await control.propose(ApplyRules(0, RULES, "ana"), new_request_id())
     assert applied.version == 1, applied
     live = {"e1", "e2"}
-    first = await _Entry("e1", control, live).start()
-    second = await _Entry("e2", control, live).start()
+    first = await _EntryServices("e1", control, live).start()
+    second = await _EntryServices("e2", control, live).start()
     return first, second, live
 
 
 async def _batch(rollouts: Rollouts) -> bytes:
     found: list[bytes] = []
 
-    async def whole() -> bool:
+    async def is_complete() -> bool:
         result = await rollouts.fetch(TRAINER, 1)
         if isinstance(result, bytes):
             found.append(result)
         return bool(found)
 
-    await wait_until(whole, "the batch")
+    await wait_until(is_complete, "the batch to be delivered")
     return found[0]
 
 
 async def test_an_owner_that_lost_its_step_hands_out_nothing_of_it() -> None:
     """
-    The owner delivers, is cut off past its lease and taken over from; then it is asked again, its
-    payload still in hand, before it has heard of any of this.
+    An owner that was replaced gets another request for the batch.
 
-    Without a commit before each resend the trainer would get the old samples and the new ones.
+    The owner delivered the batch and was then cut off until its lease lapsed; another entry took
+    the step over. The old owner still holds its payload and has not received the new state.
+    Without a commit before each resend, the trainer would get the old samples and the new ones.
     """
     first, second, live = await _two_entries()
     await first.open_step(TRAINER, 1, REQUEST)
@@ -135,7 +136,7 @@
     await second.open_step(TRAINER, 1, REQUEST)
     new = await _batch(second)
 
-    again = await first.payload_of(TRAINER, 1, "")
+    again = await first.fetch_owned(TRAINER, 1, "")
     await second.stop()
 
     assert old != new
@@ -148,7 +149,7 @@
     await first.open_step(TRAINER, 1, REQUEST)
     batch = await _batch(first)
 
-    assert await first.payload_of(TRAINER, 1, "") == batch
+    assert await first.fetch_owned(TRAINER, 1, "") == batch
     wrong = await first.acknowledge(TRAINER, 1, "another batch")
     assert isinstance(wrong, Refusal)
     done = await first.acknowledge(TRAINER, 1, json.loads(batch)["digest"])
@@ -160,25 +161,28 @@
     first, second, _ = await _two_entries()
     await first.open_step(TRAINER, 1, REQUEST)
 
-    told = await second.open_step(TRAINER, 1, REQUEST)
-    mine = await _batch(first)
+    result = await second.open_step(TRAINER, 1, REQUEST)
+    owner_batch = await _batch(first)
     await first.stop()
 
-    assert isinstance(told, Progress)
-    assert json.loads(mine)["samples"][0]["sample"].startswith(f"{TRAINER}:1:1:")
+    assert isinstance(result, Progress)
+    assert json.loads(owner_batch)["samples"][0]["sample"].startswith(f"{TRAINER}:1:1:")
 
 
 async def test_a_delivery_whose_answer_was_lost_is_made_again_with_the_same_batch() -> None:
     """
-    The delivery is committed and its answer lost; the trainer publishes, then asks again.
+    The response to a committed delivery is lost; the trainer publishes versions and retries.
 
-    A batch built anew, without what is stale by now, would differ from the one in the log: refused
-    for ever, and the step with it.
+    A rebuilt batch without the samples that are stale by now would differ from the one in the
+    replicated log: it would be rejected forever, and the step could never be completed.
     """
     first, _, _ = await _two_entries()
     control = first._commands._control
     await first.open_step(TRAINER, 1, REQUEST)
-    await wait_until(lambda: first._step_by_key[TRAINER, 1].gathering.ready() == 2, "both samples")
+    await wait_until(
+        lambda: first._step_by_key[TRAINER, 1].gathering.ready_count() == 2,
+        "both samples to be ready",
+    )
     control.lose_answer = True
     lost = await first.fetch(TRAINER, 1)
     for version in (1, 2, 3):
--- a/tests/unit/entry/rollouts/test_step_request.py
+++ b/tests/unit/entry/rollouts/test_step_request.py
@@ -10,7 +10,7 @@
 from ibisspring_entry.rollouts.step_request import StepRequest, check_step_request
 
 
-def test_the_same_body_is_the_same_step() -> None:
+def test_digest_is_independent_of_json_formatting() -> None:
     body = step_body("scorer-lm", 2, 4, 16)
     first = parse_body(json.dumps(body).encode(), StepRequest)
     second = parse_body(json.dumps(body, indent=2).encode(), StepRequest)
@@ -21,19 +21,21 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "expected_detail"),
     [
         ({"group_size": 0}, "group_size"),
         ({"groups": []}, "groups must not be empty"),
-        ({"groups": [{"group": "a", "prompt": ""}] * 2}, "name of its own"),
+        ({"groups": [{"group": "a", "prompt": ""}] * 2}, "names of the groups must be unique"),
         ({"max_tokens": 0}, "max_tokens"),
     ],
 )
-def test_a_bad_body_is_refused_with_what_is_wrong(change: dict[str, object], said: str) -> None:
+def test_invalid_body_is_refused_with_the_error(
+    change: dict[str, object], expected_detail: str
+) -> None:
     body = {**step_body("scorer-lm", 2, 4, 16), **change}
 
     refusal = check_step_request(parse_body(json.dumps(body).encode(), StepRequest))
 
     assert isinstance(refusal, Refusal)
     assert refusal.reason is Reason.BAD_REQUEST
-    assert said in refusal.detail
+    assert expected_detail in refusal.detail
