--- a/packages/ibisspring-entry/src/ibisspring_entry/http/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers, trainers and endpoints that announce themselves."""
+"""HTTP server for callers, trainers and announcements of endpoints."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/access.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/access.py
@@ -1,4 +1,4 @@
-"""What the rules in force allow a client account."""
+"""Checks a client account's access to a service under the current rules."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
     from ibisspring_core.rules import Rules
 
 
-def allowed_rules(kernel: Kernel, client_account: str, service: str) -> Rules | Refusal:
+def authorize_call(kernel: Kernel, client_account: str, service: str) -> Rules | Refusal:
     """
     Check that a client account may call a service.
 
     :param kernel: the daemon's kernel.
-    :param client_account: who calls.
-    :param service: the model or plain service.
-    :return: the rules that allow it, else the refusal.
+    :param client_account: client account of the caller.
+    :param service: name of a model or plain service.
+    :return: the current rules if they allow the call, else a refusal.
     """
     rules = kernel.find("lease").rules()
     if isinstance(rules, Refusal):
@@ -33,4 +33,4 @@
     return Refusal(Reason.NOT_ALLOWED, True, None, detail)
 
 
-__all__ = ["allowed_rules"]
+__all__ = ["authorize_call"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/announce.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/announce.py
@@ -1,4 +1,4 @@
-"""`POST /v1/announce`: endpoints tell of themselves."""
+"""`POST /v1/announce`: endpoints announce their address, state and load."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class AnnounceResource:
-    """Takes announcements; no key is asked for, see docs/how-to/endpoints.md."""
+    """Receives announcements; no API key is required, see docs/how-to/endpoints.md."""
 
     def __init__(self, kernel: Kernel, settings: EntrySettings) -> None:
         self._settings = settings
@@ -28,13 +28,13 @@
         self._counters = kernel.find("counters")
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Take one announcement."""
+        """Validate an announcement and record it in the registry."""
         data = await read_body(request, self._settings)
         record = data if isinstance(data, Refusal) else parse_announcement(data)
         if isinstance(record, tuple):
             self._counters.add("announcement_broken")
-            found = "; ".join(f"{finding.place}: {finding.message}" for finding in record)
-            record = Refusal(Reason.BAD_REQUEST, True, None, found)
+            problems = "; ".join(f"{finding.place}: {finding.message}" for finding in record)
+            record = Refusal(Reason.BAD_REQUEST, True, None, problems)
         if isinstance(record, Refusal):
             refuse(response, record, request.context.request_id, self._counters)
             return
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/bodies.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests: bounded, and checked against a data class."""
+"""Reads request bodies within a size and time limit and decodes them into a data class."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 
 async def read_body(request: falcon.asgi.Request, settings: EntrySettings) -> bytes | Refusal:
     """
-    Read a whole body.
+    Read the complete body of a request.
 
-    A caller whose connection went silent in the middle of its body would hold the request for ever,
-    so the whole body has `caller_silence_s`.
+    The time limit for the complete body is `caller_silence_s`: without it, a caller that stops
+    sending in the middle of the body would keep the request open forever.
 
-    :param request: the request.
-    :param settings: the largest body that is taken, and the time for it.
-    :return: the body, or the refusal of one that is too large or too slow; not run in either case.
+    :param request: the HTTP request.
+    :param settings: contains the size limit `max_body_bytes` and the time limit `caller_silence_s`.
+    :return: the body, or a refusal if it is too large or too slow; in both cases the request was
+        not run.
     """
     max_bytes = settings.max_body_bytes
-    too_large = Refusal(Reason.TOO_LARGE, True, None, f"the body is over {max_bytes} bytes")
+    too_large = Refusal(Reason.TOO_LARGE, True, None, f"the body is larger than {max_bytes} bytes")
     if (request.content_length or 0) > max_bytes:
         return too_large
     body = bytearray()
@@ -41,22 +42,24 @@
                 if len(body) > max_bytes:
                     return too_large
     except TimeoutError:
-        return Refusal(Reason.TIMEOUT, True, None, "the body did not come in time")
+        return Refusal(
+            Reason.TIMEOUT, True, None, "the body was not received within the time limit"
+        )
     return bytes(body)
 
 
 def parse_body(body: bytes, body_type: type[BodyT]) -> BodyT | Refusal:
     """
-    Parse a JSON body.
+    Decode a JSON body.
 
-    :param body: the bytes.
-    :param body_type: the data class that it must fit.
-    :return: the object, or a refusal that says what does not fit.
+    :param body: the bytes of the body.
+    :param body_type: the data class to decode into.
+    :return: the decoded object, or a refusal with the decoding error.
     """
     try:
         return decode_json(body, body_type)
     except msgspec.DecodeError as error:
-        return Refusal(Reason.BAD_REQUEST, True, None, f"the body does not fit: {error}")
+        return Refusal(Reason.BAD_REQUEST, True, None, f"invalid body: {error}")
 
 
 __all__ = ["parse_body", "read_body"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/caller_connection.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: bounded silence, and a typed refusal of what is not HTTP."""
+"""A caller's connection: closes silent connections and answers invalid HTTP with a refusal."""
 
 from __future__ import annotations
 
@@ -20,10 +20,11 @@
 
 class CallerConnection(H11Protocol):
     """
-    uvicorn's connection, ended when its caller went silent.
+    uvicorn's connection protocol, extended by two time limits.
 
-    The kernel notices callers that acknowledge nothing, a timer those that never send a whole
-    request head: without it connections that send half a request fill an entry for good.
+    The operating system closes a connection whose caller does not acknowledge sent data
+    (TCP_USER_TIMEOUT); a timer closes a connection whose caller has not sent a complete request
+    head. Without the timer, connections with half a request would accumulate and exhaust the entry.
     """
 
     def __init__(self, counters: Counters, silence_s: float, **options: Any) -> None:
@@ -32,7 +33,7 @@
         self._silence_s = silence_s
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Bound the silence of a new connection."""
+        """Set both time limits of a new connection."""
         super().connection_made(transport)
         connection = transport.get_extra_info("socket")
         silence_ms = max(1, round(self._silence_s * 1000))
@@ -45,13 +46,13 @@
             self.transport.close()
 
     def send_400_response(self, msg: str) -> None:
-        """Refuse what is not HTTP."""
+        """Send a refusal for a request that is not valid HTTP, and close the connection."""
         self._counters.refused(Reason.BAD_REQUEST)
         try:
             for event in _bad_request_events(msg):
                 self.transport.write(self.conn.send(event))
         except h11.LocalProtocolError:
-            # An answer is under way on this connection already.
+            # A response is already being sent on this connection.
             pass
         self.transport.close()
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/callers.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/callers.py
@@ -1,4 +1,4 @@
-"""Who calls: the key, its client account, and what the rules allow it."""
+"""Identifies and admits callers: API key, client account and rate limit."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 @dataclass(frozen=True)
 class Caller:
     """
-    A caller whose key is good now.
+    A caller whose API key was valid when its request was identified.
 
-    :param key: kept only to keep it from endpoints and to end its work when it is withdrawn.
+    :param key: the API key; used only to remove it from requests to endpoints and to cancel the
+        caller's requests when the key is withdrawn.
     """
 
     client_account: str
@@ -29,19 +30,20 @@
 
 def identify(kernel: Kernel, request: falcon.asgi.Request) -> Caller | Refusal:
     """
-    Find out whom a request runs for.
+    Identify the client account of a request.
 
-    The lease goes first: without one this entry doesn't know which keys were withdrawn meanwhile.
+    The lease is checked first: without a valid lease, this entry does not know which keys have been
+    withdrawn.
 
     :param kernel: the daemon's kernel.
-    :param request: the request; its context gets the client account.
-    :return: the caller, or why it is not served.
+    :param request: the HTTP request; its context receives the client account.
+    :return: the caller, or a refusal.
     """
     lease = kernel.find("lease")
     view = lease.view()
     if isinstance(view, Refusal):
         return view
-    key = key_of(request)
+    key = bearer_key(request)
     if not key:
         detail = "send the header `Authorization: Bearer KEY`"
         return Refusal(Reason.UNKNOWN_KEY, True, None, detail)
@@ -56,40 +58,40 @@
 
 def admit(kernel: Kernel, request: falcon.asgi.Request) -> Caller | Refusal:
     """
-    Let a caller's request in: its key is good, and its client account is within its rate.
+    Admit a request if its key is valid and its client account is within its rate limit.
 
     :param kernel: the daemon's kernel.
-    :param request: the request; from here on it ends with its key.
-    :return: the caller, or why it is not served.
+    :param request: the HTTP request; once admitted, it is cancelled if its key is withdrawn.
+    :return: the caller, or a refusal.
     """
     caller = identify(kernel, request)
     if isinstance(caller, Refusal):
         return caller
-    refused = kernel.find("admission").ask(caller.client_account)
-    if refused is not None:
-        return refused
-    opened = kernel.find("http").open_work.enter(caller.key, caller.client_account)
-    request.context.opened = opened
+    refusal = kernel.find("admission").ask(caller.client_account)
+    if refusal is not None:
+        return refusal
+    open_request = kernel.find("http").open_work.register(caller.key, caller.client_account)
+    request.context.open_request = open_request
     return caller
 
 
-def key_holds(kernel: Kernel, caller: Caller) -> bool:
+def is_key_valid(kernel: Kernel, caller: Caller) -> bool:
     """
-    Check that a caller's key still belongs to its client account.
+    Return whether a caller's key still belongs to its client account.
 
     :param kernel: the daemon's kernel.
-    :param caller: from `admit`, maybe some time ago.
+    :param caller: a caller that `admit` returned earlier.
     :return: False also while the lease is lapsed.
     """
     return kernel.find("lease").client_account_of(caller.key) == caller.client_account
 
 
-def key_of(request: falcon.asgi.Request) -> str:
+def bearer_key(request: falcon.asgi.Request) -> str:
     """
-    Read the key.
+    Return the API key of the `Authorization: Bearer` header.
 
-    :param request: the request.
-    :return: the key; empty where there is none.
+    :param request: the HTTP request.
+    :return: the key; empty if the header is missing or has another scheme.
     """
     header = request.get_header("Authorization") or ""
     if header[: len(BEARER)].lower() != BEARER:
@@ -97,4 +99,4 @@
     return header[len(BEARER) :].strip()
 
 
-__all__ = ["Caller", "admit", "identify", "key_holds", "key_of"]
+__all__ = ["Caller", "admit", "bearer_key", "identify", "is_key_valid"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/ending.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/ending.py
@@ -1,4 +1,7 @@
-"""What a caller gets whose request is ended in its course by its key or the lease."""
+"""Responds to a caller whose running request is cancelled by this entry.
+
+A request is cancelled when its key is withdrawn, the lease has lapsed or the daemon stops.
+"""
 
 from __future__ import annotations
 
@@ -16,35 +19,38 @@
     from ibisspring_core.errors import Refusal
 
 
-async def serve_until_ended(
+async def serve_cancellable(
     request: falcon.asgi.Request,
     response: falcon.asgi.Response,
     counters: Counters,
     work: Awaitable[None],
 ) -> None:
     """
-    Serve a request and tell its caller when it is ended in its course.
+    Serve a request; send a refusal if this entry cancels it.
+
+    A cancellation because the caller closed its connection is raised again.
 
     :param work: fills the response.
     """
     try:
         await work
     except asyncio.CancelledError:
-        refusal = ended(request)
+        refusal = take_cancellation(request)
         if refusal is None:
             raise
         refuse(response, refusal, request.context.request_id, counters)
 
 
-def ended(request: falcon.asgi.Request) -> Refusal | None:
+def take_cancellation(request: falcon.asgi.Request) -> Refusal | None:
     """
-    Find out why a request was cancelled, and take the cancellation back.
+    Revert the cancellation of a request and return its reason.
 
-    :param request: the request.
-    :return: what its caller is told; None where the caller itself left.
+    :param request: the HTTP request.
+    :return: the refusal to send; None if the caller closed the connection, in which case the
+        cancellation is not reverted.
     """
-    opened = getattr(request.context, "opened", None)
-    return None if opened is None else opened.take_end()
+    open_request = getattr(request.context, "open_request", None)
+    return None if open_request is None else open_request.take_refusal()
 
 
-__all__ = ["ended", "serve_until_ended"]
+__all__ = ["serve_cancellable", "take_cancellation"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/generate.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/generate.py
@@ -1,4 +1,4 @@
-"""`POST /v1/generate`."""
+"""`POST /v1/generate`: generations for callers, streamed or as one JSON object."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from ibisspring_core.clock import boot_now
 from ibisspring_core.errors import Reason, Refusal
-from ibisspring_entry.http.access import allowed_rules
+from ibisspring_entry.http.access import authorize_call
 from ibisspring_entry.http.bodies import parse_body, read_body
-from ibisspring_entry.http.callers import admit, key_holds
-from ibisspring_entry.http.ending import ended, serve_until_ended
-from ibisspring_entry.http.generate_wire import NDJSON, GenerateBody, line_of, whole_answer
+from ibisspring_entry.http.callers import admit, is_key_valid
+from ibisspring_entry.http.ending import serve_cancellable, take_cancellation
+from ibisspring_entry.http.generate_wire import NDJSON, GenerateBody, complete_answer, encode_line
 from ibisspring_entry.http.keyed_generation import KeyedGeneration
 from ibisspring_entry.http.refusals import refuse
 from ibisspring_entry.http.usage import bill
@@ -32,7 +32,7 @@
 
 
 class GenerateResource:
-    """Generations for callers."""
+    """Handles `POST /v1/generate`."""
 
     def __init__(self, kernel: Kernel, settings: EntrySettings) -> None:
         self._kernel = kernel
@@ -40,27 +40,27 @@
         self._counters = kernel.find("counters")
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Run one generation."""
+        """Run one generation and send its tokens to the caller."""
         work = self._serve(request, response)
-        await serve_until_ended(request, response, self._counters, work)
+        await serve_cancellable(request, response, self._counters, work)
 
     async def _serve(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         caller = admit(self._kernel, request)
-        asked = caller if isinstance(caller, Refusal) else await self._read(request, caller)
-        if isinstance(asked, Refusal):
-            refuse(response, asked, request.context.request_id, self._counters)
+        parsed = caller if isinstance(caller, Refusal) else await self._read(request, caller)
+        if isinstance(parsed, Refusal):
+            refuse(response, parsed, request.context.request_id, self._counters)
             return
-        body, wanted = asked
+        body, endpoint_request = parsed
         key = request.get_header("Idempotency-Key")
         if key is not None:
-            generation = KeyedGeneration(self._kernel, caller, body, wanted)
-            await self._once(request, response, generation, key)
+            generation = KeyedGeneration(self._kernel, caller, body, endpoint_request)
+            await self._serve_keyed(request, response, generation, key)
             return
-        answers = self._kernel.find("endpoints").generate(wanted)
+        pieces = self._kernel.find("endpoints").generate(endpoint_request)
         if body.stream:
-            await self._stream(request, response, wanted, answers)
+            await self._serve_stream(request, response, endpoint_request, pieces)
             return
-        await self._whole(response, wanted, answers)
+        await self._serve_complete(response, endpoint_request, pieces)
 
     async def _read(
         self, request: falcon.asgi.Request, caller: Caller
@@ -70,12 +70,12 @@
         if isinstance(body, Refusal):
             return body
         if not 0 < body.max_tokens <= MAX_TOKENS or not body.deadline_s > 0:
-            detail = f"max_tokens must be 1 to {MAX_TOKENS}, deadline_s above 0"
+            detail = f"max_tokens must be from 1 to {MAX_TOKENS}, deadline_s greater than 0"
             return Refusal(Reason.BAD_REQUEST, True, None, detail)
-        rules = allowed_rules(self._kernel, caller.client_account, body.model)
+        rules = authorize_call(self._kernel, caller.client_account, body.model)
         if isinstance(rules, Refusal):
             return rules
-        wanted = GenerateRequest(
+        endpoint_request = GenerateRequest(
             request_id=request.context.request_id,
             client_account=caller.client_account,
             model=body.model,
@@ -84,11 +84,11 @@
             adapter=body.adapter,
             deadline_s=min(body.deadline_s, self._settings.request_timeout_s),
             correlation_id=request.context.correlation_id,
-            may_start=lambda: key_holds(self._kernel, caller),
+            may_start=lambda: is_key_valid(self._kernel, caller),
         )
-        return body, wanted
+        return body, endpoint_request
 
-    async def _once(
+    async def _serve_keyed(
         self,
         request: falcon.asgi.Request,
         response: falcon.asgi.Response,
@@ -98,7 +98,7 @@
         answer = await generation.start(key)
         if answer is None:
             response.content_type = NDJSON
-            response.stream = self._until_ended(request, generation.lines())
+            response.stream = self._with_cancellation_error(request, generation.lines())
             return
         if isinstance(answer, Refusal):
             refuse(response, answer, request.context.request_id, self._counters)
@@ -107,94 +107,100 @@
         for name, value in answer.headers:
             response.set_header(name, value)
 
-    async def _until_ended(
+    async def _with_cancellation_error(
         self, request: falcon.asgi.Request, lines: AsyncGenerator[bytes, None]
     ) -> AsyncGenerator[bytes, None]:
-        """Stream, and tell the caller when the stream is ended by its key or the lease."""
+        """Yield `lines`; if this entry cancels the request, yield an error line at the end."""
         try:
             async with aclosing(lines):
                 async for line in lines:
                     yield line
         except asyncio.CancelledError:
-            refusal = ended(request)
+            refusal = take_cancellation(request)
             if refusal is None:
                 raise
             self._counters.refused(refusal.reason)
             request_id = request.context.request_id
-            yield line_of(request_id, Failed(request_id, refusal))
+            yield encode_line(request_id, Failed(request_id, refusal))
 
-    async def _stream(
+    async def _serve_stream(
         self,
         request: falcon.asgi.Request,
         response: falcon.asgi.Response,
-        wanted: GenerateRequest,
-        answers: AsyncGenerator[TokenRun | End | Failed, None],
+        endpoint_request: GenerateRequest,
+        pieces: AsyncGenerator[TokenRun | End | Failed, None],
     ) -> None:
-        # The first answer decides the status: a refusal before any token is a typed HTTP refusal.
-        first = await anext(answers)
+        # The first piece determines the HTTP status: a refusal before any token is sent with the
+        # status and body of its reason.
+        first = await anext(pieces)
         if isinstance(first, Failed):
-            refuse(response, first.refusal, wanted.request_id, self._counters)
+            refuse(response, first.refusal, endpoint_request.request_id, self._counters)
             return
         response.content_type = NDJSON
-        lines = self._lines(wanted, first, answers)
-        response.stream = self._until_ended(request, lines)
+        lines = self._stream_lines(endpoint_request, first, pieces)
+        response.stream = self._with_cancellation_error(request, lines)
 
-    async def _lines(
+    async def _stream_lines(
         self,
-        wanted: GenerateRequest,
+        endpoint_request: GenerateRequest,
         first: TokenRun | End,
-        answers: AsyncGenerator[TokenRun | End | Failed, None],
+        pieces: AsyncGenerator[TokenRun | End | Failed, None],
     ) -> AsyncGenerator[bytes, None]:
         total = 0
         endpoint_s: float | None = None
-        began = boot_now()
-        answer: TokenRun | End | Failed | None = first
+        started_at = boot_now()
+        piece: TokenRun | End | Failed | None = first
         try:
-            async with aclosing(answers):
-                while answer is not None:
-                    if isinstance(answer, TokenRun):
-                        total += len(answer.tokens)
-                    if isinstance(answer, End):
-                        endpoint_s = answer.endpoint_s
-                    if isinstance(answer, Failed):
-                        self._counters.refused(answer.refusal.reason)
-                    yield line_of(wanted.request_id, answer)
-                    answer = await anext(answers, None)
+            async with aclosing(pieces):
+                while piece is not None:
+                    if isinstance(piece, TokenRun):
+                        total += len(piece.tokens)
+                    if isinstance(piece, End):
+                        endpoint_s = piece.endpoint_s
+                    if isinstance(piece, Failed):
+                        self._counters.refused(piece.refusal.reason)
+                    yield encode_line(endpoint_request.request_id, piece)
+                    piece = await anext(pieces, None)
         finally:
-            # A caller that left is billed for what it was sent, from its first token on.
-            self._bill(wanted, total, boot_now() - began if endpoint_s is None else endpoint_s)
-
-    async def _whole(
+            # A caller that closed the connection is billed for the tokens sent so far and for the
+            # time since the first token.
+            self._bill(
+                endpoint_request,
+                total,
+                boot_now() - started_at if endpoint_s is None else endpoint_s,
+            )
+
+    async def _serve_complete(
         self,
         response: falcon.asgi.Response,
-        wanted: GenerateRequest,
-        answers: AsyncGenerator[TokenRun | End | Failed, None],
+        endpoint_request: GenerateRequest,
+        pieces: AsyncGenerator[TokenRun | End | Failed, None],
     ) -> None:
         runs: list[TokenRun] = []
         endpoint_s = 0.0
-        async with aclosing(answers):
-            async for answer in answers:
-                if isinstance(answer, TokenRun):
-                    runs.append(answer)
-                elif isinstance(answer, End):
-                    endpoint_s = answer.endpoint_s
+        async with aclosing(pieces):
+            async for piece in pieces:
+                if isinstance(piece, TokenRun):
+                    runs.append(piece)
+                elif isinstance(piece, End):
+                    endpoint_s = piece.endpoint_s
                 else:
-                    refuse(response, answer.refusal, wanted.request_id, self._counters)
+                    refuse(response, piece.refusal, endpoint_request.request_id, self._counters)
                     return
-        self._bill(wanted, sum(len(run.tokens) for run in runs), endpoint_s)
+        self._bill(endpoint_request, sum(len(run.tokens) for run in runs), endpoint_s)
         response.content_type = falcon.MEDIA_JSON
-        response.data = whole_answer(wanted.request_id, runs)
+        response.data = complete_answer(endpoint_request.request_id, runs)
 
-    def _bill(self, wanted: GenerateRequest, tokens: int, endpoint_s: float) -> None:
+    def _bill(self, endpoint_request: GenerateRequest, tokens: int, endpoint_s: float) -> None:
         if tokens == 0:
             return
         bill(
             self._kernel,
-            wanted.client_account,
-            wanted.model,
+            endpoint_request.client_account,
+            endpoint_request.model,
             tokens,
             endpoint_s,
-            wanted.request_id,
+            endpoint_request.request_id,
         )
 
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/generate_wire.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/generate_wire.py
@@ -1,4 +1,4 @@
-"""Generations on the wire towards callers (docs/API.md): the body in, lines or one object out."""
+"""Encoding of generations for callers (docs/API.md): request body, NDJSON lines, JSON object."""
 
 from __future__ import annotations
 
@@ -24,36 +24,36 @@
     deadline_s: float = 60.0
 
 
-def line_of(request_id: str, answer: TokenRun | End | Failed) -> bytes:
+def encode_line(request_id: str, piece: TokenRun | End | Failed) -> bytes:
     """
-    Encode one piece of a streamed answer.
+    Encode one piece of a streamed response.
 
-    :param request_id: the request's id.
-    :param answer: tokens, the end mark or the error.
-    :return: one JSON line.
+    :param request_id: id of the request.
+    :param piece: a run of tokens, the end of the generation, or its failure.
+    :return: one JSON line with a newline.
     """
-    if isinstance(answer, TokenRun):
+    if isinstance(piece, TokenRun):
         line = {
             "request_id": request_id,
-            "offset": answer.offset,
-            "tokens": answer.tokens,
-            "text": answer.text,
-            "version": answer.version,
+            "offset": piece.offset,
+            "tokens": piece.tokens,
+            "text": piece.text,
+            "version": piece.version,
         }
-    elif isinstance(answer, End):
-        line = {"request_id": request_id, "done": True, "total": answer.total}
+    elif isinstance(piece, End):
+        line = {"request_id": request_id, "done": True, "total": piece.total}
     else:
-        line = {"request_id": request_id, **error_body(answer.refusal, request_id)}
+        line = {"request_id": request_id, **error_body(piece.refusal, request_id)}
     return msgspec.json.encode(line) + b"\n"
 
 
-def whole_answer(request_id: str, runs: list[TokenRun]) -> bytes:
+def complete_answer(request_id: str, runs: list[TokenRun]) -> bytes:
     """
-    Encode the answer of a generation that is not streamed.
+    Encode the response of a generation that is not streamed.
 
-    :param request_id: the request's id.
-    :param runs: its token runs in order.
-    :return: one JSON object; neighbouring runs of one version are joined.
+    :param request_id: id of the request.
+    :param runs: the token runs of the generation in order.
+    :return: one JSON object; adjacent runs with the same version are merged.
     """
     tokens: list[int] = []
     labels: list[dict[str, object]] = []
@@ -74,4 +74,4 @@
     return msgspec.json.encode(answer)
 
 
-__all__ = ["NDJSON", "GenerateBody", "line_of", "whole_answer"]
+__all__ = ["NDJSON", "GenerateBody", "complete_answer", "encode_line"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/health.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/health.py
@@ -1,4 +1,4 @@
-"""The balancer's questions."""
+"""Health and readiness probes of the load balancer."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class HealthResource:
-    """`GET /healthz`: the process answers."""
+    """`GET /healthz`: whether the process responds."""
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Say so."""
+        """Respond with 200."""
         response.content_type = falcon.MEDIA_JSON
         response.data = b'{"healthy": true}'
 
 
 class ReadyResource:
-    """`GET /readyz`: new requests may be sent here."""
+    """`GET /readyz`: whether this entry accepts new requests."""
 
     def __init__(self, kernel: Kernel, is_stopping: Callable[[], bool]) -> None:
         self._lease = kernel.find("lease")
         self._is_stopping = is_stopping
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Answer 200, or 503 with the reason."""
+        """Respond with 200, or with 503 and the reason."""
         reason = ""
         view = self._lease.view()
         if isinstance(view, Refusal):
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/keyed_generation.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/keyed_generation.py
@@ -1,4 +1,4 @@
-"""A generation under an Idempotency-Key: one run and one bill, however often it is asked for."""
+"""A generation with an Idempotency-Key: run and billed once, however often it is requested."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import falcon
 
 from ibisspring_entry.claims import KeyedCall
-from ibisspring_entry.http.generate_wire import NDJSON, line_of, whole_answer
+from ibisspring_entry.http.generate_wire import NDJSON, complete_answer, encode_line
 from ibisspring_entry.http.usage import bill
 from ibisspring_entry.proxy.messages import Failed, PlainAnswer, TokenRun
 
@@ -25,114 +25,120 @@
 
 class KeyedGeneration:
     """
-    One run, apart from its caller: when the caller leaves, the run goes on and its answer is stored
-    for the caller's next try.
+    A generation that runs independently of its caller's connection.
+
+    If the caller closes the connection, the generation continues, and its response is stored for
+    the caller's next request with the same key.
     """
 
     def __init__(
-        self, kernel: Kernel, caller: Caller, body: GenerateBody, wanted: GenerateRequest
+        self, kernel: Kernel, caller: Caller, body: GenerateBody, endpoint_request: GenerateRequest
     ) -> None:
         self._kernel = kernel
         self._caller = caller
         self._body = body
-        self._wanted = wanted
-        self._lines: asyncio.Queue[bytes | None] = asyncio.Queue()
+        self._endpoint_request = endpoint_request
+        self._line_queue: asyncio.Queue[bytes | None] = asyncio.Queue()
 
     async def start(self, key: str) -> PlainAnswer | Refusal | None:
         """
-        Claim the key and begin.
+        Claim the key and start the generation.
 
         :param key: the caller's Idempotency-Key.
-        :return: the final answer where it is there already or the run is not streamed; None where
-            `lines` streams it.
+        :return: the complete response if it is already stored or the generation is not streamed, a
+            refusal, or None if `lines` streams the response.
         """
         parts = (
-            self._wanted.model,
-            self._wanted.adapter,
-            self._wanted.prompt,
-            str(self._wanted.max_tokens),
+            self._endpoint_request.model,
+            self._endpoint_request.adapter,
+            self._endpoint_request.prompt,
+            str(self._endpoint_request.max_tokens),
             str(self._body.stream),
         )
         call = KeyedCall.from_parts(
-            self._wanted.client_account, key, self._wanted.request_id, parts
+            self._endpoint_request.client_account, key, self._endpoint_request.request_id, parts
         )
-        ending = asyncio.ensure_future(self._kernel.find("claims").run_once(call, self._run))
+        run_task = asyncio.ensure_future(self._kernel.find("claims").run_once(call, self._run))
         if not self._body.stream:
-            return await ending
-        first = asyncio.ensure_future(self._lines.get())
-        await asyncio.wait({ending, first}, return_when=asyncio.FIRST_COMPLETED)
+            return await run_task
+        first = asyncio.ensure_future(self._line_queue.get())
+        await asyncio.wait({run_task, first}, return_when=asyncio.FIRST_COMPLETED)
         if not first.done():
             first.cancel()
-            return await ending
-        self._lines_first = first.result()
+            return await run_task
+        self._first_line = first.result()
         return None
 
     async def lines(self) -> AsyncGenerator[bytes, None]:
         """
-        Stream the run.
+        Stream the generation.
 
-        :return: its lines, the end mark or an error last.
+        :return: its NDJSON lines; the last one is the end or an error.
         """
-        line = self._lines_first
+        line = self._first_line
         while line is not None:
             yield line
-            line = await self._lines.get()
+            line = await self._line_queue.get()
 
     async def _run(self) -> PlainAnswer | Refusal:
-        # It outlives its caller, but not its key.
-        opened = self._kernel.find("http").open_work.enter(
+        # The run continues without its caller, but is cancelled if the key is withdrawn.
+        open_request = self._kernel.find("http").open_work.register(
             self._caller.key, self._caller.client_account
         )
         try:
             return await self._generate()
         except asyncio.CancelledError:
-            refusal = opened.take_end()
+            refusal = open_request.take_refusal()
             if refusal is None:
                 raise
-            self._lines.put_nowait(line_of(self._wanted.request_id, self._failed(refusal)))
-            self._lines.put_nowait(None)
+            self._line_queue.put_nowait(
+                encode_line(self._endpoint_request.request_id, self._failure(refusal))
+            )
+            self._line_queue.put_nowait(None)
             return refusal
 
-    def _failed(self, refusal: Refusal) -> Failed:
-        return Failed(self._wanted.request_id, refusal)
+    def _failure(self, refusal: Refusal) -> Failed:
+        return Failed(self._endpoint_request.request_id, refusal)
 
     async def _generate(self) -> PlainAnswer | Refusal:
         endpoint_s = 0.0
-        request_id = self._wanted.request_id
+        request_id = self._endpoint_request.request_id
         runs: list[TokenRun] = []
-        stored: list[bytes] = []
-        answers = self._kernel.find("endpoints").generate(self._wanted)
-        async with aclosing(answers):
-            async for answer in answers:
-                if isinstance(answer, Failed) and not runs:
-                    return answer.refusal
-                line = line_of(request_id, answer)
-                self._lines.put_nowait(line)
-                if isinstance(answer, Failed):
-                    self._lines.put_nowait(None)
-                    return answer.refusal
-                stored.append(line)
-                if isinstance(answer, TokenRun):
-                    runs.append(answer)
+        stored_lines: list[bytes] = []
+        pieces = self._kernel.find("endpoints").generate(self._endpoint_request)
+        async with aclosing(pieces):
+            async for piece in pieces:
+                if isinstance(piece, Failed) and not runs:
+                    return piece.refusal
+                line = encode_line(request_id, piece)
+                self._line_queue.put_nowait(line)
+                if isinstance(piece, Failed):
+                    self._line_queue.put_nowait(None)
+                    return piece.refusal
+                stored_lines.append(line)
+                if isinstance(piece, TokenRun):
+                    runs.append(piece)
                 else:
-                    endpoint_s = answer.endpoint_s
-        self._lines.put_nowait(None)
+                    endpoint_s = piece.endpoint_s
+        self._line_queue.put_nowait(None)
         tokens = sum(len(run.tokens) for run in runs)
-        wanted = self._wanted
+        endpoint_request = self._endpoint_request
         bill(
             self._kernel,
-            wanted.client_account,
-            wanted.model,
+            endpoint_request.client_account,
+            endpoint_request.model,
             tokens,
             endpoint_s,
             request_id,
         )
         if self._body.stream:
-            return self._answer(b"".join(stored), NDJSON)
-        return self._answer(whole_answer(request_id, runs), falcon.MEDIA_JSON)
+            return self._plain_answer(b"".join(stored_lines), NDJSON)
+        return self._plain_answer(complete_answer(request_id, runs), falcon.MEDIA_JSON)
 
-    def _answer(self, body: bytes, content_type: str) -> PlainAnswer:
-        return PlainAnswer(self._wanted.request_id, 200, body, (("content-type", content_type),))
+    def _plain_answer(self, body: bytes, content_type: str) -> PlainAnswer:
+        return PlainAnswer(
+            self._endpoint_request.request_id, 200, body, (("content-type", content_type),)
+        )
 
 
 __all__ = ["KeyedGeneration"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/middleware.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/middleware.py
@@ -1,4 +1,4 @@
-"""What every request passes: its ids, its place in the log, the refusal while the daemon stops."""
+"""Middleware for every request: request ids, access log and refusals during shutdown."""
 
 from __future__ import annotations
 
@@ -21,17 +21,19 @@
 
 
 class RequestIds:
-    """Gives each request its id and its correlation id, and logs its end."""
+    """Sets the request id and correlation id of each request and logs its response."""
 
     async def process_request(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
         """Set `context.request_id` and `context.correlation_id`."""
         request_id = uuid.uuid4().hex
-        told = request.get_header("X-Correlation-Id") or ""
+        correlation_id = request.get_header("X-Correlation-Id") or ""
         request.context.request_id = request_id
-        # Anything else would let a caller write lines of its own into the logs.
-        request.context.correlation_id = told if CORRELATION_ID.fullmatch(told) else request_id
+        # Other values are replaced, so that callers cannot inject lines into the logs.
+        request.context.correlation_id = (
+            correlation_id if CORRELATION_ID.fullmatch(correlation_id) else request_id
+        )
         request.context.client_account = ""
         response.set_header("X-Request-Id", request_id)
 
@@ -42,8 +44,8 @@
         resource: object,
         req_succeeded: bool,
     ) -> None:
-        """Log what was answered; the body may still be streaming."""
-        if request.path in QUIET_PATHS:
+        """Log the status of the response; its body may still be streaming."""
+        if request.path in EXEMPT_PATHS:
             return
         eliot.log_message(
             "http:answered",
@@ -56,15 +58,17 @@
         )
 
 
-QUIET_PATHS = frozenset(("/healthz", "/readyz", "/v1/announce"))
+# Frequent probes and announcements: neither logged nor refused during shutdown.
+EXEMPT_PATHS = frozenset(("/healthz", "/readyz", "/v1/announce"))
 
 
-class Stopping:
+class StopMiddleware:
     """
-    Refuses new work, truthfully not run, once the daemon stops.
+    Refuses new requests as not run during the shutdown of the daemon.
 
-    From the first moment of the stop each answer also closes its connection: a caller that keeps
-    one would send its next request into the closing port, and not know whether it ran.
+    From the start of the shutdown, each response also closes its connection: a caller that reuses
+    the connection would send its next request while the port is being closed, and would not know
+    whether the request was run.
     """
 
     def __init__(self, counters: Counters) -> None:
@@ -79,10 +83,12 @@
         resource: object,
         params: dict[str, object],
     ) -> None:
-        """End the request here while the daemon stops."""
-        if not self.refusing or request.path in QUIET_PATHS:
+        """Refuse the request while `refusing` is set."""
+        if not self.refusing or request.path in EXEMPT_PATHS:
             return
-        refusal = Refusal(Reason.STOPPING, True, 1.0, "this daemon stops; ask again")
+        refusal = Refusal(
+            Reason.STOPPING, True, 1.0, "this daemon is stopping; send the request again"
+        )
         refuse(response, refusal, request.context.request_id, self._counters)
         response.complete = True
 
@@ -93,20 +99,20 @@
         resource: object,
         req_succeeded: bool,
     ) -> None:
-        """Close the connection with the answer while the daemon stops."""
+        """Make the response close its connection while `stopping` is set."""
         if self.stopping:
             response.set_header("Connection", "close")
 
 
 def add_error_handlers(app: falcon.asgi.App, counters: Counters) -> None:
     """
-    Make every error of the framework a typed refusal.
+    Convert falcon's HTTP errors and unhandled exceptions to refusals.
 
-    :param app: the application.
+    :param app: the falcon application.
     :param counters: the process's counters.
     """
 
-    async def answer_http_error(
+    async def handle_http_error(
         request: falcon.asgi.Request,
         response: falcon.asgi.Response,
         error: falcon.HTTPError,
@@ -116,19 +122,21 @@
         refuse(response, refusal, request.context.request_id, counters)
         response.status = error.status
 
-    async def answer_fault(
+    async def handle_exception(
         request: falcon.asgi.Request,
         response: falcon.asgi.Response,
         error: Exception,
         params: dict[str, object],
     ) -> None:
         eliot.log_message("http:fault", request_id=request.context.request_id, error=repr(error))
-        # Nothing is known of how far it came, so it may have run.
-        refusal = Refusal(Reason.INTERNAL, False, None, "a fault of this daemon; see its log")
+        # The handler may have failed at any point, so the request may have run.
+        refusal = Refusal(
+            Reason.INTERNAL, False, None, "internal error of this daemon; see its log"
+        )
         refuse(response, refusal, request.context.request_id, counters)
 
-    app.add_error_handler(Exception, answer_fault)
-    app.add_error_handler(falcon.HTTPError, answer_http_error)
+    app.add_error_handler(Exception, handle_exception)
+    app.add_error_handler(falcon.HTTPError, handle_http_error)
 
 
-__all__ = ["RequestIds", "Stopping", "add_error_handlers"]
+__all__ = ["RequestIds", "StopMiddleware", "add_error_handlers"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/open_work.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/open_work.py
@@ -1,4 +1,4 @@
-"""Open requests by key: they end when the key is withdrawn, or the lease is lapsed for too long."""
+"""Open requests of callers: cancelled when their key is withdrawn or the lease stays lapsed."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 
 LAPSE_GRACE_S = 5.0
 """
-Seconds that open requests go on without a lease: an election passes within them, and a key that was
-withdrawn behind a cut still stops working within seconds.
+Seconds for which open requests continue without a valid lease.
+
+Long enough for an election of the control plane. Short enough that a key that is withdrawn while
+this entry is cut off from control stops working within seconds.
 """
 
-WATCH_EVERY_S = 0.25
+WATCH_INTERVAL_S = 0.25
 
 
 class OpenRequest:
-    """One request under way; `reason` says why it was ended, if it was."""
+    """A request that is being served; `reason` is set when this entry cancels it."""
 
     def __init__(self, task: asyncio.Task[None], key: str, client_account: str) -> None:
         self.task = task
@@ -31,65 +33,71 @@
         self.client_account = client_account
         self.reason: Reason | None = None
 
-    def end(self, reason: Reason) -> None:
-        """Cancel its work; what its caller gets is the refusal of `take_end`."""
+    def cancel(self, reason: Reason) -> None:
+        """Cancel the request's task; its caller gets the refusal of `take_refusal`."""
         if self.reason is None:
             self.reason = reason
             self.task.cancel()
 
-    def take_end(self) -> Refusal | None:
+    def take_refusal(self) -> Refusal | None:
         """
-        Take the cancellation back so that the caller can be told.
+        Revert the cancellation of the current task, so that a response can be sent.
 
-        :return: what to tell; None where the caller itself left.
+        :return: the refusal to send; None if the caller closed the connection, in which case the
+            cancellation is not reverted.
         """
         if self.reason is None:
             return None
         self.task.uncancel()
-        return Refusal(self.reason, False, None, "ended in its course; it may have run")
+        return Refusal(
+            self.reason,
+            False,
+            None,
+            "the request was cancelled while it was running; it may have run",
+        )
 
 
 class OpenWork:
-    """All callers' requests under way at this entry."""
+    """All requests of callers that this entry is serving."""
 
     def __init__(self, kernel: Kernel) -> None:
-        self._open: set[OpenRequest] = set()
+        self._open_requests: set[OpenRequest] = set()
         self._lapsed_at: float | None = None
         self._lease = kernel.find("lease")
         self._counters: Counters = kernel.find("counters")
-        self._lease.subscribe(self._end_withdrawn)
-        kernel.find("timer").subscribe("open_work", WATCH_EVERY_S, self._watch_lease)
+        self._lease.subscribe(self._cancel_withdrawn)
+        kernel.find("timer").subscribe("open_work", WATCH_INTERVAL_S, self._watch_lease)
 
-    def enter(self, key: str, client_account: str) -> OpenRequest:
+    def register(self, key: str, client_account: str) -> OpenRequest:
         """
-        Note the request that the current task serves, until that task is done.
+        Register the request that the current task serves; removed when that task is done.
 
-        :param key: the caller's key.
-        :param client_account: its client account.
+        :param key: the caller's API key.
+        :param client_account: client account of the key.
         :return: the open request.
         """
         task = asyncio.current_task()
-        entered = OpenRequest(task, key, client_account)
-        self._open.add(entered)
-        task.add_done_callback(lambda _: self._open.discard(entered))
-        return entered
+        open_request = OpenRequest(task, key, client_account)
+        self._open_requests.add(open_request)
+        task.add_done_callback(lambda _: self._open_requests.discard(open_request))
+        return open_request
 
-    def end_all(self, reason: Reason) -> None:
+    def cancel_all(self, reason: Reason) -> None:
         """
-        End every open request.
+        Cancel every open request.
 
-        :param reason: what their callers are told.
+        :param reason: reason of the refusal that the callers get.
         """
-        for request in list(self._open):
+        for request in list(self._open_requests):
             self._counters.add(f"ended.{reason.value}")
-            request.end(reason)
+            request.cancel(reason)
 
-    def _end_withdrawn(self, old: Rules, new: Rules) -> None:
-        for request in list(self._open):
+    def _cancel_withdrawn(self, old: Rules, new: Rules) -> None:
+        for request in list(self._open_requests):
             if new.client_account_of(request.key) == request.client_account:
                 continue
             self._counters.add(f"ended.{Reason.KEY_WITHDRAWN.value}")
-            request.end(Reason.KEY_WITHDRAWN)
+            request.cancel(Reason.KEY_WITHDRAWN)
 
     async def _watch_lease(self, now: float) -> None:
         if not isinstance(self._lease.view(), Refusal):
@@ -99,7 +107,7 @@
             self._lapsed_at = boot_now()
         if now - self._lapsed_at < LAPSE_GRACE_S:
             return
-        self.end_all(Reason.LEASE_LAPSED)
+        self.cancel_all(Reason.LEASE_LAPSED)
 
 
 __all__ = ["LAPSE_GRACE_S", "OpenRequest", "OpenWork"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/refusals.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals on the wire (docs/API.md, docs/reference/api-errors.md)."""
+"""Encodes refusals as HTTP responses (docs/API.md, docs/reference/api-errors.md)."""
 
 from __future__ import annotations
 
@@ -43,18 +43,20 @@
     Reason.INTERNAL: 500,
 }
 
-UNREAD_REASONS = (Reason.TOO_LARGE, Reason.TIMEOUT)
+UNREAD_BODY_REASONS = (Reason.TOO_LARGE, Reason.TIMEOUT)
 """
-After these a body may still be on its way: kept open, the connection would wait for the rest of it.
+Reasons after which the rest of a request body may still arrive.
+
+The connection is closed, since an open one would wait for the remaining bytes.
 """
 
 
 def error_body(refusal: Refusal, request_id: str) -> dict[str, object]:
     """
-    Build the JSON object that a refused caller gets.
+    Build the JSON body of a refusal.
 
     :param refusal: the refusal.
-    :param request_id: the id that the answer's header carries as well.
+    :param request_id: id of the request, as in the header `X-Request-Id`.
     :return: the object `{"error": …}`.
     """
     return {
@@ -72,18 +74,18 @@
     response: falcon.asgi.Response, refusal: Refusal, request_id: str, counters: Counters
 ) -> None:
     """
-    Answer with a refusal and count it.
+    Write a refusal into a response and count it.
 
-    :param response: the answer to fill.
-    :param refusal: why.
-    :param request_id: the request's id.
+    :param response: the response to fill.
+    :param refusal: the refusal.
+    :param request_id: id of the request.
     :param counters: the process's counters.
     """
     counters.refused(refusal.reason)
     response.status = falcon.code_to_http_status(STATUS_BY_REASON[refusal.reason])
     response.content_type = falcon.MEDIA_JSON
     response.data = msgspec.json.encode(error_body(refusal, request_id))
-    if refusal.reason in UNREAD_REASONS:
+    if refusal.reason in UNREAD_BODY_REASONS:
         response.set_header("Connection", "close")
     if refusal.retry_after_s is not None:
         response.set_header("Retry-After", str(max(1, math.ceil(refusal.retry_after_s))))
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/server.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/server.py
@@ -1,4 +1,4 @@
-"""uvicorn inside a daemon that has its own life cycle."""
+"""Configures uvicorn as a server that the daemon starts and stops."""
 
 from __future__ import annotations
 
@@ -24,12 +24,13 @@
     application: Application, settings: EntrySettings, counters: Counters
 ) -> EmbeddedServer:
     """
-    Configure the server.
+    Configure the HTTP server.
 
     :param application: the ASGI application.
-    :param settings: where to listen and how long a caller may be silent.
+    :param settings: contains the listen address and `caller_silence_s`, the time limit for silent
+        callers.
     :param counters: the process's counters.
-    :return: a server that is not started.
+    :return: the server, not started.
     """
     host, _, port = settings.listen_http.rpartition(":")
     config = uvicorn.Config(
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/service.py
@@ -1,4 +1,4 @@
-"""The service `http`."""
+"""The kernel service `http`: the HTTP server of an entry."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ibisspring_entry.http.announce import AnnounceResource
 from ibisspring_entry.http.generate import GenerateResource
 from ibisspring_entry.http.health import HealthResource, ReadyResource
-from ibisspring_entry.http.middleware import RequestIds, Stopping, add_error_handlers
+from ibisspring_entry.http.middleware import RequestIds, StopMiddleware, add_error_handlers
 from ibisspring_entry.http.open_work import OpenWork
 from ibisspring_entry.http.server import make_server
 from ibisspring_entry.http.services import ServicesResource
@@ -23,13 +23,15 @@
     from ibisspring_core.settings import EntrySettings, Settings
     from ibisspring_entry.http.server import EmbeddedServer
 
-REFUSE_S = 0.3
-LAST_S = 1
-"""Whole seconds for what came in the last moment; what ran had `drain_s` before."""
+# Seconds for which the port stays open and new requests are refused before running requests are
+# awaited.
+REFUSAL_PERIOD_S = 0.3
+FINAL_TIMEOUT_S = 1
+"""Integer seconds that uvicorn grants the last requests, after running ones had `drain_s`."""
 
 
 class HttpService:
-    """Serves callers, trainers and announcing endpoints."""
+    """Serves callers, trainers and announcements of endpoints."""
 
     name = "http"
 
@@ -38,7 +40,7 @@
         self._settings = settings
         self._resource_by_path: dict[str, object] = {}
         self._server: EmbeddedServer | None = None
-        self._serving: asyncio.Task[None] | None = None
+        self._server_task: asyncio.Task[None] | None = None
 
     @classmethod
     def from_config(cls, settings: Settings) -> HttpService:
@@ -52,19 +54,19 @@
 
     def add_route(self, path: str, resource: object) -> None:
         """
-        Add a route; only before this service starts, which it does last.
+        Add a route; must be called before this service starts, which is the last service to start.
 
-        :param path: falcon's template.
-        :param resource: an object with falcon's responders.
+        :param path: URI template of falcon.
+        :param resource: an object with responder methods for falcon.
         """
         self._resource_by_path[path] = resource
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to listen."""
+        """Create the application and start to listen; raises OSError if that is not possible."""
         counters = kernel.find("counters")
         self.open_work = OpenWork(kernel)
-        self._refusing = Stopping(counters)
-        app = falcon.asgi.App(middleware=[RequestIds(), self._refusing])
+        self._stop_middleware = StopMiddleware(counters)
+        app = falcon.asgi.App(middleware=[RequestIds(), self._stop_middleware])
         add_error_handlers(app, counters)
         app.add_route("/healthz", HealthResource())
         app.add_route("/readyz", ReadyResource(kernel, lambda: self.stopping))
@@ -77,35 +79,39 @@
         self._server = make_server(
             end_with_caller(app, self._settings.caller_silence_s), self._settings, counters
         )
-        self._serving = asyncio.create_task(self._server.serve())
+        self._server_task = asyncio.create_task(self._server.serve())
         listening = asyncio.ensure_future(self._server.listening.wait())
-        await asyncio.wait({listening, self._serving}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({listening, self._server_task}, return_when=asyncio.FIRST_COMPLETED)
         listening.cancel()
         if not self._server.started:
             raise OSError(f"cannot listen on {self._settings.listen_http}")
 
     async def stop(self) -> None:
         """
-        Stop without breaking a request: not ready, wait for the balancer, refuse, finish, close.
+        Stop gracefully, without breaking running requests.
 
-        While the balancer has not noticed yet, new requests still come and are still served: to
-        refuse them at once would show callers a stop that they need not see.
+        The steps are: report not ready, wait `stop_wait_s` for the load balancer, refuse new
+        requests, wait up to `drain_s` for running ones, close the port. Until the load balancer has
+        detected that this entry is not ready, new requests still arrive and are served, since
+        refusing them at once would make the shutdown visible to callers without need.
         """
         self.stopping = True
-        self._refusing.stopping = True
+        self._stop_middleware.stopping = True
         await asyncio.sleep(self._settings.stop_wait_s)
-        self._refusing.refusing = True
-        # While running ones finish, callers that did not look at readyz still find an open port and
-        # are told "not run"; a closed one would reset what waits in its backlog, untold.
-        await asyncio.sleep(REFUSE_S)
+        self._stop_middleware.refusing = True
+        # While running requests finish, the port stays open for callers that do not check readyz:
+        # their requests are refused as not run. Closing it would reset the connections in the
+        # backlog without a response.
+        await asyncio.sleep(REFUSAL_PERIOD_S)
         running = set(self._server.server_state.tasks)
         if running:
             await asyncio.wait(running, timeout=self._settings.drain_s)
-        # What is left is told so: a stream that just ended would be taken for whole, or for broken.
-        self.open_work.end_all(Reason.STOPPING)
-        self._server.config.timeout_graceful_shutdown = LAST_S
+        # Remaining requests get a refusal: a stream that ended without one would look complete or
+        # broken to its caller.
+        self.open_work.cancel_all(Reason.STOPPING)
+        self._server.config.timeout_graceful_shutdown = FINAL_TIMEOUT_S
         self._server.should_exit = True
-        await self._serving
+        await self._server_task
         eliot.log_message("http:stopped")
 
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/services.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: any method of `/v1/services/{service}/{path}`."""
+"""Calls of plain services: any HTTP method on `/v1/services/{service}/{path}`."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import falcon.asgi
 
 from ibisspring_core.errors import Reason, Refusal
-from ibisspring_entry.http.access import allowed_rules
+from ibisspring_entry.http.access import authorize_call
 from ibisspring_entry.http.bodies import read_body
-from ibisspring_entry.http.callers import Caller, admit, key_holds
-from ibisspring_entry.http.ending import serve_until_ended
+from ibisspring_entry.http.callers import Caller, admit, is_key_valid
+from ibisspring_entry.http.ending import serve_cancellable
 from ibisspring_entry.http.refusals import refuse
 from ibisspring_entry.http.usage import bill
 from ibisspring_entry.proxy.messages import PlainAnswer, PlainRequest
@@ -27,7 +27,7 @@
 
 
 class ServicesResource:
-    """Calls of plain services for callers."""
+    """Forwards calls to plain services."""
 
     def __init__(self, kernel: Kernel, settings: EntrySettings) -> None:
         self._kernel = kernel
@@ -37,33 +37,33 @@
     async def on_get(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, service: str, path: str
     ) -> None:
-        """Send one call."""
+        """Forward one call to an endpoint and respond with its answer."""
         work = self._serve(request, response, service)
-        await serve_until_ended(request, response, self._counters, work)
+        await serve_cancellable(request, response, self._counters, work)
 
     async def _serve(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, service: str
     ) -> None:
         caller = admit(self._kernel, request)
-        wanted = caller
+        endpoint_request = caller
         if isinstance(caller, Caller):
-            wanted = await self._read(request, caller, service)
-        if isinstance(wanted, Refusal):
-            refuse(response, wanted, request.context.request_id, self._counters)
+            endpoint_request = await self._read(request, caller, service)
+        if isinstance(endpoint_request, Refusal):
+            refuse(response, endpoint_request, request.context.request_id, self._counters)
             return
-        answer = await self._send(wanted, request.get_header("Idempotency-Key"))
+        answer = await self._send(endpoint_request, request.get_header("Idempotency-Key"))
         if isinstance(answer, Refusal):
             refuse(response, answer, request.context.request_id, self._counters)
             return
-        # A stored answer is the one of an earlier call, which was billed then.
+        # A replayed answer was stored by an earlier call, which has already been billed.
         if not answer.replayed:
             bill(
                 self._kernel,
-                wanted.client_account,
-                wanted.service,
+                endpoint_request.client_account,
+                endpoint_request.service,
                 0,
                 answer.endpoint_s,
-                wanted.request_id,
+                endpoint_request.request_id,
             )
         response.status = falcon.code_to_http_status(answer.status)
         response.data = answer.body
@@ -80,21 +80,23 @@
     async def _read(
         self, request: falcon.asgi.Request, caller: Caller, service: str
     ) -> PlainRequest | Refusal:
-        rules = allowed_rules(self._kernel, caller.client_account, service)
+        rules = authorize_call(self._kernel, caller.client_account, service)
         if isinstance(rules, Refusal):
             return rules
         body = await read_body(request, self._settings)
         if isinstance(body, Refusal):
             return body
-        named, path = raw_parts(request)
-        if named != service:
+        raw_service, path = raw_service_and_path(request)
+        if raw_service != service:
             detail = "the service's name must not be percent-encoded"
             return Refusal(Reason.BAD_REQUEST, True, None, detail)
         if any(segment in DOT_SEGMENTS for segment in path.split("/")):
-            return Refusal(Reason.BAD_REQUEST, True, None, "the path must not have dot segments")
+            return Refusal(
+                Reason.BAD_REQUEST, True, None, "the path must not contain . or .. segments"
+            )
         query = f"?{request.query_string}" if request.query_string else ""
         if caller.key in path or caller.key in query:
-            detail = "the key belongs into the Authorization header only"
+            detail = "the key must be sent in the Authorization header only"
             return Refusal(Reason.BAD_REQUEST, True, None, detail)
         timeout_s = rules.timeout_s_by_service.get(service, self._settings.request_timeout_s)
         return PlainRequest(
@@ -108,25 +110,25 @@
             idempotent=rules.is_idempotent(service, request.method, path),
             deadline_s=min(timeout_s, self._settings.request_timeout_s),
             correlation_id=request.context.correlation_id,
-            may_start=lambda: key_holds(self._kernel, caller),
+            may_start=lambda: is_key_valid(self._kernel, caller),
         )
 
-    async def _send(self, wanted: PlainRequest, key: str | None) -> PlainAnswer | Refusal:
+    async def _send(self, endpoint_request: PlainRequest, key: str | None) -> PlainAnswer | Refusal:
         if key is None:
-            return await self._kernel.find("endpoints").call(wanted)
-        return await self._kernel.find("claims").call(wanted, key)
+            return await self._kernel.find("endpoints").call(endpoint_request)
+        return await self._kernel.find("claims").call(endpoint_request, key)
 
 
-def raw_parts(request: falcon.asgi.Request) -> tuple[str, str]:
+def raw_service_and_path(request: falcon.asgi.Request) -> tuple[str, str]:
     """
-    Read the service and the path below it as the caller wrote them, percent-encoding included.
+    Return the service and the path below it as sent by the caller, still percent-encoded.
 
-    :param request: the request.
-    :return: the service, and the path with its leading slash.
+    :param request: the HTTP request.
+    :return: the service name, and the path with its leading slash.
     """
-    whole = request.scope["raw_path"].decode("ascii")
-    service, _, below = whole[len(PREFIX) :].partition("/")
-    return service, "/" + below
+    raw_path = request.scope["raw_path"].decode("ascii")
+    service, _, remainder = raw_path[len(PREFIX) :].partition("/")
+    return service, "/" + remainder
 
 
-__all__ = ["ServicesResource", "raw_parts"]
+__all__ = ["ServicesResource", "raw_service_and_path"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/usage.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/usage.py
@@ -1,4 +1,4 @@
-"""What a request is billed for."""
+"""Records the usage of answered requests for billing."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     request_id: str,
 ) -> None:
     """
-    Record one answered request, once, however many endpoints it took.
+    Record the usage of an answered request once, however many endpoints were tried.
 
     :param kernel: the daemon's kernel.
-    :param client_account: whom it ran for.
-    :param service: the model or plain service.
-    :param tokens: tokens that the caller was sent.
-    :param endpoint_s: seconds that it took at endpoints.
-    :param request_id: its id.
+    :param client_account: client account that is billed.
+    :param service: name of the model or plain service.
+    :param tokens: number of tokens sent to the caller.
+    :param endpoint_s: seconds of endpoint time.
+    :param request_id: id of the request.
     """
     meter = kernel.find_optional("usage_meter")
     if meter is not None:
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
@@ -81,8 +81,8 @@
     """
     The result of an attempt that produced no sample.
 
-    :param cause: `missing_label`, `stale`, `short` or `failed`; counted as
-        `samples.discarded.<cause>`.
+    :param cause: `missing_label`, `stale`, `short` (no tokens, or another number than the stream's
+        end states) or `failed`; counted as `samples.discarded.<cause>`.
     :param reason: why the generation failed, for `failed`.
     :param retry_after_s: seconds after which the endpoints asked for a retry.
     """
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/scoring.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/scoring.py
@@ -19,7 +19,7 @@
 
     from ibisspring_entry.rollouts.samples import Sample
 
-BATCH_SAMPLES = 32
+MAX_BATCH_SAMPLES = 32
 BATCH_DELAY_S = 0.05
 SCORE_TIMEOUT_S = 30.0
 MAX_PAUSE_S = 2.0
@@ -76,7 +76,7 @@
         pending.append(PendingScore(sample, future))
         if len(pending) == 1:
             self._start_task(self._send_after_delay(version))
-        if len(pending) >= BATCH_SAMPLES:
+        if len(pending) >= MAX_BATCH_SAMPLES:
             self._start_task(self._send_until_scored(version))
         return await future
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/__init__.py
@@ -1,4 +1,4 @@
-"""Counts what client accounts used and hands it to the control leader."""
+"""Meters the usage of client accounts and commits it through the control leader."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/ledger.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/ledger.py
@@ -1,4 +1,4 @@
-"""What is metered and not yet confirmed, without network or clock."""
+"""Usage that is metered but not confirmed as committed; uses neither network nor clock."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from ibisspring_core.messages.commands import AddUsage, UsageRecord
 
-# A caller's resend comes within its retry time; older request ids need not be remembered.
-REMEMBERED_REQUESTS = 65_536
+# Callers resend a request only within their retry time, so older request ids can be removed.
+MAX_SEEN_REQUESTS = 65_536
 
 
 @dataclass(frozen=True)
-class _Key:
+class _UsageKey:
     window: int
     client_account: str
     service: str
@@ -20,53 +20,55 @@
 
 class Ledger:
     """
-    Sums usage by window, client account and service, and numbers what is handed over.
+    Sums usage by window, client account and service, and puts it into numbered batches.
 
     A batch keeps its sequence number and its content until it is confirmed. The state machine
-    counts (daemon, incarnation, sequence) once, so that a batch sent again after a lost answer is
-    not billed twice; were the content to change between two sends, the second one's difference
-    would be lost.
+    counts each (daemon, incarnation, sequence) once, so that a batch that is sent again after a
+    lost response is not billed twice. If the content changed between two sends, usage added in
+    between would be lost.
     """
 
     def __init__(self, daemon: str, incarnation: int) -> None:
         self._daemon = daemon
         self._incarnation = incarnation
         self._sequence = 0
-        self._open_by_key: dict[_Key, UsageRecord] = {}
+        self._unbatched_by_key: dict[_UsageKey, UsageRecord] = {}
         self._unconfirmed: OrderedDict[int, AddUsage] = OrderedDict()
-        self._seen_requests: OrderedDict[str, None] = OrderedDict()
+        self._billed_requests: OrderedDict[str, None] = OrderedDict()
 
     def add(self, window: int, record: UsageRecord, request_id: str) -> bool:
         """
         Add the usage of one request.
 
-        :param window: index of the usage window in which the work ended.
-        :param record: what it used.
+        :param window: index of the usage window in which the request ended.
+        :param record: usage of the request.
         :param request_id: a request is billed once under its id, however often it was retried.
-        :return: False when the request was billed already.
+        :return: False if the request has already been billed.
         """
-        if request_id in self._seen_requests:
+        if request_id in self._billed_requests:
             return False
-        self._seen_requests[request_id] = None
-        if len(self._seen_requests) > REMEMBERED_REQUESTS:
-            self._seen_requests.popitem(last=False)
-        key = _Key(window, record.client_account, record.service)
-        before = self._open_by_key.get(key, UsageRecord(record.client_account, record.service))
-        self._open_by_key[key] = UsageRecord(
+        self._billed_requests[request_id] = None
+        if len(self._billed_requests) > MAX_SEEN_REQUESTS:
+            self._billed_requests.popitem(last=False)
+        key = _UsageKey(window, record.client_account, record.service)
+        previous = self._unbatched_by_key.get(
+            key, UsageRecord(record.client_account, record.service)
+        )
+        self._unbatched_by_key[key] = UsageRecord(
             record.client_account,
             record.service,
-            before.tokens + record.tokens,
-            before.calls + record.calls,
-            before.endpoint_s + record.endpoint_s,
+            previous.tokens + record.tokens,
+            previous.calls + record.calls,
+            previous.endpoint_s + record.endpoint_s,
         )
         return True
 
-    def cut(self) -> None:
-        """Put what was added since the last cut into batches, one for each window."""
+    def create_batches(self) -> None:
+        """Put usage added since the last call into batches, one for each window."""
         records_by_window: dict[int, list[UsageRecord]] = {}
-        for key, record in self._open_by_key.items():
+        for key, record in self._unbatched_by_key.items():
             records_by_window.setdefault(key.window, []).append(record)
-        self._open_by_key = {}
+        self._unbatched_by_key = {}
         for window in sorted(records_by_window):
             self._sequence += 1
             self._unconfirmed[self._sequence] = AddUsage(
@@ -78,16 +80,16 @@
             )
 
     def unconfirmed(self) -> tuple[AddUsage, ...]:
-        """Batches to be sent, in the order of their sequence."""
+        """Return the batches that are to be sent, in the order of their sequence numbers."""
         return tuple(self._unconfirmed.values())
 
     def confirm(self, sequence: int) -> None:
         """
-        Forget a batch that was committed.
+        Remove a batch that was committed.
 
-        :param sequence: its number.
+        :param sequence: sequence number of the batch.
         """
         self._unconfirmed.pop(sequence, None)
 
 
-__all__ = ["REMEMBERED_REQUESTS", "Ledger"]
+__all__ = ["MAX_SEEN_REQUESTS", "Ledger"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/service.py
@@ -1,4 +1,4 @@
-"""The service `usage_meter`: records usage and flushes it to the control leader in sequence."""
+"""The kernel service `usage_meter`: records usage and sends it to the control leader."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     from ibisspring_core.messages.commands import AddUsage
     from ibisspring_core.settings import Settings
 
-FLUSH_EVERY_S = 1.0
-STOP_FLUSH_S = 20.0
+FLUSH_INTERVAL_S = 1.0
+STOP_FLUSH_TIMEOUT_S = 20.0
 DEFAULT_WINDOW_S = 60.0
 
 
 class UsageMeter:
-    """Meters this entry's usage."""
+    """Meters the usage of this entry's requests and sends it in batches, in sequence."""
 
     name = "usage_meter"
 
@@ -33,7 +33,7 @@
         self._daemon = daemon
         self._incarnation = incarnation
         self._ledger = Ledger(daemon, incarnation)
-        self._flushing = asyncio.Lock()
+        self._flush_lock = asyncio.Lock()
         self._subscription: Any = None
         self._window_s = DEFAULT_WINDOW_S
 
@@ -43,26 +43,26 @@
         Build the meter.
 
         :param settings: checked settings.
-        :return: the meter; its incarnation rises with each start of the daemon.
+        :return: the meter; its incarnation is larger at each start of the daemon.
         """
         return cls(settings.daemon, time.time_ns())
 
     async def start(self, kernel: Kernel) -> None:
-        """Begin to flush."""
+        """Look up the services and send recorded usage every `FLUSH_INTERVAL_S`."""
         self._client = kernel.find("control_client")
         self._counters = kernel.find("counters")
         self._lease = kernel.find_optional("lease")
         timer = kernel.find("timer")
-        self._subscription = timer.subscribe("usage_meter", FLUSH_EVERY_S, self._tick)
+        self._subscription = timer.subscribe("usage_meter", FLUSH_INTERVAL_S, self._tick)
 
     async def stop(self) -> None:
-        """Hand over what is left, for a bounded time."""
+        """Send the remaining usage, for up to `STOP_FLUSH_TIMEOUT_S`; log and count the rest."""
         self._subscription.cancel()
-        end_s = boot_now() + STOP_FLUSH_S
+        end_s = boot_now() + STOP_FLUSH_TIMEOUT_S
         while boot_now() < end_s:
             if await self.flush():
                 return
-            await asyncio.sleep(FLUSH_EVERY_S)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
         eliot.log_message("usage:unflushed", batches=len(self._ledger.unconfirmed()))
         self._counters.add("usage.unflushed", len(self._ledger.unconfirmed()))
 
@@ -78,50 +78,51 @@
         """
         Record the usage of one request that has ended.
 
-        :param client_account: who pays.
-        :param service: the model or plain service.
-        :param tokens: generated tokens.
-        :param calls: answered calls.
-        :param endpoint_s: seconds of endpoint work.
-        :param request_id: a second record under the same id is not billed.
+        :param client_account: client account that is billed.
+        :param service: name of the model or plain service.
+        :param tokens: number of generated tokens.
+        :param calls: number of answered calls.
+        :param endpoint_s: seconds of endpoint time.
+        :param request_id: id of the request; a second record with the same id is not billed.
         """
-        window = self._window()
+        window = self._current_window()
         usage = UsageRecord(client_account, service, tokens, calls, endpoint_s)
         if not self._ledger.add(window, usage, request_id):
             self._counters.add("usage.repeated")
 
     async def flush(self) -> bool:
         """
-        Hand over what was metered so far.
+        Send the usage recorded so far.
 
-        :return: True once all of it is committed.
+        :return: True if all of it is committed.
         """
-        async with self._flushing:
-            self._ledger.cut()
+        async with self._flush_lock:
+            self._ledger.create_batches()
             for batch in self._ledger.unconfirmed():
-                if not await self._hand_over(batch):
+                if not await self._commit(batch):
                     return False
         return True
 
     async def _tick(self, now: float) -> None:
         await self.flush()
 
-    async def _hand_over(self, batch: AddUsage) -> bool:
+    async def _commit(self, batch: AddUsage) -> bool:
         request_id = f"usage-{batch.daemon}-{batch.incarnation}-{batch.sequence}"
         result = await self._client.propose(batch, request_id)
         if isinstance(result, Refusal):
             self._counters.retried(result.reason)
             return False
         if isinstance(result, Refused):
-            # Only for a start of this daemon that was forgotten: sending it again cannot help.
+            # Refused only if the state machine no longer knows this incarnation of the daemon, so
+            # a retry would be refused as well.
             self._counters.refused(Reason(result.reason))
             eliot.log_message("usage:refused", sequence=batch.sequence, detail=result.detail)
         self._ledger.confirm(batch.sequence)
         return True
 
-    def _window(self) -> int:
+    def _current_window(self) -> int:
         view = self._lease.view() if self._lease is not None else None
-        # A stream may end while the lease is lapsed: it is billed by the last known length.
+        # A stream may end while the lease is lapsed; the last known window length is used then.
         if isinstance(view, EntryView):
             self._window_s = view.usage_window_s
         return int(wall_now() // self._window_s)
--- a/tests/unit/entry/usage_meter/test_ledger.py
+++ b/tests/unit/entry/usage_meter/test_ledger.py
@@ -9,7 +9,7 @@
     ledger.add(3, UsageRecord("stoke", "lm", 10, 1, 0.5), "r1")
     ledger.add(3, UsageRecord("stoke", "lm", 5, 1, 0.25), "r2")
     ledger.add(4, UsageRecord("stoke", "lm", 1, 1, 0.0), "r3")
-    ledger.cut()
+    ledger.create_batches()
 
     first, second = ledger.unconfirmed()
 
@@ -28,11 +28,11 @@
 def test_an_unconfirmed_batch_keeps_its_number_and_content() -> None:
     ledger = Ledger("e1", 7)
     ledger.add(3, UsageRecord("stoke", "lm", 10, 1), "r1")
-    ledger.cut()
+    ledger.create_batches()
     (batch,) = ledger.unconfirmed()
 
     ledger.add(3, UsageRecord("stoke", "lm", 5, 1), "r2")
-    ledger.cut()
+    ledger.create_batches()
 
     assert ledger.unconfirmed()[0] == batch
     ledger.confirm(1)
--- a/tests/unit/entry/usage_meter/test_service.py
+++ b/tests/unit/entry/usage_meter/test_service.py
@@ -8,21 +8,21 @@
 from ibisspring_entry.usage_meter import UsageMeter
 
 
-class _Client:
+class _ControlClient:
     name = "control_client"
 
     def __init__(self) -> None:
-        self.asked: list[tuple[str, object]] = []
+        self.proposals: list[tuple[str, object]] = []
         self.refusals = 0
 
     async def start(self, kernel: Kernel) -> None:
-        """Nothing to start."""
+        """No-op: the control client of this test has no connection."""
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: the control client of this test has no connection."""
 
     async def propose(self, command, request_id: str):
-        self.asked.append((request_id, command))
+        self.proposals.append((request_id, command))
         if self.refusals:
             self.refusals -= 1
             return Refusal(Reason.MAY_HAVE_RUN, not_run=False)
@@ -30,7 +30,7 @@
 
 
 async def test_a_lost_answer_is_followed_by_the_same_batch_and_stop_flushes() -> None:
-    client = _Client()
+    client = _ControlClient()
     counters = Counters.from_config(None)
     meter = UsageMeter("e1", 7)
     kernel = Kernel.from_services((TimerService(), counters, client, meter))
@@ -43,10 +43,10 @@
 
     await kernel.stop()
 
-    assert [request_id for request_id, _ in client.asked] == [
+    assert [request_id for request_id, _ in client.proposals] == [
         "usage-e1-7-1",
         "usage-e1-7-1",
         "usage-e1-7-2",
     ]
-    assert client.asked[0] == client.asked[1]
+    assert client.proposals[0] == client.proposals[1]
     assert counters.count_by_name == {"retried.may_have_run": 1, "usage.repeated": 1}
