--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
@@ -86,7 +86,7 @@
             for member in range(request.group_size)
         ]
         self._durations_s: list[float] = []
-        self._opened_version = context.current_bound().trainer_version
+        self._version_at_open = context.current_bound().trainer_version
         self._batch_requested = False
         self._checked_bound: StalenessBound | None = None
         self._wake = asyncio.Event()
@@ -105,7 +105,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def note_batch_request(self) -> int | None:
+    def record_batch_request(self) -> int | None:
         """
         Record that the trainer requested the batch.
 
@@ -116,7 +116,7 @@
             return None
         self._batch_requested = True
         self._wake.set()
-        return self._context.current_bound().trainer_version - self._opened_version
+        return self._context.current_bound().trainer_version - self._version_at_open
 
     def ready_count(self) -> int:
         """Return the number of finished samples, scored if the step requires scores."""
@@ -172,7 +172,7 @@
     def _start_attempts(self) -> None:
         running = sum(len(member.started_by_task) for member in self._members)
         bound = self._context.current_bound()
-        published = bound.trainer_version - self._opened_version
+        published = bound.trainer_version - self._version_at_open
         if not may_start(
             self._context.expected_publications,
             published,
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/ownership.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/ownership.py
@@ -26,7 +26,7 @@
 
 def is_owner_lost(lease: Any, state: StepState) -> bool:
     """
-    Return whether a step is unfinished and its owner is permanently lost.
+    Return whether a step is not acknowledged and its current owner is permanently lost.
 
     An entry is listed as a peer until its lease has lapsed, and its step may be taken over only
     after that: from then on, an owner that is cut off from control rejects its trainers' requests
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/peer_batches.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/peer_batches.py
@@ -25,7 +25,7 @@
     :param state: `open`, `delivered` or `acknowledged`.
     :param ready: number of finished samples.
     :param samples: number of samples in the complete batch.
-    :param retry_after_s: seconds after which the trainer should ask again.
+    :param retry_after_s: seconds after which the trainer should send its request again.
     """
 
     state: str
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
@@ -157,7 +157,7 @@
             return Refusal(
                 Reason.OWNER_LOST, not_run=True, detail="this entry does not own the step"
             )
-        published = owned.gathering.note_batch_request()
+        published = owned.gathering.record_batch_request()
         if published is not None:
             earlier = self._publications_by_trainer.get(trainer, ())
             self._publications_by_trainer[trainer] = (*earlier, published)[-EXPECTED_FROM:]
@@ -168,7 +168,7 @@
                 return self._progress(owned)
             batch = build_batch(trainer, step, samples)
         if digest and digest != batch.digest:
-            return _conflict("the digest is of a different batch than that of the step")
+            return _conflict("the digest does not match the batch of the step")
         return await self._deliver(owned, batch)
 
     async def acknowledge(self, trainer: str, step: int, digest: str) -> Progress | Refusal:
@@ -182,7 +182,7 @@
         if isinstance(result, Refusal):
             return result
         if result.state != "acknowledged":
-            return _conflict("the digest is of a different batch than that of the step")
+            return _conflict("the digest does not match the batch of the step")
         owned = self._step_by_key.pop((trainer, step), None)
         if owned is not None:
             await owned.stop()
@@ -277,7 +277,7 @@
             )
 
     async def _sweep(self, now: float) -> None:
-        """Drop steps that were acknowledged or taken over through another entry."""
+        """Drop steps that were acknowledged through, or taken over by, another entry."""
         for (trainer, step), owned in tuple(self._step_by_key.items()):
             state = await self._commands.read(trainer, step)
             if isinstance(state, Refusal):
--- a/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/ledger.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/ledger.py
@@ -8,7 +8,7 @@
 from ibisspring_core.messages.commands import AddUsage, UsageRecord
 
 # Callers resend a request only within their retry time, so older request ids can be removed.
-MAX_SEEN_REQUESTS = 65_536
+MAX_REQUEST_IDS = 65_536
 
 
 @dataclass(frozen=True)
@@ -34,7 +34,7 @@
         self._sequence = 0
         self._unbatched_by_key: dict[_UsageKey, UsageRecord] = {}
         self._unconfirmed: OrderedDict[int, AddUsage] = OrderedDict()
-        self._billed_requests: OrderedDict[str, None] = OrderedDict()
+        self._billed_request_ids: OrderedDict[str, None] = OrderedDict()
 
     def add(self, window: int, record: UsageRecord, request_id: str) -> bool:
         """
@@ -45,11 +45,11 @@
         :param request_id: a request is billed once under its id, however often it was retried.
         :return: False if the request has already been billed.
         """
-        if request_id in self._billed_requests:
+        if request_id in self._billed_request_ids:
             return False
-        self._billed_requests[request_id] = None
-        if len(self._billed_requests) > MAX_SEEN_REQUESTS:
-            self._billed_requests.popitem(last=False)
+        self._billed_request_ids[request_id] = None
+        if len(self._billed_request_ids) > MAX_REQUEST_IDS:
+            self._billed_request_ids.popitem(last=False)
         key = _UsageKey(window, record.client_account, record.service)
         previous = self._unbatched_by_key.get(
             key, UsageRecord(record.client_account, record.service)
@@ -92,4 +92,4 @@
         self._unconfirmed.pop(sequence, None)
 
 
-__all__ = ["MAX_SEEN_REQUESTS", "Ledger"]
+__all__ = ["MAX_REQUEST_IDS", "Ledger"]
--- a/tests/unit/entry/rollouts/test_gathering.py
+++ b/tests/unit/entry/rollouts/test_gathering.py
@@ -59,7 +59,7 @@
     engines.end_event_by_sample["t:1:1:1:1.1"] = asyncio.Event()
     step, counters = gathering(engines, lambda: StalenessBound(now["version"], 1))
     step.start()
-    await wait_until(lambda: step.ready_count() == 3, "three samples")
+    await wait_until(lambda: step.ready_count() == 3, "three samples to be ready")
 
     now["version"] = 3
     engines.end_event_by_sample["t:1:1:1:1.1"].set()
@@ -71,7 +71,7 @@
     assert counters.count_by_name["samples.discarded.stale"] == 4
 
 
-async def test_attempt_is_cancelled_when_its_tokens_become_stale() -> None:
+async def test_attempt_with_stale_tokens_is_cancelled() -> None:
     engines = Engines(lambda request: (1,) * 50 if request.request_id.endswith(".1") else (3,))
     step, counters = gathering(engines, lambda: StalenessBound(3, 1), groups=1, size=1)
 
@@ -122,7 +122,7 @@
     """
     The engines are full and the requests of a step are queued for long.
 
-    The trainer's client account was billed for queue time, in which no endpoint worked for it.
+    The queue time was billed to the trainer's client account, although no endpoint worked for it.
     """
     engines = Engines(lambda request: (4,))
     engines.endpoint_s = 0.25
