--- a/packages/ibisspring-cli/src/ibisspring_cli/__init__.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/__init__.py
@@ -1,3 +1,3 @@
-"""The binary ibisspring, the command line for operators."""
+"""Command line for operators: the executable `ibisspring`."""
 
 from __future__ import annotations
--- a/packages/ibisspring-cli/src/ibisspring_cli/control.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/control.py
@@ -1,4 +1,4 @@
-"""`ibisspring control`: the control daemons' cluster."""
+"""`ibisspring control`: operates the cluster of control daemons."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
 EXIT_REFUSED = 1
 EXIT_UNREACHABLE = 3
-TIMEOUT_S = 130.0
+# `replace` may take up to 120 s on the control daemon before it answers.
+MANAGE_TIMEOUT_S = 130.0
 
 
 @click.group()
@@ -30,11 +31,11 @@
 @click.pass_context
 def control(context: click.Context, addresses: tuple[str, ...], as_json: bool) -> None:
     """
-    Look after the control VMs.
+    Operate the cluster of control daemons.
 
-    The first start of a system is `bootstrap`, once. A VM whose disk was lost is taken in again by
-    itself as soon as it is started with an empty data folder; `replace` does the same for another
-    VM and waits for the end.
+    Run `bootstrap` once, when a system starts for the first time. A control daemon that lost its
+    disk rejoins the cluster automatically when it is started with an empty data folder. `replace`
+    gives its membership to another VM and waits until the change is complete.
     """
     context.obj = (_split(addresses), as_json)
 
@@ -42,23 +43,23 @@
 @control.command()
 @click.pass_obj
 def status(options: tuple[tuple[str, ...], bool]) -> None:
-    """Show each control daemon: its role, term, members, log positions."""
+    """Show the role, term, members and log positions of each control daemon."""
     addresses, as_json = options
-    answers = [_ask(address, "status", {}) for address in addresses]
-    described = [
+    replies = [_send_to(address, "status", {}) for address in addresses]
+    replicas = [
         (
             {"address": address, **json.loads(reply.answer)}
             if reply is not None
             else {"address": address, "role": "unreachable"}
         )
-        for address, reply in zip(addresses, answers, strict=True)
+        for address, reply in zip(addresses, replies, strict=True)
     ]
     if as_json:
-        click.echo(json.dumps(described))
+        click.echo(json.dumps(replicas))
     else:
-        for replica in described:
-            click.echo(_line(replica))
-    if all(reply is None for reply in answers):
+        for replica in replicas:
+            click.echo(_format_replica(replica))
+    if all(reply is None for reply in replies):
         sys.exit(EXIT_UNREACHABLE)
 
 
@@ -66,34 +67,36 @@
 @click.pass_obj
 def bootstrap(options: tuple[tuple[str, ...], bool]) -> None:
     """
-    Found the cluster; once in the life of a system.
+    Bootstrap the cluster; run this once in the lifetime of a system.
 
-    All control daemons must run and be empty. Where one holds state already, or does not answer,
-    nothing is done.
+    All control daemons must be running with empty data folders. If one of them already holds state
+    or does not answer, nothing is changed.
     """
-    _finish(_ask_leader(options[0], "bootstrap", {}), options[1], "founded")
+    _print_result(_send_to_leader(options[0], "bootstrap", {}), options[1], "cluster bootstrapped")
 
 
 @control.command()
 @click.argument("daemon")
-@click.option("--new", default="", help="Daemon that takes the place; the same one by default.")
+@click.option("--new", default="", help="Daemon that replaces DAEMON; DAEMON itself by default.")
 @click.pass_obj
 def replace(options: tuple[tuple[str, ...], bool], daemon: str, new: str) -> None:
     """
-    Put a VM with an empty disk in the place of DAEMON and wait until the old member is removed.
+    Replace DAEMON by a daemon with an empty disk and wait until the old member is removed.
 
-    Only after this has ended may the next VM be taken down.
+    Do not stop another control VM before this command has succeeded.
     """
     arguments = {"daemon": daemon, "new": new}
-    _finish(_ask_leader(options[0], "replace", arguments), options[1], f"{daemon} is replaced")
+    _print_result(
+        _send_to_leader(options[0], "replace", arguments), options[1], f"{daemon} is replaced"
+    )
 
 
 @control.command()
 @click.pass_obj
 def snapshot(options: tuple[tuple[str, ...], bool]) -> None:
-    """Make every reachable control daemon store a snapshot now."""
+    """Make each reachable control daemon store a snapshot immediately."""
     for address in options[0]:
-        reply = _ask(address, "snapshot", {})
+        reply = _send_to(address, "snapshot", {})
         click.echo(f"{address} {'unreachable' if reply is None else reply.answer.decode()}")
 
 
@@ -101,44 +104,62 @@
     return tuple(part for address in addresses for part in address.replace(",", " ").split())
 
 
-def _ask(address: str, action: str, arguments: dict[str, Any]) -> consensus_pb2.ManageReply | None:
+def _send_to(
+    address: str, action: str, arguments: dict[str, Any]
+) -> consensus_pb2.ManageReply | None:
+    """Send a management request to one daemon; return None if the call fails."""
     request = consensus_pb2.ManageRequest(
         action=action, arguments=msgspec.msgpack.encode(arguments)
     )
     with grpc.insecure_channel(address, options=(("grpc.enable_http_proxy", 0),)) as channel:
         try:
             stub = consensus_pb2_grpc.ConsensusStub(channel)
-            return stub.Manage(request, timeout=3.0 if action == "status" else TIMEOUT_S)
+            return stub.Manage(request, timeout=3.0 if action == "status" else MANAGE_TIMEOUT_S)
         except grpc.RpcError:
             return None
 
 
-def _ask_leader(
+def _send_to_leader(
     addresses: tuple[str, ...], action: str, arguments: dict[str, Any]
 ) -> consensus_pb2.ManageReply | None:
-    """Ask one daemon after the other until one says more than where the leader is."""
-    last = None
+    """
+    Send a management request to each daemon in turn until the leader answers.
+
+    :return: the first reply that does not redirect to the leader, else the last redirect; None if
+        no daemon answers.
+    """
+    last_reply = None
     for address in addresses:
-        reply = _ask(address, action, arguments)
+        reply = _send_to(address, action, arguments)
         if reply is None:
             continue
-        last = reply
+        last_reply = reply
         if reply.ok or not reply.leader_hint:
             return reply
-    return last
+    return last_reply
 
 
-def _finish(reply: consensus_pb2.ManageReply | None, as_json: bool, done: str) -> None:
+def _print_result(
+    reply: consensus_pb2.ManageReply | None, as_json: bool, success_text: str
+) -> None:
+    """Print the result of a management request; exit with an error code if it failed."""
     if reply is None:
-        click.echo("no control daemon answers; check --control and that they run", err=True)
+        click.echo(
+            "no control daemon answers; check the addresses in --control and that the daemons run",
+            err=True,
+        )
         sys.exit(EXIT_UNREACHABLE)
     if not reply.ok:
         click.echo(f"refused: {reply.detail}", err=True)
         sys.exit(EXIT_REFUSED)
-    click.echo(reply.answer.decode() if as_json else f"{done}\n{_line(json.loads(reply.answer))}")
+    click.echo(
+        reply.answer.decode()
+        if as_json
+        else f"{success_text}\n{_format_replica(json.loads(reply.answer))}"
+    )
 
 
-def _line(replica: dict[str, Any]) -> str:
+def _format_replica(replica: dict[str, Any]) -> str:
     if replica["role"] == "unreachable":
         return f"{replica['address']}  unreachable"
     voters = ",".join(voter["daemon"] for voter in replica["voters"])
--- a/packages/ibisspring-cli/src/ibisspring_cli/explain.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/explain.py
@@ -1,4 +1,4 @@
-"""`ibisspring explain`: from an id to what happened, out of log lines."""
+"""`ibisspring explain`: shows the log lines that explain what happened to an id."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from ibisspring_core.errors import Reason
 
 if TYPE_CHECKING:
-    from ibisspring_cli.explanations import Explanation, Told
+    from ibisspring_cli.explanations import ExplainedLine, Explanation
     from ibisspring_cli.log_lines import ClockNote
 
 
@@ -25,56 +25,65 @@
 @with_options
 def explain(options: Options, wanted: str, files: tuple[Any, ...]) -> None:
     """
-    Tell from log lines what happened to ID.
+    Show from log lines what happened to ID.
 
-    ID is a request, job, item, endpoint or daemon. FILEs hold the daemons' log lines, one or many
-    processes each; without any, standard input is read. Lines that name ID are marked with `>`, the
-    others say what the daemons believed and did meanwhile. The newest reason is explained last.
+    ID is the id of a request, job, item, endpoint or daemon. Each FILE holds log lines of one or
+    more daemons; without FILE, standard input is read. Lines that contain ID are marked with `>`.
+    The other lines give the context: what the daemons knew and did from 10 s before to 1 s after
+    these lines. The reasons in the marked lines are explained at the end, the latest first.
 
     \b
       ibisspring explain 4a57cfd8742933ce /var/log/ibisspring/*.log
       journalctl -o cat -u ibisspringd | ibisspring explain engine-7
     """
     texts = [text for file in files or (sys.stdin,) for text in file]
-    lines = parse_lines(texts)
-    explanation = explain_id(wanted, lines)
-    if not explanation.told:
-        message = f"none of {len(lines)} log lines names {wanted!r}"
+    log_lines = parse_lines(texts)
+    explanation = explain_id(wanted, log_lines)
+    if not explanation.lines:
+        message = f"none of {len(log_lines)} log lines names {wanted!r}"
         fail(options, EXIT_REFUSED, Reason.BAD_REQUEST.value, message)
     show(options, _as_json(wanted, explanation), _as_text(wanted, explanation))
 
 
 def _as_text(wanted: str, explanation: Explanation) -> list[str]:
-    told = explanation.told
-    processes = {one.line.process for one in told if one.direct}
-    count = sum(one.direct for one in told)
+    explained = explanation.lines
+    processes = {one.line.process for one in explained if one.direct}
+    count = sum(one.direct for one in explained)
     lines = [f"{wanted}: {count} lines of {len(processes)} processes", ""]
-    lines += [_line(one) for one in told]
-    lines += ["", "ordered by each VM's wall clock, within a VM by its boot clock:"]
-    lines += [f"  {_clock(note)}" for note in explanation.clocks]
-    for kind, left_out in sorted(explanation.left_out.items()):
-        lines.append(f"left out meanwhile: {left_out} lines of {kind}")
+    lines += [_format_line(one) for one in explained]
+    lines += [
+        "",
+        "lines of different VMs are ordered by wall clock, lines of one VM by its boot clock:",
+    ]
+    lines += [f"  {_format_clock(note)}" for note in explanation.clocks]
+    for kind, dropped in sorted(explanation.dropped_by_kind.items()):
+        lines.append(
+            f"dropped by the daemons' log limits in this period: {dropped} lines of {kind}"
+        )
     lines += [f"meaning of {meaning}" for meaning in explanation.meanings]
     return lines
 
 
-def _line(one: Told) -> str:
-    mark = ">" if one.direct else " "
-    fields = " ".join(f"{name}={_value(value)}" for name, value in one.line.fields.items())
+def _format_line(explained: ExplainedLine) -> str:
+    mark = ">" if explained.direct else " "
+    fields = " ".join(
+        f"{name}={_format_value(value)}" for name, value in explained.line.fields.items()
+    )
     return (
-        f"{mark} {one.at_s:+9.3f} s  {one.line.process:<20} {one.line.kind:<26} {fields}".rstrip()
+        f"{mark} {explained.at_s:+9.3f} s  {explained.line.process:<20} "
+        f"{explained.line.kind:<26} {fields}".rstrip()
     )
 
 
-def _value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return value if isinstance(value, str) else json.dumps(value)
 
 
-def _clock(note: ClockNote) -> str:
+def _format_clock(note: ClockNote) -> str:
     steps = ", ".join(f"{step:+.3f} s" for step in note.steps_s)
-    start = f", start {note.start + 1}" if note.start else ""
-    return f"{note.process}{start}: {note.lines} lines" + (
-        f"; its clock was set: {steps}" if steps else ""
+    boot = f", boot {note.boot_index + 1}" if note.boot_index else ""
+    return f"{note.process}{boot}: {note.line_count} lines" + (
+        f"; its wall clock was set by {steps}" if steps else ""
     )
 
 
@@ -91,14 +100,14 @@
                 "boot_s": one.line.boot_s,
                 "fields": one.line.fields,
             }
-            for one in explanation.told
+            for one in explanation.lines
         ],
         "meanings": list(explanation.meanings),
         "clocks": [
-            {"process": note.process, "start": note.start, "steps_s": list(note.steps_s)}
+            {"process": note.process, "start": note.boot_index, "steps_s": list(note.steps_s)}
             for note in explanation.clocks
         ],
-        "left_out": explanation.left_out,
+        "left_out": explanation.dropped_by_kind,
     }
 
 
--- a/packages/ibisspring-cli/src/ibisspring_cli/explanations.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/explanations.py
@@ -1,4 +1,4 @@
-"""Which log lines explain what happened to a request, a job, an item or an endpoint."""
+"""Selects the log lines that explain what happened to a request, job, item, endpoint or daemon."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from ibisspring_cli.log_lines import in_one_order
+from ibisspring_cli.log_lines import merge_in_time_order
 from ibisspring_core.errors import Reason
 from ibisspring_core.logs import LEFT_OUT
 
@@ -15,40 +15,42 @@
 
     from ibisspring_cli.log_lines import ClockNote, LogLine
 
-# What daemons believed shortly before explains what they decided.
-BEFORE_S = 10.0
-AFTER_S = 1.0
-# Fields by which lines belong to one request, or to one item of a job.
+# Context lines are selected from 10 s before the first line with the id to 1 s after the last one:
+# the state that daemons logged shortly before a decision explains that decision.
+CONTEXT_BEFORE_S = 10.0
+CONTEXT_AFTER_S = 1.0
+# A line with one of these fields belongs to that request, job or item.
 WORK_FIELDS = ("request", "job", "item")
 
 MEANING_BY_REASON = {
-    Reason.NO_ENDPOINT.value: "no endpoint of the service was serving for this entry: look at its "
-    "directory_view:endpoints and at directory:endpoint before that moment",
+    Reason.NO_ENDPOINT.value: "this entry knew no serving endpoint of the service: look at its "
+    "directory_view:endpoints and at directory:endpoint before that time",
     Reason.ENDPOINT_FAILED.value: "the connection to the endpoint was refused or broke: look at "
-    "the endpoint",
-    Reason.ENDPOINT_SILENT.value: "the endpoint or the way to it was silent",
-    Reason.ENDPOINT_REFUSED.value: "the endpoint was full, or is another one now",
+    "the endpoint itself",
+    Reason.ENDPOINT_SILENT.value: "the endpoint did not answer, or the network to it failed",
+    Reason.ENDPOINT_REFUSED.value: "the endpoint had no free capacity, or another endpoint "
+    "now has its address",
     Reason.TIMEOUT.value: "no answer came in the time that the route or the caller allows: the "
     "endpoints tried were slow or silent",
-    Reason.MISMATCHED_ANSWER.value: "an endpoint answered another request on this connection",
-    Reason.NO_LEADER.value: "no control daemon led, or the way to it was cut",
-    # How runs end; see `Outcome`.
-    "broken": "the engine's stream broke or went silent; the item goes on elsewhere",
-    "failed": "the engine said that this run failed; the item is tried again",
-    "stale": "the engine had other weights than believed",
-    "turned_away": "the engine took no more work",
-    "unscored": "endpoints failed the item's reward call as often as they may",
-    "impossible": "the engine said that no run can succeed: the item itself is at fault",
+    Reason.MISMATCHED_ANSWER.value: "the answer on this connection belongs to another request",
+    Reason.NO_LEADER.value: "no control daemon was leader, or the leader was unreachable",
+    # Outcomes of an item's run; see `Outcome.kind`.
+    "broken": "the engine's stream broke or stalled; the item continues on another engine",
+    "failed": "the engine reported that this run failed; the item is retried",
+    "stale": "the engine had another weight version than expected",
+    "turned_away": "the engine rejected the run without starting it",
+    "unscored": "the item's reward call failed as often as permitted",
+    "impossible": "the engine reported that no run can succeed: the item itself is invalid",
 }
 
 
 @dataclass(frozen=True)
-class Told:
+class ExplainedLine:
     """
-    A line of an explanation.
+    A log line of an explanation.
 
-    :param at_s: seconds after the first line that names the id; negative before it.
-    :param direct: it names the id; otherwise it tells what daemons believed or did meanwhile.
+    :param at_s: seconds after the first line that contains the id; negative before that line.
+    :param direct: True if the line contains the id, False for a line of the context.
     """
 
     at_s: float
@@ -59,64 +61,65 @@
 @dataclass(frozen=True)
 class Explanation:
     """
-    What is known of an id.
+    The log lines that explain what happened to an id.
 
-    :param told: lines in one order; empty where none names the id.
-    :param meanings: what the reasons among them mean, the last first.
-    :param clocks: by which clocks the lines were ordered.
-    :param left_out: lines that daemons left out meanwhile, by kind.
+    :param lines: lines in time order; empty if no line contains the id.
+    :param meanings: explanations of the reasons in the direct lines, the latest reason first.
+    :param clocks: the clocks by which the lines were ordered.
+    :param dropped_by_kind: number of lines, by kind, that daemons did not log in this period
+        because of their log limits.
     """
 
-    told: tuple[Told, ...]
+    lines: tuple[ExplainedLine, ...]
     meanings: tuple[str, ...]
     clocks: tuple[ClockNote, ...]
-    left_out: dict[str, int]
+    dropped_by_kind: dict[str, int]
 
 
 def explain(wanted: str, lines: Iterable[LogLine]) -> Explanation:
     """
-    Find the lines that explain an id.
+    Select the log lines that explain what happened to an id.
 
     :param wanted: id of a request, job, item, endpoint or daemon.
-    :param lines: of any number of processes.
-    :return: the lines that name it, those that name the items of a job or the endpoints tried, and
-        what daemons believed around them.
+    :param lines: log lines of any number of processes.
+    :return: the lines that contain the id, and the lines of the same period about related ids (the
+        items of a job, the endpoints tried) or about the state known to the daemons.
     """
-    timed, clocks = in_one_order(lines)
-    direct = frozenset({wanted})
-    names_it = [line.names(direct) or line.process == wanted for _, line in timed]
-    named = list(itertools.compress(timed, names_it))
-    if not named:
+    timed, clocks = merge_in_time_order(lines)
+    wanted_ids = frozenset({wanted})
+    direct_flags = [line.mentions(wanted_ids) or line.process == wanted for _, line in timed]
+    direct = list(itertools.compress(timed, direct_flags))
+    if not direct:
         return Explanation((), (), tuple(clocks), {})
-    first_s, last_s = named[0][0], named[-1][0]
-    linked = _linked([line for _, line in named], wanted)
-    if any(line.fields.get("reason") == Reason.NO_ENDPOINT.value for _, line in named):
-        # None was tried, so any of them may be the one that was missing.
-        named_endpoints = (line.fields.get("endpoint") for _, line in timed)
-        linked |= {one for one in named_endpoints if isinstance(one, str)} - {wanted}
-    told = []
-    left_out: dict[str, int] = {}
-    for (at, line), is_direct in zip(timed, names_it, strict=True):
-        around = first_s - BEFORE_S <= at <= last_s + AFTER_S
-        if line.kind == LEFT_OUT and around:
-            _add_counts(left_out, line.fields.get("count"))
-        if is_direct or (around and _tells_of(line, linked)):
-            told.append(Told(round(at - first_s, 4), is_direct, line))
-    return Explanation(tuple(told), _meanings(told), tuple(clocks), left_out)
-
-
-def _add_counts(left_out: dict[str, int], counts: Any) -> None:
+    first_s, last_s = direct[0][0], direct[-1][0]
+    related = _related_ids([line for _, line in direct], wanted)
+    if any(line.fields.get("reason") == Reason.NO_ENDPOINT.value for _, line in direct):
+        # No endpoint was tried, so the missing one may be any endpoint in the logs.
+        endpoints = (line.fields.get("endpoint") for _, line in timed)
+        related |= {one for one in endpoints if isinstance(one, str)} - {wanted}
+    explained = []
+    dropped_by_kind: dict[str, int] = {}
+    for (at_s, line), is_direct in zip(timed, direct_flags, strict=True):
+        in_period = first_s - CONTEXT_BEFORE_S <= at_s <= last_s + CONTEXT_AFTER_S
+        if line.kind == LEFT_OUT and in_period:
+            _add_counts(dropped_by_kind, line.fields.get("count"))
+        if is_direct or (in_period and _is_context(line, related)):
+            explained.append(ExplainedLine(round(at_s - first_s, 4), is_direct, line))
+    return Explanation(tuple(explained), _meanings(explained), tuple(clocks), dropped_by_kind)
+
+
+def _add_counts(total_by_kind: dict[str, int], counts: Any) -> None:
     if not isinstance(counts, dict):
         return
     for kind, count in counts.items():
         if isinstance(count, int):
-            left_out[kind] = left_out.get(kind, 0) + count
+            total_by_kind[kind] = total_by_kind.get(kind, 0) + count
 
 
-def _linked(named: list[LogLine], wanted: str) -> frozenset[str]:
-    """Ids that belong to the one asked for: a job's items, an item's job, endpoints tried."""
+def _related_ids(direct: list[LogLine], wanted: str) -> frozenset[str]:
+    """Return the ids related to `wanted`: a job's items, an item's job, the endpoints tried."""
     found: list[Any] = []
-    for line in named:
+    for line in direct:
         fields = line.fields
         if fields.get("job") == wanted:
             found.append(fields.get("item"))
@@ -129,30 +132,31 @@
     return frozenset(one for one in found if isinstance(one, str)) - {"", wanted}
 
 
-def _tells_of(line: LogLine, linked: frozenset[str]) -> bool:
-    """Whether a line that does not name the id says what a daemon did for it or believed."""
-    work = [line.fields[name] for name in WORK_FIELDS if name in line.fields]
-    if work:
-        # A job's acceptance explains its item; the item's other lines explain its job.
-        return any(_is_in(one, linked) for one in work) and (
-            "item" not in line.fields or _is_in(line.fields["item"], linked)
+def _is_context(line: LogLine, related: frozenset[str]) -> bool:
+    """Return True if a line without the id is about a related id or about a daemon's state."""
+    work_ids = [line.fields[name] for name in WORK_FIELDS if name in line.fields]
+    if work_ids:
+        # A job's lines without an item (its acceptance) explain each of its items. A line with an
+        # item counts only if that item is related: other items of the same job are left out.
+        return any(_is_in(work_id, related) for work_id in work_ids) and (
+            "item" not in line.fields or _is_in(line.fields["item"], related)
         )
     if "endpoint" in line.fields:
-        return _is_in(line.fields["endpoint"], linked)
+        return _is_in(line.fields["endpoint"], related)
     return line.kind != LEFT_OUT
 
 
-def _is_in(value: Any, wanted: frozenset[str]) -> bool:
-    return isinstance(value, str) and value in wanted
+def _is_in(value: Any, ids: frozenset[str]) -> bool:
+    return isinstance(value, str) and value in ids
 
 
-def _meanings(told: list[Told]) -> tuple[str, ...]:
-    found: dict[str, str] = {}
-    for one in reversed(told):
+def _meanings(explained: list[ExplainedLine]) -> tuple[str, ...]:
+    meaning_by_reason: dict[str, str] = {}
+    for one in reversed(explained):
         reason = one.line.fields.get("reason") if one.direct else None
         if isinstance(reason, str) and reason in MEANING_BY_REASON:
-            found.setdefault(reason, f"{reason}: {MEANING_BY_REASON[reason]}")
-    return tuple(found.values())
+            meaning_by_reason.setdefault(reason, f"{reason}: {MEANING_BY_REASON[reason]}")
+    return tuple(meaning_by_reason.values())
 
 
-__all__ = ["Explanation", "Told", "explain"]
+__all__ = ["ExplainedLine", "Explanation", "explain"]
--- a/packages/ibisspring-cli/src/ibisspring_cli/keys.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/keys.py
@@ -1,4 +1,4 @@
-"""`ibisspring key`: make and list keys of client accounts."""
+"""`ibisspring key`: creates and lists the API keys of client accounts."""
 
 from __future__ import annotations
 
@@ -15,27 +15,31 @@
 
 @click.group()
 def key() -> None:
-    """Make and list keys. A key is granted and withdrawn by the rules, by its digest."""
+    """
+    Create and list API keys.
+
+    The rules grant and withdraw a key by its digest.
+    """
 
 
 @key.command()
 @with_options
 def new(options: Options) -> None:
     """
-    Make a key: give it to the caller, put its digest into the rules.
+    Create a key. Give the key to the caller and add its digest to the rules.
 
-    The key is shown once and kept nowhere.
+    The key is printed once and not stored.
     """
-    made = secrets.token_urlsafe(KEY_BYTES)
-    digest = f"sha256:{key_digest(made)}"
-    lines = [f"key     {made}", f"digest  {digest}", f"Add to the account's rule: key {digest}"]
-    show(options, {"key": made, "digest": digest}, lines)
+    api_key = secrets.token_urlsafe(KEY_BYTES)
+    digest = f"sha256:{key_digest(api_key)}"
+    lines = [f"key     {api_key}", f"digest  {digest}", f"Add to the account's rule: key {digest}"]
+    show(options, {"key": api_key, "digest": digest}, lines)
 
 
 @key.command(name="list")
 @with_options
 def list_keys(options: Options) -> None:
-    """List the keys in force by client account, the first digits of their digests."""
+    """List the granted keys: client account and first digits of the key's digest."""
     answer = read(options, "keys")
     lines = [f"{entry['client_account']:<30} {entry['digest']}…" for entry in answer["keys"]]
     show(options, answer, lines or ["no keys are granted"])
--- a/packages/ibisspring-cli/src/ibisspring_cli/log_lines.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of several processes, read and put into one order."""
+"""Parses the log lines of several processes and merges them in time order."""
 
 from __future__ import annotations
 
@@ -11,54 +11,59 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A wall clock that moves so far against the boot clock of its VM was set.
-STEP_S = 0.05
-# Clocks are set by seconds; a larger difference is another boot of the VM.
-MOST_STEP_S = 600.0
-# Fields that say where a line comes from and not what it tells.
-OWN_FIELDS = ("message_type", "timestamp", "process", "boot_s")
+# If the difference between wall clock and boot clock of a VM changes by more than this between two
+# lines, the wall clock was set in between.
+CLOCK_STEP_S = 0.05
+# Wall clocks are corrected by seconds. A larger change of the difference means that the VM rebooted
+# and its boot clock started again at zero.
+MAX_CLOCK_STEP_S = 600.0
+# Fields that describe the origin of a line, not the logged event.
+HEADER_FIELDS = ("message_type", "timestamp", "process", "boot_s")
 
 
 @dataclass(frozen=True)
 class LogLine:
     """
-    One line.
-
-    :param process: the daemon that wrote it; empty where the line does not say.
-    :param start: counts the starts of that daemon's VM, as its boot clock tells them.
-    :param wall_s: the VM's wall clock, seconds since 1970.
-    :param boot_s: the VM's boot clock; None where the line does not say.
-    :param fields: what it tells.
+    One log line of a daemon.
+
+    :param process: the daemon that wrote the line; empty if the line does not contain it.
+    :param kind: the line's `message_type`.
+    :param wall_s: time on the VM's wall clock, in seconds since 1970.
+    :param boot_s: time on the VM's boot clock, in seconds; None if the line does not contain it.
+    :param boot_index: number of reboots of the VM before this line, as seen in its boot clock.
+    :param fields: all fields that describe the event.
     """
 
     process: str
     kind: str
     wall_s: float
     boot_s: float | None
-    start: int
+    boot_index: int
     fields: dict[str, Any]
 
-    def names(self, wanted: frozenset[str]) -> bool:
-        """Whether any field holds one of some ids."""
-        return any(_holds(value, wanted) for value in self.fields.values())
+    def mentions(self, ids: frozenset[str]) -> bool:
+        """Return True if any field contains one of these ids."""
+        return any(_contains_any(value, ids) for value in self.fields.values())
 
 
 @dataclass(frozen=True)
 class ClockNote:
     """
-    What is known of the clock that a process's lines were ordered by.
+    The clock by which the lines of one process were ordered, during one boot of its VM.
 
-    :param steps_s: how far its wall clock was set, in order.
+    :param boot_index: number of reboots of the VM before these lines.
+    :param line_count: number of lines that contain the boot clock's time.
+    :param steps_s: each change by which the wall clock was set, in seconds and in order.
     """
 
     process: str
-    start: int
-    lines: int
+    boot_index: int
+    line_count: int
     steps_s: tuple[float, ...]
 
 
-class _Head(msgspec.Struct):
-    """What every line must have, and where it comes from."""
+class _Header(msgspec.Struct):
+    """The fields that every line must have, and the optional fields about its origin."""
 
     message_type: str
     timestamp: float
@@ -68,103 +73,106 @@
 
 @dataclass
 class _Clock:
-    """The lines of one start of one VM."""
+    """Clock data from the lines of one process during one boot: wall clock minus boot clock."""
 
-    offsets: list[float] = field(default_factory=list)
+    offsets_s: list[float] = field(default_factory=list)
     steps_s: list[float] = field(default_factory=list)
 
 
 def parse_lines(texts: Iterable[str]) -> list[LogLine]:
     """
-    Read lines; what is not a line of a daemon is left out.
+    Parse log lines and skip all text that is not a log line of a daemon.
 
-    :param texts: lines, in the order of each file; something may stand before the JSON.
-    :return: the lines that have a kind and a time.
+    :param texts: lines in the order of each file; text before the JSON object is ignored.
+    :return: the lines that have a message type and a timestamp.
     """
     lines = []
-    offset_by_process: dict[str, float] = {}
-    start_by_process: dict[str, int] = {}
+    offset_s_by_process: dict[str, float] = {}
+    boot_index_by_process: dict[str, int] = {}
     for text in texts:
-        message = _message_of(text)
+        message = _parse_line(text)
         if message is None:
             continue
-        head, fields = message
-        process = head.process
-        if head.boot_s is not None:
-            # Two boots of a VM have nothing in common but its name.
-            offset_s = head.timestamp - head.boot_s
-            known_s = offset_by_process.get(process, offset_s)
-            if abs(offset_s - known_s) > MOST_STEP_S:
-                start_by_process[process] = start_by_process.get(process, 0) + 1
-            offset_by_process[process] = offset_s
+        header, fields = message
+        process = header.process
+        if header.boot_s is not None:
+            # Boot clock times from before and after a reboot cannot be compared.
+            offset_s = header.timestamp - header.boot_s
+            previous_s = offset_s_by_process.get(process, offset_s)
+            if abs(offset_s - previous_s) > MAX_CLOCK_STEP_S:
+                boot_index_by_process[process] = boot_index_by_process.get(process, 0) + 1
+            offset_s_by_process[process] = offset_s
         lines.append(
             LogLine(
                 process,
-                head.message_type,
-                head.timestamp,
-                head.boot_s,
-                start_by_process.get(process, 0),
-                {name: value for name, value in fields.items() if name not in OWN_FIELDS},
+                header.message_type,
+                header.timestamp,
+                header.boot_s,
+                boot_index_by_process.get(process, 0),
+                {name: value for name, value in fields.items() if name not in HEADER_FIELDS},
             )
         )
     return lines
 
 
-def in_one_order(lines: Iterable[LogLine]) -> tuple[list[tuple[float, LogLine]], list[ClockNote]]:
+def merge_in_time_order(
+    lines: Iterable[LogLine],
+) -> tuple[list[tuple[float, LogLine]], list[ClockNote]]:
     """
-    Order lines of several processes.
+    Merge the lines of several processes in time order.
 
-    Within one process the boot clock decides, which is never set. Between processes the wall clocks
-    do: the offset between both clocks is taken as its median over the process's lines, so that a
-    clock that was set for a moment moves nothing.
+    The lines of one process are ordered by the boot clock of its VM, which is never set. To compare
+    processes, boot clock times are converted to wall clock time with one offset for each boot: the
+    median of wall clock minus boot clock over all lines. A wall clock that is wrong for a short
+    time therefore does not change the order.
 
-    :return: lines with the time that they were ordered by, and what is known of each clock.
+    :return: pairs of wall clock time (seconds since 1970) and line, and a note on each clock.
     """
     lines = list(lines)
-    clock_by_start: dict[tuple[str, int], _Clock] = {}
+    clock_by_boot: dict[tuple[str, int], _Clock] = {}
     for line in lines:
         if line.boot_s is None:
             continue
-        clock = clock_by_start.setdefault((line.process, line.start), _Clock())
-        offset = line.wall_s - line.boot_s
-        if clock.offsets and abs(offset - clock.offsets[-1]) > STEP_S:
-            clock.steps_s.append(round(offset - clock.offsets[-1], 3))
-        clock.offsets.append(offset)
-    offset_by_start = {
-        start: statistics.median_low(clock.offsets) for start, clock in clock_by_start.items()
+        clock = clock_by_boot.setdefault((line.process, line.boot_index), _Clock())
+        offset_s = line.wall_s - line.boot_s
+        if clock.offsets_s and abs(offset_s - clock.offsets_s[-1]) > CLOCK_STEP_S:
+            clock.steps_s.append(round(offset_s - clock.offsets_s[-1], 3))
+        clock.offsets_s.append(offset_s)
+    offset_s_by_boot = {
+        boot: statistics.median_low(clock.offsets_s) for boot, clock in clock_by_boot.items()
     }
-    timed = [(_time_of(line, offset_by_start), line) for line in lines]
+    timed = [(_wall_time_of(line, offset_s_by_boot), line) for line in lines]
     timed.sort(key=lambda pair: pair[0])
     notes = [
-        ClockNote(process, start, len(clock.offsets), tuple(clock.steps_s))
-        for (process, start), clock in sorted(clock_by_start.items())
+        ClockNote(process, boot_index, len(clock.offsets_s), tuple(clock.steps_s))
+        for (process, boot_index), clock in sorted(clock_by_boot.items())
     ]
     return timed, notes
 
 
-def _time_of(line: LogLine, offset_by_start: dict[tuple[str, int], float]) -> float:
+def _wall_time_of(line: LogLine, offset_s_by_boot: dict[tuple[str, int], float]) -> float:
     if line.boot_s is None:
         return line.wall_s
-    return line.boot_s + offset_by_start[(line.process, line.start)]
+    return line.boot_s + offset_s_by_boot[(line.process, line.boot_index)]
 
 
-def _message_of(text: str) -> tuple[_Head, dict[str, Any]] | None:
+def _parse_line(text: str) -> tuple[_Header, dict[str, Any]] | None:
     begin = text.find("{")
     if begin < 0:
         return None
     try:
         fields = msgspec.json.decode(text[begin:], type=dict[str, Any])
-        return msgspec.convert(fields, _Head), fields
+        return msgspec.convert(fields, _Header), fields
     except (msgspec.DecodeError, ValueError):
         return None
 
 
-def _holds(value: Any, wanted: frozenset[str]) -> bool:
+def _contains_any(value: Any, ids: frozenset[str]) -> bool:
     if isinstance(value, str):
-        return value in wanted
+        return value in ids
     if isinstance(value, list):
-        return any(_holds(one, wanted) for one in value)
+        return any(_contains_any(element, ids) for element in value)
     return False
 
 
-__all__ = ["ClockNote", "LogLine", "in_one_order", "parse_lines"]
+__all__ = ["ClockNote", "LogLine", "merge_in_time_order", "parse_lines"]
--- a/packages/ibisspring-cli/src/ibisspring_cli/main.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/main.py
@@ -1,4 +1,4 @@
-"""The binary ibisspring."""
+"""Entry point of the executable `ibisspring`."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 from ibisspring_cli.status import status
 from ibisspring_cli.usage import usage
 
-# "Accepted" waits for the lease of an entry that went silent, and after a change of leader for a
-# whole lease; with the longest settings that still lies under the 15 s that a change may take.
-TIMEOUT_S = 30.0
+# A rules change is acknowledged only when the lease of each entry that stopped answering has
+# expired and, after a change of the leader, when one full lease has passed. Even with the longest
+# permitted leases this takes less than the 15 s allowed for a change.
+DEFAULT_TIMEOUT_S = 30.0
 
 
 @click.group()
@@ -25,16 +26,17 @@
     "addresses",
     multiple=True,
     envvar="IBISSPRING_CONTROL",
-    help="IP:port of a control daemon; give all of them, or set IBISSPRING_CONTROL (with spaces).",
+    help="IP:port of a control daemon; give all of them, or set IBISSPRING_CONTROL to all of them, "
+    "separated by spaces.",
 )
-@click.option("--json", "as_json", is_flag=True, help="Print JSON; also taken after any command.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON; may also follow the command.")
 @click.option(
     "--timeout",
     "timeout_s",
     type=click.FloatRange(min=0.1),
-    default=TIMEOUT_S,
+    default=DEFAULT_TIMEOUT_S,
     show_default=True,
-    help="Longest time in seconds for an answer; an apply may wait for an entry that went silent.",
+    help="Time limit in seconds for an answer; `rules apply` waits for leases of silent entries.",
 )
 @click.pass_context
 def main(
@@ -45,25 +47,26 @@
 
     \b
     A first session:
-      ibisspring settings check settings.yaml     is this daemon's file right?
-      ibisspring key new                          a key and the digest for its rule
-      ibisspring rules show > rules.txt           the file in force, with its version
-      ibisspring rules check rules.txt            every finding, with line and column
-      ibisspring rules apply rules.txt --base 3   in force everywhere once it answers
-      ibisspring status                           leader, entries, endpoints, trainers
-      ibisspring explain ID LOG...                what happened to a request, from log lines
+      ibisspring settings check settings.yaml     check a daemon's settings file
+      ibisspring key new                          create an API key and its digest for the rules
+      ibisspring rules show > rules.txt           save the current rules and their version
+      ibisspring rules check rules.txt            list all errors, with line and column
+      ibisspring rules apply rules.txt --base 3   replace version 3; waits for all entries
+      ibisspring status                           show leader, entries, endpoints, trainers
+      ibisspring explain ID LOG...                show from log files what happened to a request
 
     \b
     Exit codes:
-      0  done
+      0  success
       1  refused; the reason is printed and nothing was changed
-      2  the command line or a file has findings
+      2  errors in the command line or in a file
       3  no control leader answered; nothing was changed
-      4  unknown: it may have been done; run the printed command again
-      5  conflict: somebody else changed the rules first
+      4  unknown: the change may have been made; run the printed command to retry
+      5  conflict: another operator changed the rules first
     """
     context.obj = Options.from_command_line(addresses, as_json, timeout_s)
-    # The group `control` has these options of its own; given before it they count as well.
+    # The group `control` declares these options itself; values given before the group's name
+    # become its defaults.
     context.default_map = {"control": {"addresses": addresses, "as_json": as_json}}
 
 
--- a/packages/ibisspring-cli/src/ibisspring_cli/options.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/options.py
@@ -1,4 +1,4 @@
-"""Options that all commands share."""
+"""Options shared by all commands."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 @dataclass(frozen=True)
 class Options:
     """
-    What every command is given.
+    Options passed to every command.
 
     :param addresses: IP:port of the control daemons.
     :param as_json: print one JSON object instead of text.
-    :param timeout_s: longest time for an answer.
+    :param timeout_s: time limit for an answer, in seconds.
     """
 
     addresses: tuple[str, ...]
@@ -32,40 +32,40 @@
         cls, addresses: tuple[str, ...], as_json: bool, timeout_s: float
     ) -> Options:
         """
-        Build the options.
+        Build the options from parsed command-line values.
 
-        :param addresses: each one IP:port, or several with spaces or commas between.
-        :param as_json: whether JSON was asked for.
-        :param timeout_s: longest time for an answer.
-        :return: the options.
+        :param addresses: each text is one IP:port or several, separated by spaces or commas.
+        :param as_json: True if `--json` was given.
+        :param timeout_s: time limit for an answer, in seconds.
+        :return: the options, with the addresses split.
         """
         return cls(split_addresses(addresses), as_json, timeout_s)
 
 
 def split_addresses(texts: tuple[str, ...]) -> tuple[str, ...]:
     """
-    Split an option that takes addresses.
+    Split the values of an option that accepts several addresses.
 
-    :param texts: each one IP:port, or several with spaces or commas between.
-    :return: the addresses in order.
+    :param texts: each text is one IP:port or several, separated by spaces or commas.
+    :return: the addresses in their order on the command line.
     """
     return tuple(part for text in texts for part in text.replace(",", " ").split())
 
 
 def with_options(command: Callable[..., Any]) -> Callable[..., Any]:
     """
-    Give a command the shared options, and `--json` after its name as well.
+    Pass the shared options to a command and accept `--json` after the command's name too.
 
-    :param command: takes `Options` first.
-    :return: the command's callback.
+    :param command: function whose first parameter is an `Options`.
+    :return: the callback to register with click.
     """
 
     @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
     @click.pass_obj
     @functools.wraps(command)
-    def run(options: Options, *arguments: Any, as_json: bool, **named: Any) -> Any:
-        chosen = dataclasses.replace(options, as_json=options.as_json or as_json)
-        return command(chosen, *arguments, **named)
+    def run(options: Options, *arguments: Any, as_json: bool, **keywords: Any) -> Any:
+        merged = dataclasses.replace(options, as_json=options.as_json or as_json)
+        return command(merged, *arguments, **keywords)
 
     return run
 
--- a/packages/ibisspring-cli/src/ibisspring_cli/rules.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/rules.py
@@ -1,4 +1,4 @@
-"""`ibisspring rules`: check, apply and show the rules file."""
+"""`ibisspring rules`: checks, applies and shows the rules file."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
 @click.group()
 def rules() -> None:
     """
-    Check, apply and show the rules: one rule a line, each with who asked for it.
+    Check, apply and show the rules.
+
+    A rules file has one rule per line, each with a comment that names who requested it.
 
     \b
     Example of a rule:
@@ -31,7 +33,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @with_options
 def check(options: Options, file: Path) -> None:
-    """Print every finding of FILE with its line and column; changes nothing."""
+    """Check FILE without applying it; print all errors with line and column."""
     text = _read_file(options, file)
     parsed = _parse(options, file, text)
     counts = {
@@ -39,11 +41,11 @@
         "trainers": len(parsed.trainer_by_name),
         "services": len(parsed.placement_by_service),
     }
-    line = (
+    summary = (
         f"{file}: no findings; {counts['client_accounts']} client accounts, "
         f"{counts['trainers']} trainers, {counts['services']} placed services"
     )
-    show(options, {"findings": [], **counts}, [line])
+    show(options, {"findings": [], **counts}, [summary])
 
 
 @rules.command()
@@ -52,30 +54,34 @@
     "--base",
     type=click.IntRange(min=0),
     required=True,
-    help="Version that FILE was made from; 0 for the first. `rules show` prints it.",
+    help="Rules version that FILE is based on, as `rules show` prints it; 0 for the first file.",
+)
+@click.option(
+    "--operator", default=None, help="Name recorded with the change; by default the login name."
 )
-@click.option("--operator", default=None, help="Who applies it; by default the login name.")
 @click.option(
-    "--request-id", default=None, help="Ask again for an earlier apply whose answer was lost."
+    "--request-id",
+    default=None,
+    help="Id of an earlier apply request whose answer was lost; sends that request again.",
 )
 @with_options
 def apply(
     options: Options, file: Path, base: int, operator: str | None, request_id: str | None
 ) -> None:
     """
-    Put FILE in force if BASE still is the version in force.
+    Replace the current rules by FILE if their version is still BASE.
 
-    Answers once every live entry acts on the new rules, which takes under a second, or up to one
-    entry lease (3 s by default) when an entry has just been lost. When somebody else was first,
-    nothing is changed and you are told who and what changed: look, merge, apply again under the
-    new base.
+    The command succeeds once every live entry uses the new rules. This takes less than a second, or
+    up to one entry lease (3 s by default) if an entry has just failed. If another operator changed
+    the rules first, nothing is changed, and the command prints that operator's name and the changed
+    lines: merge them into FILE and apply it again with the new version as BASE.
     """
     text = _read_file(options, file)
     _parse(options, file, text)
     request_id = request_id or new_request_id()
-    again = f"ibisspring rules apply {file} --base {base} --request-id {request_id}"
+    retry_command = f"ibisspring rules apply {file} --base {base} --request-id {request_id}"
     command = ApplyRules(base, text, operator or getpass.getuser())
-    result = propose(options, command, request_id, again)
+    result = propose(options, command, request_id, retry_command)
     if isinstance(result, RulesConflict):
         _fail_conflict(options, result, base)
     answer = {"version": result.version, "request_id": request_id}
@@ -85,15 +91,15 @@
 @rules.command(name="show")
 @with_options
 def show_rules(options: Options) -> None:
-    """Print the rules in force; the first line names their version."""
+    """Print the current rules; the first line states their version."""
     answer = read(options, "rules")
-    accepted = datetime.datetime.fromtimestamp(answer["accepted_s"], datetime.UTC)
-    head = f"# version {answer['version']}"
+    accepted_at = datetime.datetime.fromtimestamp(answer["accepted_s"], datetime.UTC)
+    header = f"# version {answer['version']}"
     if answer["version"]:
-        head += f", applied by {answer['operator']} at {accepted:%Y-%m-%d %H:%M:%S} UTC"
-    # The head of an earlier `rules show` may stand in the file.
+        header += f", applied by {answer['operator']} at {accepted_at:%Y-%m-%d %H:%M:%S} UTC"
+    # An applied file may still contain the header line that an earlier `rules show` printed.
     lines = [line for line in answer["text"].splitlines() if not line.startswith("# version ")]
-    show(options, answer, [head, *lines])
+    show(options, answer, [header, *lines])
 
 
 def _read_file(options: Options, file: Path) -> str:
@@ -116,9 +122,9 @@
 def _fail_conflict(options: Options, conflict: RulesConflict, base: int) -> None:
     changed = "\n".join(f"  {line}" for line in conflict.changed_lines)
     message = (
-        f"version {conflict.version} by {conflict.operator} is in force, not {base}; nothing was "
-        f"changed. Since {base}:\n{changed}\n"
-        f"Merge these into your file (`ibisspring rules show`) and apply with --base "
+        f"the rules in force are version {conflict.version} by {conflict.operator}, not "
+        f"version {base}; nothing was changed. Lines changed since version {base}:\n{changed}\n"
+        f"Merge these into your file (`ibisspring rules show`) and apply it with --base "
         f"{conflict.version}."
     )
     fail(
--- a/packages/ibisspring-cli/src/ibisspring_cli/session.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/session.py
@@ -1,4 +1,4 @@
-"""Runs one command against the control leader and turns refusals into exit codes."""
+"""Sends one query or command to the control leader; maps refusals to exit codes."""
 
 from __future__ import annotations
 
@@ -26,38 +26,38 @@
 
 def read(options: Options, query: str, **arguments: Any) -> dict[str, Any]:
     """
-    Read from the leader; a refusal ends the program.
+    Send a query to the control leader; if it is refused, print the error and exit.
 
-    :param query: the query's name.
-    :param arguments: its arguments.
+    :param query: name of the query.
+    :param arguments: arguments of the query.
     :return: the answer.
     """
 
-    async def ask(client: ControlClient) -> Any:
+    async def call(client: ControlClient) -> Any:
         return await client.read(query, total_s=options.timeout_s, **arguments)
 
-    answer = _run(options, ask)
+    answer = _run(options, call)
     if isinstance(answer, Refusal):
         _fail_unreachable(options, answer)
     return answer
 
 
-def propose(options: Options, command: Any, request_id: str, again: str) -> Any:
+def propose(options: Options, command: Any, request_id: str, retry_command: str) -> Any:
     """
-    Commit a command; a refusal ends the program.
+    Commit a command through the control leader; if it is refused, print the error and exit.
 
-    :param command: the command.
-    :param request_id: kept for a resend.
-    :param again: the command line that asks for the same once more.
-    :return: the result.
+    :param command: command for the control state machine.
+    :param request_id: id under which a retry is recognised, so that the command is applied once.
+    :param retry_command: command line to print for a retry if no answer arrives.
+    :return: the result of the committed command.
     """
 
-    async def ask(client: ControlClient) -> Any:
+    async def call(client: ControlClient) -> Any:
         return await client.propose(command, request_id, total_s=options.timeout_s)
 
-    result = _run(options, ask)
+    result = _run(options, call)
     if isinstance(result, Refusal):
-        _fail_unanswered(options, result, request_id, again)
+        _fail_unanswered(options, result, request_id, retry_command)
     if isinstance(result, Refused):
         code = EXIT_UNKNOWN if result.reason == Reason.MAY_HAVE_RUN.value else EXIT_REFUSED
         fail(options, code, result.reason, result.detail)
@@ -66,10 +66,10 @@
 
 def show(options: Options, answer: dict[str, Any], lines: list[str]) -> None:
     """
-    Print an answer.
+    Print an answer as JSON or as text.
 
-    :param answer: printed as JSON where that was asked for.
-    :param lines: printed otherwise.
+    :param answer: object printed with `--json`.
+    :param lines: text lines printed without `--json`.
     """
     if options.as_json:
         click.echo(json.dumps(answer))
@@ -78,17 +78,17 @@
         click.echo(line)
 
 
-def fail(options: Options, code: int, reason: str, message: str, **more: Any) -> NoReturn:
+def fail(options: Options, code: int, reason: str, message: str, **extra_fields: Any) -> NoReturn:
     """
-    Print an error and leave.
+    Print an error and exit.
 
-    :param code: the exit code.
+    :param code: exit code.
     :param reason: value of a `Reason`.
-    :param message: what happened and what to do.
-    :param more: further fields of the JSON object.
+    :param message: the error and how to resolve it.
+    :param extra_fields: additional fields of the JSON object `error`.
     """
     if options.as_json:
-        click.echo(json.dumps({"error": {"reason": reason, "message": message, **more}}))
+        click.echo(json.dumps({"error": {"reason": reason, "message": message, **extra_fields}}))
     else:
         click.echo(f"{reason}: {message}", err=True)
     sys.exit(code)
@@ -96,12 +96,12 @@
 
 def fail_findings(options: Options, findings: tuple[Finding, ...]) -> NoReturn:
     """
-    Print every finding of a file and leave.
+    Print all errors found in a file and exit with `EXIT_FINDINGS`.
 
-    :param findings: with their places.
+    :param findings: the errors, with file, line and column.
     """
     if options.as_json:
-        listed = [
+        entries = [
             {
                 "file": finding.place,
                 "line": finding.line,
@@ -110,22 +110,23 @@
             }
             for finding in findings
         ]
-        click.echo(json.dumps({"findings": listed}))
+        click.echo(json.dumps({"findings": entries}))
     else:
         for finding in findings:
             click.echo(str(finding), err=True)
     sys.exit(EXIT_FINDINGS)
 
 
-def _run(options: Options, ask: Any) -> Any:
+def _run(options: Options, call: Any) -> Any:
+    """Run `call` with a client for the control daemons and stop the client afterwards."""
     if not options.addresses:
-        message = "name the control daemons: --control IP:port or IBISSPRING_CONTROL"
+        message = "no control daemon is given; use --control IP:port or IBISSPRING_CONTROL"
         fail(options, EXIT_FINDINGS, Reason.BAD_REQUEST.value, message)
 
     async def run() -> Any:
         client = ControlClient({address: address for address in options.addresses})
         try:
-            return await ask(client)
+            return await call(client)
         finally:
             await client.stop()
 
@@ -133,15 +134,19 @@
 
 
 def _fail_unreachable(options: Options, refusal: Refusal) -> NoReturn:
-    tried = ", ".join(options.addresses)
-    message = f"{refusal.detail}; tried {tried}: check that a majority of the control VMs runs"
+    addresses = ", ".join(options.addresses)
+    message = f"{refusal.detail}; tried {addresses}: check that a majority of the control VMs runs"
     fail(options, EXIT_UNREACHABLE, refusal.reason.value, message)
 
 
-def _fail_unanswered(options: Options, refusal: Refusal, request_id: str, again: str) -> NoReturn:
+def _fail_unanswered(
+    options: Options, refusal: Refusal, request_id: str, retry_command: str
+) -> NoReturn:
     if refusal.not_run:
         _fail_unreachable(options, refusal)
-    message = f"no answer, it may have been done ({refusal.detail}); ask again: {again}"
+    message = (
+        f"no answer; the change may have been made ({refusal.detail}); to retry: {retry_command}"
+    )
     fail(options, EXIT_UNKNOWN, refusal.reason.value, message, request_id=request_id)
 
 
--- a/packages/ibisspring-cli/src/ibisspring_cli/settings.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/settings.py
@@ -1,4 +1,4 @@
-"""`ibisspring settings`: check a daemon's settings file."""
+"""`ibisspring settings`: checks a daemon's settings file."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 @click.group()
 def settings() -> None:
-    """Check settings files."""
+    """Check the settings files of daemons."""
 
 
 @settings.command()
 @click.argument("file")
 @with_options
 def check(options: Options, file: str) -> None:
-    """Print every finding of FILE with its line and column; starts nothing."""
+    """Check FILE without starting a daemon; print all errors with line and column."""
     loaded = load_settings(file)
     if not isinstance(loaded, Settings):
         fail_findings(options, loaded)
     answer = {"findings": [], "daemon": loaded.daemon, "roles": list(loaded.roles)}
-    line = f"{file}: no findings; daemon {loaded.daemon}, roles {', '.join(loaded.roles)}"
-    show(options, answer, [line])
+    summary = f"{file}: no findings; daemon {loaded.daemon}, roles {', '.join(loaded.roles)}"
+    show(options, answer, [summary])
 
 
 __all__ = ["settings"]
--- a/packages/ibisspring-cli/src/ibisspring_cli/status.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/status.py
@@ -1,4 +1,4 @@
-"""`ibisspring status`: the whole system at a glance."""
+"""`ibisspring status`: shows an overview of the system."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
     "seeds",
     multiple=True,
     envvar="IBISSPRING_SEEDS",
-    help="Peer IP:port of control daemons that find each other by seeds; one that runs suffices.",
+    help="Peer IP:port of control daemons in a system with seeds; one running daemon is enough.",
 )
 @with_options
 def status(options: Options, seeds: tuple[str, ...]) -> None:
     """
-    Show the leader, what is in force on each daemon, endpoints, trainers or jobs.
+    Show the leader, entries, endpoints and trainers.
 
-    With --seeds (or IBISSPRING_SEEDS) it shows a system whose daemons find each other by seeds: the
-    route table, duties and their holders, stores, jobs and runners.
+    Each entry is shown with the version of its rules and the remaining time of its lease.
+
+    With --seeds (or IBISSPRING_SEEDS) show a system whose daemons discover each other through seed
+    addresses: route table, duties and their holders, stores, jobs and runners.
     """
     if seeds:
         show_system(options, split_addresses(seeds))
         return
     answer = read(options, "status")
-    show(options, answer, _lines(answer))
+    show(options, answer, _status_lines(answer))
 
 
-def _lines(answer: dict) -> list[str]:
+def _status_lines(answer: dict) -> list[str]:
     lines = [
         f"leader {answer['leader']} in term {answer['term']}, "
         f"rules version {answer['rules_version']}, log index {answer['applied_index']}"
--- a/packages/ibisspring-cli/src/ibisspring_cli/system_status.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/system_status.py
@@ -1,4 +1,4 @@
-"""`ibisspring status --seeds`: a system whose daemons find each other by seeds."""
+"""`ibisspring status --seeds`: shows a system whose daemons discover each other through seeds."""
 
 from __future__ import annotations
 
@@ -23,40 +23,41 @@
 if TYPE_CHECKING:
     from ibisspring_cli.options import Options
 
-ONE_CALL_S = 1.0
-# Without a store that leads, the directory's part is still worth showing.
-JOBS_S = 3.0
+# Time limit for the answer of one daemon.
+CALL_TIMEOUT_S = 1.0
+# If no store is leader of the job log, the directory's status is printed after this time.
+JOBS_TIMEOUT_S = 3.0
 
 
 def show_system(options: Options, seeds: tuple[str, ...]) -> None:
     """
-    Print what the leaders of the directory and of the jobs know.
+    Print the status held by the leader of the directory and by the leader of the job log.
 
-    :param seeds: peer addresses of control daemons; a follower names the leader.
+    :param seeds: peer addresses of control daemons; a follower redirects to the leader.
     """
-    directory, jobs = asyncio.run(_read(seeds, options.timeout_s))
+    directory, jobs = asyncio.run(_read_status(seeds, options.timeout_s))
     if not isinstance(directory, DirectoryStatus):
         message = f"no control leader answered; tried {', '.join(seeds)}"
         fail(options, EXIT_UNREACHABLE, Reason.NO_LEADER.value, message)
-    known = jobs if isinstance(jobs, JobsStatus) else None
-    answer = {"directory": msgspec.to_builtins(directory), "jobs": msgspec.to_builtins(known)}
-    show(options, answer, [*_directory_lines(directory), *_jobs_lines(known)])
+    jobs_status = jobs if isinstance(jobs, JobsStatus) else None
+    answer = {"directory": msgspec.to_builtins(directory), "jobs": msgspec.to_builtins(jobs_status)}
+    show(options, answer, [*_directory_lines(directory), *_jobs_lines(jobs_status)])
 
 
-async def _read(seeds: tuple[str, ...], timeout_s: float) -> tuple[Any, Any]:
+async def _read_status(seeds: tuple[str, ...], timeout_s: float) -> tuple[Any, Any]:
     client = PeerClient(PEER_MESSAGES, Counters.from_config(None))
     try:
         control = LeaderClient(client, lambda: seeds)
-        directory = await control.call(ReadDirectoryStatus(), timeout_s, ONE_CALL_S)
+        directory = await control.call(ReadDirectoryStatus(), timeout_s, CALL_TIMEOUT_S)
         if not isinstance(directory, DirectoryStatus):
             return directory, None
-        stores = [one for one in directory.daemons if one.role == "store"]
-        stores.sort(key=lambda one: not one.leads_jobs)
-        addresses = tuple(one.address for one in stores)
+        stores = [daemon for daemon in directory.daemons if daemon.role == "store"]
+        stores.sort(key=lambda store: not store.leads_jobs)
+        addresses = tuple(store.address for store in stores)
         if not addresses:
             return directory, None
         jobs = LeaderClient(client, lambda: addresses)
-        return directory, await jobs.call(ReadJobsStatus(), JOBS_S, ONE_CALL_S)
+        return directory, await jobs.call(ReadJobsStatus(), JOBS_TIMEOUT_S, CALL_TIMEOUT_S)
     finally:
         await client.stop()
 
@@ -64,7 +65,7 @@
 def _directory_lines(status: DirectoryStatus) -> list[str]:
     lines = [
         f"leader {status.leader} in term {status.term}, route table version "
-        f"{status.table_version}, log on {', '.join(status.voters)}"
+        f"{status.table_version}, log replicas {', '.join(status.voters)}"
     ]
     lines += ["", f"daemons ({len(status.daemons)})"]
     for daemon in status.daemons:
@@ -73,26 +74,34 @@
             f"  {daemon.daemon:<22} {daemon.role:<8} {daemon.data_centre:<14} {daemon.address:<21} "
             f"table version {daemon.table_version}, heard {daemon.heard_ago_s} s ago"
             + ("  (behind)" if behind else "")
-            + ("  leads the jobs" if daemon.leads_jobs else "")
+            + ("  leader of the job log" if daemon.leads_jobs else "")
         )
     lines += ["", f"endpoints ({len(status.endpoints)})"]
     loading = set(status.loading)
-    for record in sorted(status.endpoints, key=lambda one: (one.service, one.endpoint)):
+    for record in sorted(
+        status.endpoints, key=lambda endpoint: (endpoint.service, endpoint.endpoint)
+    ):
         versions = []
         for model, version in sorted(record.version_by_adapter.items()):
-            loads = " (loads)" if (record.endpoint, model) in loading else ""
-            versions.append(f"{model}={version}{loads}")
+            mark = " (loading)" if (record.endpoint, model) in loading else ""
+            versions.append(f"{model}={version}{mark}")
         lines.append(
             f"  {record.endpoint:<22} {record.service:<16} {record.data_centre:<14} "
             f"{record.kind:<9} {record.state:<8} {', '.join(versions)}".rstrip()
         )
-    named = ", ".join(f"{model}={one}" for model, one in sorted(status.version_by_model.items()))
-    lines += ["", f"newest weight versions: {named or 'none'}"]
+    newest_versions = ", ".join(
+        f"{model}={newest}" for model, newest in sorted(status.version_by_model.items())
+    )
+    lines += ["", f"newest weight versions: {newest_versions or 'none'}"]
     lines += ["", "duties"]
     for duty in status.duties:
-        holder = f"{duty.holder}, number {duty.number}" if duty.holder else f"in {duty.waits_s} s"
+        holder = (
+            f"{duty.holder}, fencing number {duty.number}"
+            if duty.holder
+            else f"no holder for another {duty.waits_s} s"
+        )
         lines.append(f"  {duty.duty:<18} {holder}")
-    lines.append(f"  newest usage window that is closed: {status.closed_window}")
+    lines.append(f"  newest closed usage window: {status.closed_window}")
     return lines
 
 
@@ -102,10 +111,10 @@
     lines = [
         "",
         f"jobs ({len(status.jobs)}), leader {status.leader} in term {status.term}, "
-        f"log on {', '.join(status.voters)}",
+        f"log replicas {', '.join(status.voters)}",
     ]
     for job in status.jobs:
-        state = "ended" if job.ended else f"{job.running} run, {job.halves} half written"
+        state = "ended" if job.ended else f"{job.running} running, {job.halves} partly generated"
         lines.append(
             f"  {job.job:<22} {job.client_account:<14} {job.model:<14} "
             f"{job.listed} of {job.total} listed, {state}, {job.age_s} s old"
--- a/packages/ibisspring-cli/src/ibisspring_cli/usage.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/usage.py
@@ -1,4 +1,4 @@
-"""`ibisspring usage`: figures of the usage windows."""
+"""`ibisspring usage`: shows the usage recorded in each usage window."""
 
 from __future__ import annotations
 
@@ -10,14 +10,20 @@
 
 @click.group()
 def usage() -> None:
-    """Show what was used by whom."""
+    """Show the recorded usage of each client account."""
 
 
 @usage.command(name="show")
-@click.option("--window", type=int, default=None, help="One window; by default all that are kept.")
+@click.option(
+    "--window", type=int, default=None, help="Number of one window; by default all stored windows."
+)
 @with_options
 def show_usage(options: Options, window: int | None) -> None:
-    """Show usage windows: open, closed (figures fixed) or reported."""
+    """
+    Show usage windows: open, closed (the figures are final) or reported.
+
+    Usage marked `late` belongs to an earlier window that was already closed.
+    """
     arguments = {} if window is None else {"window": window}
     answer = read(options, "usage", **arguments)
     lines = []
