--- a/packages/ibisspring-daemon/src/ibisspring_daemon/__init__.py
+++ b/packages/ibisspring-daemon/src/ibisspring_daemon/__init__.py
@@ -1,3 +1,3 @@
-"""The binary ibisspringd."""
+"""The daemon: the executable `ibisspringd`."""
 
 from __future__ import annotations
--- a/packages/ibisspring-daemon/src/ibisspring_daemon/main.py
+++ b/packages/ibisspring-daemon/src/ibisspring_daemon/main.py
@@ -1,4 +1,4 @@
-"""The binary ibisspringd."""
+"""Entry point of the executable `ibisspringd`."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     """
     Run a daemon until SIGTERM or SIGINT, then stop it gracefully.
 
-    :param settings: checked settings.
+    :param settings: validated settings.
     """
     kernel = build_kernel(settings)
     loop = asyncio.get_running_loop()
@@ -36,9 +36,9 @@
 
 @click.command()
 @click.option("--settings", "path", required=True, help="The daemon's YAML settings file.")
-@click.option("--check", is_flag=True, help="Check the settings, print every finding and leave.")
+@click.option("--check", is_flag=True, help="Check the settings, print all errors and exit.")
 def main(path: str, check: bool) -> None:
-    """Run one ibisspring daemon; its roles stand in its settings."""
+    """Run one ibisspring daemon with the roles listed in its settings file."""
     settings = load_settings(path)
     if not isinstance(settings, Settings):
         for finding in settings:
--- a/packages/ibisspring-daemon/src/ibisspring_daemon/wiring.py
+++ b/packages/ibisspring-daemon/src/ibisspring_daemon/wiring.py
@@ -1,4 +1,4 @@
-"""Puts the services of a daemon's roles into one kernel."""
+"""Builds the kernel of a daemon from the services of its roles."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     """
     Build the kernel of one daemon.
 
-    The roles are imported only where they are used, so that a daemon pays no memory for a role that
-    it lacks.
+    A role's package is imported only if the daemon has that role; an import of the other roles
+    would use memory for nothing.
 
-    :param settings: checked settings.
-    :return: a kernel that is not started.
+    :param settings: validated settings.
+    :return: the kernel; `Kernel.start` has not been called.
     """
     services = [
         GrpcRuntime(),
--- a/tests/unit/daemon/test_main.py
+++ b/tests/unit/daemon/test_main.py
@@ -7,7 +7,7 @@
 from ibisspring_daemon.main import EXIT_BAD_SETTINGS, main
 
 
-def test_check_prints_every_finding_and_leaves(tmp_path: Path) -> None:
+def test_check_prints_every_finding_and_exits(tmp_path: Path) -> None:
     path = tmp_path / "settings.yaml"
     path.write_text("daemon: c1\nrolls: [entry]\n")
 
--- a/tests/unit/docs/test_proofs.py
+++ b/tests/unit/docs/test_proofs.py
@@ -1,4 +1,4 @@
-"""The page of proofs covers every promise and names tests that exist."""
+"""Checks that docs/PROOFS.md covers every promise and names only existing tests."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     return names
 
 
-def test_each_promise_has_a_row() -> None:
-    found = set()
+def test_every_promise_has_a_row() -> None:
+    covered = set()
     for numbers in ROW.findall(PAGE.read_text(encoding="utf-8")):
-        found.update(int(number) for number in numbers.split(", "))
+        covered.update(int(number) for number in numbers.split(", "))
 
-    assert sorted(set(PROMISES) - found) == []
+    assert sorted(set(PROMISES) - covered) == []
 
 
-def test_every_test_that_is_named_exists() -> None:
+def test_every_named_test_exists() -> None:
     named = set(re.findall(r"`(test_\w+)`", PAGE.read_text(encoding="utf-8")))
 
     assert len(named) > 60
--- a/tests/unit/docs/test_reference.py
+++ b/tests/unit/docs/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference pages name everything that an operator can set or watch."""
+"""Checks that the reference pages document every setting, counter, histogram and error reason."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 REPOSITORY = Path(__file__).resolve().parents[3]
 REFERENCE = REPOSITORY / "docs" / "reference"
-COUNTED = re.compile(r'counters\.add\(\s*f?"([^"{]+)')
-OBSERVED = re.compile(r'counters\.observe\(\s*"([^"]+)"')
+COUNTER_CALL = re.compile(r'counters\.add\(\s*f?"([^"{]+)')
+HISTOGRAM_CALL = re.compile(r'counters\.observe\(\s*"([^"]+)"')
 
 
 @pytest.mark.parametrize("section", [Settings, ControlSettings, EntrySettings])
@@ -28,7 +28,7 @@
     assert {name for name in names if f"`{name}`" not in page} == set()
 
 
-def test_every_setting_on_the_platform_is_documented() -> None:
+def test_every_vm_setting_is_documented() -> None:
     page = (REFERENCE / "vm-settings.md").read_text(encoding="utf-8")
 
     names = {field.name for field in dataclasses.fields(VmSettings)}
@@ -40,7 +40,7 @@
     page = (REFERENCE / "counters.md").read_text(encoding="utf-8")
     names = set()
     for path in (REPOSITORY / "packages").rglob("*.py"):
-        names.update(COUNTED.findall(path.read_text(encoding="utf-8")))
+        names.update(COUNTER_CALL.findall(path.read_text(encoding="utf-8")))
 
     assert len(names) > 20
     assert {name for name in names if f"`{name}" not in page} == set()
@@ -50,13 +50,13 @@
     page = (REFERENCE / "counters.md").read_text(encoding="utf-8")
     names = set()
     for path in (REPOSITORY / "packages").rglob("*.py"):
-        names.update(OBSERVED.findall(path.read_text(encoding="utf-8")))
+        names.update(HISTOGRAM_CALL.findall(path.read_text(encoding="utf-8")))
 
     assert len(names) > 4
     assert {name for name in names if f"`{name}`" not in page} == set()
 
 
-def test_every_row_of_the_counters_says_what_to_do() -> None:
+def test_every_counter_row_has_an_action() -> None:
     page = (REFERENCE / "counters.md").read_text(encoding="utf-8")
     rows = [line for line in page.splitlines() if line.startswith("| `")]
 
