--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -13,7 +13,7 @@
     """
     Run benchmarks.
 
-    :param names: modules of this package; none means all of them.
+    :param names: modules of this package to run; all of them if empty.
     """
     known = [module.name for module in pkgutil.iter_modules(bench.__path__)]
     for name in names or known:
--- a/bench/_commit_replica.py
+++ b/bench/_commit_replica.py
@@ -1,4 +1,4 @@
-"""A replica that runs a load of proposals in its own process, for `bench.commits`."""
+"""A replica that can send proposals to itself in its own process, for `bench.commits`."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from ibisspring_core.logs import start_logging
 from ibisspring_core.settings import load_settings
 
-HIGHEST_US = 60_000_000
+MAX_US = 60_000_000
 COMMAND = b"x" * 200
 
 
 class LoadApi(replica.Api):
-    """The replica's interface with a load beside it."""
+    """The replica's HTTP interface, extended to run a load and to switch group commit."""
 
     async def load(self, request: web.Request) -> web.Response:
         writers = int(request.query["writers"])
         end = time.monotonic() + float(request.query["seconds"])
-        histogram = HdrHistogram(1, HIGHEST_US, 3)
+        histogram = HdrHistogram(1, MAX_US, 3)
         refused = await asyncio.gather(
             *(_write_until(self.node, end, histogram) for _ in range(writers))
         )
@@ -63,7 +63,7 @@
 @click.option("--settings", "path", required=True)
 @click.option("--listen", required=True)
 def main(path: str, listen: str) -> None:
-    """Run one replica."""
+    """Run one replica until it is stopped."""
     settings = load_settings(path)
     start_logging(settings.log_path)
     asyncio.run(replica.run(settings, listen, LoadApi, routes))
--- a/bench/_emulated_system.py
+++ b/bench/_emulated_system.py
@@ -1,4 +1,4 @@
-"""The engines, trainers and troubles of an emulated day."""
+"""The engines, trainers and disturbances of an emulated day."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 SLOTS = 12
 MEMORY_TOKENS = 40_482
 EVENT_S = 0.036
-FULL_COSTS = 0.25
-"""A full engine takes a quarter longer for an event than an empty one."""
+FULL_SLOWDOWN = 0.25
+"""Extra time of an event: a full engine takes a quarter longer for it than an empty one."""
 
 PROMPT_TOKENS = 271
-MOST_TOKENS = 9_400
+MAX_OUTPUT_TOKENS = 9_400
 EVENTS_MEDIAN = 14
 EVENTS_SIGMA = 0.7
 LONG_SHARE = 1 / 12
-LONG_TIMES = 5
-MOST_EVENTS = 105
+LONG_FACTOR = 5
+MAX_EVENTS = 105
 TOKENS_PER_EVENT = 60
 ESTIMATE_SIGMA = 0.4
-SLOW_TIMES = 3.0
+SLOW_FACTOR = 3.0
 
 
 @dataclass(frozen=True)
 class Fleet:
     """
-    Engines and what trainers ask of them.
+    Engines and the sizes of the steps that trainers submit to them.
 
     :param groups_by_model: groups of a step by model.
     :param group_size: items of a group.
-    :param reward_s: seconds from a whole text to its score; 0 where texts are not scored.
+    :param reward_s: seconds from a complete text to its score; 0 where texts are not scored.
     :param slots: texts that an engine works on at once.
-    :param memory_tokens: what an engine holds.
+    :param memory_tokens: tokens that fit into an engine's memory.
     """
 
     name: str
@@ -51,18 +51,18 @@
 
     @property
     def fifth(self) -> int:
-        """A fifth of the engines: as many turn slow at once, or stand in one data centre."""
+        """A fifth of the engines: so many become slow at once, or are in one data centre."""
         return max(1, self.engines // 5)
 
 
 @dataclass(frozen=True)
-class Trouble:
+class Disturbance:
     """
-    What happens in the day.
+    A fault during the day; each time is None where the fault does not occur.
 
     :param slow_at_s: from then on for ten seconds a fifth of the engines take three times as long.
-    :param power_at_s: all runs are cut; nothing is dispatched for `DARK_S`.
-    :param reclaim_at_s: two engines, or a fifth of more than ten, are gone for `BOOT_S`.
+    :param power_at_s: all runs end, and nothing is dispatched for `OUTAGE_S`.
+    :param reclaim_at_s: two engines, or a fifth of more than ten, are unavailable for `BOOT_S`.
     """
 
     name: str
@@ -76,8 +76,11 @@
     """
     One item.
 
-    :param made: events that exist.
-    :param kept: of these, events that outlive the loss of all processes.
+    :param events: events of the complete text.
+    :param carried: whether it comes from a group that an earlier step left unfinished.
+    :param events_made: events that engines have made.
+    :param events_saved: of these, the events that survive the loss of all processes.
+    :param engine: the engine that runs it; empty for none.
     """
 
     model: str
@@ -88,8 +91,8 @@
     expected_tokens: int
     submitted_s: float
     carried: bool
-    made: float = 0.0
-    kept: float = 0.0
+    events_made: float = 0.0
+    events_saved: float = 0.0
     engine: str = ""
     done_s: float | None = None
 
@@ -98,15 +101,15 @@
         return (f"{self.model}:{self.step}", f"{self.group}:{self.number}")
 
     def tokens(self, by_estimate: bool) -> int:
-        """Memory that is reckoned for it."""
+        """Return the tokens of engine memory that are reserved for it."""
         expected = self.expected_tokens if by_estimate else 0
-        most = PROMPT_TOKENS + MOST_TOKENS
-        return memory_needed(most, PROMPT_TOKENS, expected) if by_estimate else most
+        max_tokens = PROMPT_TOKENS + MAX_OUTPUT_TOKENS
+        return memory_needed(max_tokens, PROMPT_TOKENS, expected) if by_estimate else max_tokens
 
 
 @dataclass
 class Engine:
-    """An engine; `loading` names the model that it loads until `loads_until_s`."""
+    """An engine; `loading` is the model that it loads until `loads_until_s`, empty for none."""
 
     name: str
     version_by_model: dict[str, int]
@@ -115,18 +118,18 @@
     loading: str = ""
     load_version: int = 0
     loads_until_s: float = 0.0
-    gone_until_s: float = 0.0
+    unavailable_until_s: float = 0.0
     pace: Pace = field(default_factory=Pace)
 
     def event_s(self, slow: bool) -> float:
-        """Seconds for an event of each run now."""
+        """Return the seconds that each run needs for an event at the current fullness."""
         fullness = len(self.runs) / self.slots
-        return EVENT_S * (1.0 + FULL_COSTS * fullness) * (SLOW_TIMES if slow else 1.0)
+        return EVENT_S * (1.0 + FULL_SLOWDOWN * fullness) * (SLOW_FACTOR if slow else 1.0)
 
 
 @dataclass
 class Trainer:
-    """One trainer's steps; `texts` are those of the step that is open."""
+    """A trainer and its current step; `texts` are the items of that step."""
 
     model: str
     groups: int
@@ -140,14 +143,15 @@
 
 def draw_text(source: random.Random, trainer: Trainer, group: int, number: int, now: float) -> Text:
     """
-    Draw an item: one in twelve is five times as long, and its caller's estimate is off.
+    Draw an item: one in twelve is five times as long, and its caller's estimate has an error.
 
     :param source: random numbers.
-    :return: an item that is submitted now.
+    :param now: seconds at which the item is submitted.
+    :return: the item.
     """
-    times = LONG_TIMES if source.random() < LONG_SHARE else 1
-    drawn = source.lognormvariate(0.0, EVENTS_SIGMA) * EVENTS_MEDIAN * times
-    events = max(2, min(int(drawn), MOST_EVENTS))
+    factor = LONG_FACTOR if source.random() < LONG_SHARE else 1
+    drawn = source.lognormvariate(0.0, EVENTS_SIGMA) * EVENTS_MEDIAN * factor
+    events = max(2, min(int(drawn), MAX_EVENTS))
     error = source.lognormvariate(0.0, ESTIMATE_SIGMA)
     expected = int(events * TOKENS_PER_EVENT * error)
     return Text(trainer.model, trainer.step, group, number, events, expected, now, False)
@@ -161,6 +165,6 @@
     "Fleet",
     "Text",
     "Trainer",
-    "Trouble",
+    "Disturbance",
     "draw_text",
 ]
--- a/bench/_patterns.py
+++ b/bench/_patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns of the two deployments, as the brief sizes them, from a seed."""
+"""Load patterns of the two deployments in the sizes of the brief, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     One request.
 
     :param at_s: seconds from the start.
-    :param client_account: who asks.
-    :param work_s: seconds that an endpoint works on it when it is not slowed down.
-    :param expected_s: what an entry expects of it: the mean of requests that ask for as much.
-    :param deadline_s: seconds after `at_s` at which the caller gives up.
+    :param client_account: the account that sends it.
+    :param work_s: seconds that an endpoint of normal speed works on it.
+    :param expected_s: an entry's estimate of `work_s`: the mean over short or over long requests.
+    :param deadline_s: seconds after `at_s` until the caller stops waiting.
     """
 
     at_s: float
@@ -32,7 +32,7 @@
 
     :param engines: endpoints of the model service.
     :param slots: requests that one endpoint works on at a time.
-    :param share_by_client_account: share of the offered load; a few client accounts are large.
+    :param share_by_client_account: share of the offered load; the first few accounts send most.
     """
 
     name: str
@@ -57,11 +57,11 @@
     """
     A shape of load.
 
-    :param load: offered work as a multiple of what all endpoints can do.
-    :param hot: client account whose load is multiplied by `hot_factor`.
-    :param burst_s: span in the middle in which all load is multiplied by `burst_factor`.
-    :param long_share: share of requests that take ten times as long as the others.
-    :param slow_factor: how many times as long the first endpoint takes for the same work.
+    :param load: offered work as a multiple of the capacity of all endpoints.
+    :param hot: index of the client account whose load is multiplied by `hot_factor`.
+    :param burst_s: seconds in the middle in which all load is multiplied by `burst_factor`.
+    :param long_share: share of requests with ten times the mean work of the others.
+    :param slow_factor: factor on the work time at the first endpoint.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
 SHORT_WORK_S = 0.4
 LONG_WORK_S = 4.0
-CALLER_PATIENCE_S = 10.0
+CALLER_DEADLINE_S = 10.0
 
 
 def arrivals(deployment: Deployment, pattern: Pattern, span_s: float, seed: int) -> list[Arrival]:
@@ -93,36 +93,36 @@
     Draw the requests of one replay.
 
     :param span_s: seconds of load.
-    :param seed: of the random numbers.
-    :return: in order of time.
+    :param seed: seed of the random numbers.
+    :return: the requests in order of time.
     """
     source = random.Random(seed)
     mean_work_s = SHORT_WORK_S * (1 - pattern.long_share) + LONG_WORK_S * pattern.long_share
     rate = pattern.load * deployment.engines * deployment.slots / mean_work_s
-    found: list[Arrival] = []
+    drawn: list[Arrival] = []
     for number, (account, share) in enumerate(deployment.share_by_client_account.items()):
         factor = pattern.hot_factor if number == pattern.hot else 1.0
-        found.extend(_of_account(account, rate * share * factor, pattern, span_s, source))
-    return sorted(found, key=lambda arrival: arrival.at_s)
+        drawn.extend(_account_arrivals(account, rate * share * factor, pattern, span_s, source))
+    return sorted(drawn, key=lambda arrival: arrival.at_s)
 
 
-def _of_account(
+def _account_arrivals(
     account: str, rate: float, pattern: Pattern, span_s: float, source: random.Random
 ) -> list[Arrival]:
     peak = rate * max(1.0, pattern.burst_factor)
     start_s = (span_s - pattern.burst_s) / 2
-    found = []
+    drawn = []
     at_s = source.expovariate(peak)
     while at_s < span_s:
         in_burst = start_s <= at_s < start_s + pattern.burst_s
-        wanted = rate * pattern.burst_factor if in_burst else rate
-        if source.random() < wanted / peak:
+        rate_now = rate * pattern.burst_factor if in_burst else rate
+        if source.random() < rate_now / peak:
             is_long = source.random() < pattern.long_share
             expected_s = LONG_WORK_S if is_long else SHORT_WORK_S
             work_s = source.expovariate(1 / expected_s)
-            found.append(Arrival(at_s, account, work_s, expected_s, CALLER_PATIENCE_S))
+            drawn.append(Arrival(at_s, account, work_s, expected_s, CALLER_DEADLINE_S))
         at_s += source.expovariate(peak)
-    return found
+    return drawn
 
 
 __all__ = ["AGENCY", "DEPLOYMENTS", "PATTERNS", "TRENTSIDE", "Arrival", "Deployment", "Pattern"]
--- a/bench/_report.py
+++ b/bench/_report.py
@@ -10,10 +10,11 @@
 
 def spread(values: list[float], digits: int = 2) -> str:
     """
-    Mean and range over seeds.
+    Format the mean and the range of a figure over the seeds.
 
-    :param values: one figure a seed.
-    :return: `mean (least to most)`.
+    :param values: one value for each seed.
+    :param digits: decimal places.
+    :return: `mean (minimum to maximum)`.
     """
     return f"{mean(values):.{digits}f} ({min(values):.{digits}f} to {max(values):.{digits}f})"
 
@@ -23,7 +24,7 @@
     Print a Markdown table.
 
     :param header: column names.
-    :param rows: as many cells each.
+    :param rows: cells of each row, one for each column.
     """
     print("| " + " | ".join(header) + " |")
     print("|" + "---|" * len(header))
@@ -35,10 +36,10 @@
     """
     Draw grouped bars.
 
-    :param name: file name without ending, under docs/plots.
-    :param title: above the plot.
-    :param value_by_label: per group, the value by series.
-    :return: the PNG file.
+    :param name: file name without extension, under docs/plots.
+    :param title: printed above the plot.
+    :param value_by_label: for each group of bars, the value of each series.
+    :return: path of the PNG file.
     """
     import matplotlib
 
@@ -49,9 +50,14 @@
     series = list(next(iter(value_by_label.values())))
     width = 0.8 / len(series)
     figure, axes = pyplot.subplots(figsize=(9, 4))
-    for number, one in enumerate(series):
-        places = [index + number * width for index in range(len(groups))]
-        axes.bar(places, [value_by_label[group][one] for group in groups], width, label=one)
+    for number, series_name in enumerate(series):
+        positions = [index + number * width for index in range(len(groups))]
+        axes.bar(
+            positions,
+            [value_by_label[group][series_name] for group in groups],
+            width,
+            label=series_name,
+        )
     axes.set_xticks([index + 0.4 - width / 2 for index in range(len(groups))], groups)
     axes.set_title(title)
     axes.legend()
--- a/bench/_serving.py
+++ b/bench/_serving.py
@@ -1,4 +1,4 @@
-"""Replays a load pattern through the decision modules: who is served, refused, late."""
+"""Replays a load pattern through the decision modules: requests served, refused and late."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 ENTRIES = 3
 REPORT_S = 1.0
-# An account's rate is three times its usual share of what the endpoints can do.
+# A client account's rate limit is three times its usual share of the endpoints' capacity.
 RATE_FACTOR = 3.0
-CALLER_COMES_BACK = 3
+MAX_RETRIES = 3
 
 
 @dataclass(frozen=True)
 class Policy:
     """
-    Which decision modules take part; without one its plain counterpart does.
+    Which decision modules are used; each one that is off is replaced by a simple rule.
 
-    :param admission: else everybody is let in.
-    :param fair: the fair queue with slots per entry; else all is sent at once, first come first
-        served at the endpoints.
-    :param routing: else round robin.
+    :param admission: apply rate limits; if off, every request is admitted.
+    :param fair: use the fair queue with slots per entry; if off, each request is sent at once and
+        the endpoints serve first come, first served.
+    :param routing: choose endpoints by load; if off, round robin.
     """
 
     name: str
@@ -40,10 +40,10 @@
 
 
 BASELINE = Policy("first come, round robin", admission=False, fair=False, routing=False)
-WHOLE = Policy("all policies")
+FULL_POLICY = Policy("all policies")
 POLICIES = (
     BASELINE,
-    WHOLE,
+    FULL_POLICY,
     Policy("without admission", admission=False),
     Policy("without fair queue", fair=False),
     Policy("without routing", routing=False),
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Rule:
-    """A client account's rate."""
+    """A client account's rate limit."""
 
     rate_per_s: float
     burst: float
@@ -60,9 +60,9 @@
 
 @dataclass
 class Outcome:
-    """What the callers received."""
+    """Counts and times of one replay, as the callers see them."""
 
-    asked: Counter = field(default_factory=Counter)
+    requested: Counter = field(default_factory=Counter)
     served: Counter = field(default_factory=Counter)
     refused: int = 0
     late: int = 0
@@ -70,26 +70,26 @@
     worked_s: float = 0.0
     waits_s: list[float] = field(default_factory=list)
 
-    def worst_share(self, left_out: str | None = None) -> float:
-        """Served share of the worst-served client account, the hot one left out."""
+    def worst_share(self, excluded: str | None = None) -> float:
+        """Return the lowest served share of a client account, without the excluded one."""
         return min(
             self.served[account] / count
-            for account, count in self.asked.items()
-            if account != left_out
+            for account, count in self.requested.items()
+            if account != excluded
         )
 
     def served_share(self) -> float:
-        return self.served.total() / self.asked.total()
+        return self.served.total() / self.requested.total()
 
     def wait_95_s(self) -> float:
-        """95th percentile of the wait of those served: answer time less own work."""
+        """Return the 95th percentile of answer time minus work time, over served requests."""
         waits = sorted(self.waits_s)
         return waits[int(0.95 * (len(waits) - 1))] if waits else 0.0
 
 
 @dataclass
 class Request:
-    """One request of a caller, over its tries."""
+    """One request of a caller with its entry and the count of its tries."""
 
     arrival: Arrival
     entry: int
@@ -97,19 +97,19 @@
 
 
 class Endpoint:
-    """Works on `slots` requests at a time, the rest waits first come, first served."""
+    """Works on `slots` requests at a time; the others wait in a FIFO queue."""
 
     def __init__(self, name: str, slots: int, factor: float) -> None:
         self.name = name
         self.slots = slots
         self.factor = factor
         self.running = 0
-        self.line: deque[tuple[Request, Callable[[], None]]] = deque()
+        self.queue: deque[tuple[Request, Callable[[], None]]] = deque()
         self.reported = (0, 0)
 
 
-class Serving:
-    """One replay."""
+class ServingReplay:
+    """Discrete-event replay of one load pattern under one policy."""
 
     def __init__(self, deployment: Deployment, pattern: Pattern, policy: Policy, seed: int) -> None:
         self.policy = policy
@@ -135,34 +135,35 @@
             for entry in range(ENTRIES)
         ]
         self.in_flight = [0] * ENTRIES
-        self.flying = [Counter() for _ in range(ENTRIES)]
-        self.since = [Counter() for _ in range(ENTRIES)]
+        self.in_flight_by_endpoint = [Counter() for _ in range(ENTRIES)]
+        self.sent_since_report = [Counter() for _ in range(ENTRIES)]
         self.request_by_item: dict[str, Request] = {}
-        self.turn = itertools.cycle(self.endpoint_by_name)
-        self.numbers = itertools.count()
+        self.round_robin = itertools.cycle(self.endpoint_by_name)
+        self.sequence_numbers = itertools.count()
         self.events: list[tuple[float, int, Callable[[], None]]] = []
 
     @classmethod
     def from_seed(
         cls, deployment: Deployment, pattern: Pattern, policy: Policy, span_s: float, seed: int
-    ) -> Serving:
+    ) -> ServingReplay:
         serving = cls(deployment, pattern, policy, seed)
-        # The balancer keeps connections: an account's callers sit on one or two entries.
+        # Callers keep their connections through the load balancer, so that an account's requests
+        # come to one or two entries.
         source = random.Random(seed)
-        homes = {
+        entries_by_account = {
             account: source.sample(range(ENTRIES), 2)
             for account in deployment.share_by_client_account
         }
         for arrival in arrivals(deployment, pattern, span_s, seed):
-            request = Request(arrival, source.choice(homes[arrival.client_account]))
-            serving.outcome.asked[arrival.client_account] += 1
-            serving.at(arrival.at_s, lambda request=request: serving.arrive(request))
+            request = Request(arrival, source.choice(entries_by_account[arrival.client_account]))
+            serving.outcome.requested[arrival.client_account] += 1
+            serving.schedule(arrival.at_s, lambda request=request: serving.admit(request))
         for second in range(int(span_s) + 60):
-            serving.at(second * REPORT_S, serving.exchange)
+            serving.schedule(second * REPORT_S, serving.exchange)
         return serving
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when, next(self.numbers), action))
+    def schedule(self, at_s: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (at_s, next(self.sequence_numbers), action))
 
     def run(self) -> Outcome:
         while self.events:
@@ -171,85 +172,85 @@
         return self.outcome
 
     def exchange(self) -> None:
-        """Reports and demand reach the entries, a second late."""
+        """Deliver load reports and peers' demand to the entries, up to a second late."""
         for endpoint in self.endpoint_by_name.values():
-            endpoint.reported = (endpoint.running, len(endpoint.line))
+            endpoint.reported = (endpoint.running, len(endpoint.queue))
         demands = [admission.demand(self.now) for admission in self.admissions]
         wanted = [self.in_flight[entry] + self.queues[entry].waiting for entry in range(ENTRIES)]
         for entry in range(ENTRIES):
             others = [other for other in range(ENTRIES) if other != entry]
             peers = tuple(PeerDemand(self.now, demands[other]) for other in others)
             self.admissions[entry].share(peers, self.now)
-            elsewhere = tuple(float(wanted[other]) for other in others)
-            slots = entry_slots(self.capacity, float(wanted[entry]), elsewhere)
+            wanted_elsewhere = tuple(float(wanted[other]) for other in others)
+            slots = entry_slots(self.capacity, float(wanted[entry]), wanted_elsewhere)
             self.queues[entry].slots = slots
-            self.since[entry].clear()
-            for shed in self.queues[entry].expire(self.now):
-                self.refuse(self.request_by_item.pop(shed.item.item_id), shed.retry_after_s)
-            self.pump(entry)
+            self.sent_since_report[entry].clear()
+            for rejected in self.queues[entry].expire(self.now):
+                self.reject(self.request_by_item.pop(rejected.item.item_id), rejected.retry_after_s)
+            self.send_queued(entry)
 
-    def arrive(self, request: Request) -> None:
+    def admit(self, request: Request) -> None:
         account = request.arrival.client_account
         request.tries += 1
         if self.policy.admission:
             answer = self.admissions[request.entry].ask(account, self.now)
             if not isinstance(answer, Admitted):
-                self.refuse(request, answer.retry_after_s)
+                self.reject(request, answer.retry_after_s)
                 return
         if not self.policy.fair:
             self.send(request.entry, request, None)
             return
-        number = str(next(self.numbers))
+        number = str(next(self.sequence_numbers))
         deadline_s = request.arrival.at_s + request.arrival.deadline_s
         item = Item(number, account, request.arrival.expected_s, deadline_s)
         self.request_by_item[number] = request
-        for shed in self.queues[request.entry].offer(item, self.now):
-            self.refuse(self.request_by_item.pop(shed.item.item_id), shed.retry_after_s)
-        self.pump(request.entry)
-
-    def refuse(self, request: Request, retry_after_s: float) -> None:
-        """The caller comes back when it was told to, while it still waits for an answer."""
-        back_s = self.now + retry_after_s
-        gives_up_s = request.arrival.at_s + request.arrival.deadline_s
-        if back_s >= gives_up_s or request.tries > CALLER_COMES_BACK:
+        for rejected in self.queues[request.entry].offer(item, self.now):
+            self.reject(self.request_by_item.pop(rejected.item.item_id), rejected.retry_after_s)
+        self.send_queued(request.entry)
+
+    def reject(self, request: Request, retry_after_s: float) -> None:
+        """Retry the request after `retry_after_s`, at most `MAX_RETRIES` times by its deadline."""
+        retry_at_s = self.now + retry_after_s
+        deadline_at_s = request.arrival.at_s + request.arrival.deadline_s
+        if retry_at_s >= deadline_at_s or request.tries > MAX_RETRIES:
             self.outcome.refused += 1
             return
-        self.at(back_s, lambda: self.arrive(request))
+        self.schedule(retry_at_s, lambda: self.admit(request))
 
-    def pump(self, entry: int) -> None:
+    def send_queued(self, entry: int) -> None:
         queue = self.queues[entry]
         while self.policy.fair and self.in_flight[entry] < queue.slots:
-            turn = queue.take(self.now)
-            for shed in turn.shed:
-                self.refuse(self.request_by_item.pop(shed.item.item_id), shed.retry_after_s)
-            if turn.item is None:
+            taken = queue.take(self.now)
+            for rejected in taken.shed:
+                self.reject(self.request_by_item.pop(rejected.item.item_id), rejected.retry_after_s)
+            if taken.item is None:
                 return
-            self.send(entry, self.request_by_item.pop(turn.item.item_id), turn.item)
+            self.send(entry, self.request_by_item.pop(taken.item.item_id), taken.item)
 
     def send(self, entry: int, request: Request, item: Item | None) -> None:
         name = self.choose(entry)
         endpoint = self.endpoint_by_name[name]
         self.in_flight[entry] += 1
-        self.flying[entry][name] += 1
-        self.since[entry][name] += 1
+        self.in_flight_by_endpoint[entry][name] += 1
+        self.sent_since_report[entry][name] += 1
         sent_s = self.now
 
-        def ended() -> None:
+        def on_answer() -> None:
             self.in_flight[entry] -= 1
-            self.flying[entry][name] -= 1
+            self.in_flight_by_endpoint[entry][name] -= 1
             took_s = self.now - sent_s
             self.routers[entry].answered(name, took_s / request.arrival.expected_s)
             if item is not None:
                 self.queues[entry].correct(item, took_s)
-            self.answered(request, endpoint)
-            self.pump(entry)
+            self.record_answer(request, endpoint)
+            self.send_queued(entry)
 
-        endpoint.line.append((request, ended))
-        self.work(endpoint)
+        endpoint.queue.append((request, on_answer))
+        self.start_queued(endpoint)
 
     def choose(self, entry: int) -> str:
         if not self.policy.routing:
-            return next(self.turn)
+            return next(self.round_robin)
         candidates = tuple(
             Candidate(
                 name,
@@ -257,26 +258,26 @@
                 "standard",
                 *endpoint.reported,
                 endpoint.slots,
-                self.flying[entry][name],
-                self.since[entry][name],
+                self.in_flight_by_endpoint[entry][name],
+                self.sent_since_report[entry][name],
             )
             for name, endpoint in self.endpoint_by_name.items()
         )
         return self.routers[entry].choose(candidates, self.now)
 
-    def work(self, endpoint: Endpoint) -> None:
-        while endpoint.line and endpoint.running < endpoint.slots:
-            request, ended = endpoint.line.popleft()
+    def start_queued(self, endpoint: Endpoint) -> None:
+        while endpoint.queue and endpoint.running < endpoint.slots:
+            request, on_answer = endpoint.queue.popleft()
             endpoint.running += 1
 
-            def done(ended: Callable[[], None] = ended) -> None:
+            def on_work_done(on_answer: Callable[[], None] = on_answer) -> None:
                 endpoint.running -= 1
-                ended()
-                self.work(endpoint)
+                on_answer()
+                self.start_queued(endpoint)
 
-            self.at(self.now + request.arrival.work_s * endpoint.factor, done)
+            self.schedule(self.now + request.arrival.work_s * endpoint.factor, on_work_done)
 
-    def answered(self, request: Request, endpoint: Endpoint) -> None:
+    def record_answer(self, request: Request, endpoint: Endpoint) -> None:
         arrival = request.arrival
         spent_s = arrival.work_s * endpoint.factor
         self.outcome.worked_s += spent_s
@@ -288,4 +289,4 @@
         self.outcome.waits_s.append(self.now - arrival.at_s - arrival.work_s)
 
 
-__all__ = ["BASELINE", "POLICIES", "WHOLE", "Outcome", "Policy", "Serving"]
+__all__ = ["BASELINE", "POLICIES", "FULL_POLICY", "Outcome", "Policy", "ServingReplay"]
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,9 @@
 """
-Cost per served unit and share on the cheap kind: the capacity decisions against fixed fleets.
+Cost per served unit and share served by cheap endpoints: planned fleets against fixed ones.
 
-A day of a service is replayed through `ibisspring_decisions.capacity`, with reclaims of a whole
-data centre's cheap endpoints and spans in which a kind is unavailable. No process, network, clock.
+Replays one day of a service through `ibisspring_decisions.capacity`. Several times a day
+a reclaim takes all cheap endpoints of a data centre, or a data centre has no endpoints of one kind
+available for a while. The replay uses no processes, no network and no clock.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from bench._report import bar_plot, print_table, spread
 from ibisspring_decisions.capacity import CHEAP, STANDARD, Capacity, Place, Running, Start, Wanted
 
-# Endpoints of the services that both deployments run: scorer-lm and sorter-llm, archive-app and
-# ticketing.
+# Endpoint counts of the services that the two deployments run: scorer-lm and sorter-llm are model
+# services, archive-app and ticketing are plain ones.
 COUNT_BY_SERVICE = {"model, 5 endpoints": 5, "plain, 3 endpoints": 3}
 SEEDS = (1, 2, 3, 4, 5)
 DAY_S = 86_400
@@ -22,20 +23,20 @@
 START_S = 60
 DATA_CENTRES = ("dc-1", "dc-2", "dc-3")
 CHEAP_SHARE = 0.6
-# Price of a cheap endpoint's second, that of a standard one being 1: offers of clouds lie between
-# 0.1 and 0.4.
+# Price of a second of a cheap endpoint, where a second of a standard one costs 1. The offers of
+# clouds lie between 0.1 and 0.4.
 CHEAP_PRICE = 0.3
 RECLAIMS_A_DAY = 6
 RECLAIM_SPAN_S = 3_600
 UNAVAILABLE_A_DAY = 4
 UNAVAILABLE_SPAN_S = 1_800
-# Share of all endpoints that the load needs; it is drawn anew every ten minutes.
+# Range of the share of all endpoints that the load needs; a new share is drawn every ten minutes.
 LOAD_RANGE = (0.5, 1.0)
 
 
 @dataclass(frozen=True)
 class Span:
-    """A place that cannot be had; `reclaim` says that what runs there is taken as well."""
+    """A time in which a place gives no endpoints; a reclaim also stops those that run there."""
 
     place: Place
     from_s: int
@@ -45,25 +46,25 @@
 
 @dataclass
 class Outcome:
-    """What a day gave, in endpoint seconds and prices."""
+    """Totals of one day: price spent, and endpoint seconds offered and served."""
 
     spent: float = 0.0
     served: float = 0.0
     offered: float = 0.0
     cheap_served: float = 0.0
-    worst: float = 1.0
+    worst_served_share: float = 1.0
 
-    def row(self) -> tuple[float, float, float, float]:
+    def figures(self) -> tuple[float, float, float, float]:
         return (
             self.spent / self.served,
             self.served / self.offered,
             self.cheap_served / self.served,
-            self.worst,
+            self.worst_served_share,
         )
 
 
 class FixedFleet:
-    """An operator's fleet that is started once; what is reclaimed is asked for again each step."""
+    """A fleet of fixed places; each reclaimed endpoint is ordered again there at every step."""
 
     def __init__(self, places: list[Place]) -> None:
         self.places = places
@@ -76,24 +77,26 @@
         return missing
 
     def note(self, place: Place, lost: bool, now: int) -> None:
-        """A fixed fleet learns nothing."""
+        """No-op: a fixed fleet does not react to lost or unavailable endpoints."""
 
-    def stops(self) -> list[Place]:
+    def endpoints_to_stop(self) -> list[Place]:
         return []
 
 
 class PlannedFleet:
-    """The product's decisions."""
+    """A fleet that is planned by `ibisspring_decisions.capacity`."""
 
     def __init__(self, wanted: Wanted) -> None:
         self.wanted = wanted
         self.capacity = Capacity()
-        self._stops: list[Place] = []
+        self._to_stop: list[Place] = []
 
     def plan(self, now: int, running: list[Place], starting: list[Place]) -> list[Place]:
         serving = tuple(Running(str(number), place) for number, place in enumerate(running))
         steps = self.capacity.plan("lm", self.wanted, serving, tuple(starting), float(now))
-        self._stops = [running[int(step.endpoint)] for step in steps if not isinstance(step, Start)]
+        self._to_stop = [
+            running[int(step.endpoint)] for step in steps if not isinstance(step, Start)
+        ]
         return [step.place for step in steps if isinstance(step, Start)]
 
     def note(self, place: Place, lost: bool, now: int) -> None:
@@ -102,12 +105,12 @@
         else:
             self.capacity.note_unavailable(place, float(now))
 
-    def stops(self) -> list[Place]:
-        return self._stops
+    def endpoints_to_stop(self) -> list[Place]:
+        return self._to_stop
 
 
 def draw_spans(seed: int) -> list[Span]:
-    """Draw a day's reclaims and unavailable spans."""
+    """Draw the reclaims and the unavailable spans of one day."""
     source = random.Random(seed)
     spans = []
     for _ in range(RECLAIMS_A_DAY):
@@ -122,7 +125,7 @@
 
 
 def replay(count: int, fleet: FixedFleet | PlannedFleet, seed: int) -> Outcome:
-    """Replay one day."""
+    """Replay one day; the first two start times are left out of the totals."""
     spans = draw_spans(seed)
     source = random.Random(seed + 1000)
     outcome = Outcome()
@@ -145,14 +148,14 @@
                 fleet.note(place, False, now)
             else:
                 starting.append((now + START_S, place))
-        for place in fleet.stops():
+        for place in fleet.endpoints_to_stop():
             running.remove(place)
         if now >= 2 * START_S:
-            _account(outcome, count, running, starting, load)
+            _add_step(outcome, count, running, starting, load)
     return outcome
 
 
-def _account(
+def _add_step(
     outcome: Outcome,
     count: int,
     running: list[Place],
@@ -161,28 +164,28 @@
 ) -> None:
     offered = count * load
     served = min(offered, float(len(running)))
-    # A starting endpoint costs as much as one that serves.
+    # An endpoint is paid for from the order on, also while it starts.
     paid = [*running, *(place for _, place in starting)]
     outcome.spent += sum(CHEAP_PRICE if place.kind == CHEAP else 1.0 for place in paid) * STEP_S
     outcome.served += served * STEP_S
     outcome.offered += offered * STEP_S
-    outcome.worst = min(outcome.worst, served / offered)
+    outcome.worst_served_share = min(outcome.worst_served_share, served / offered)
     if running:
         cheap = sum(1 for place in running if place.kind == CHEAP)
         outcome.cheap_served += served * cheap / len(running) * STEP_S
 
 
 def fleets(count: int) -> dict[str, FixedFleet | PlannedFleet]:
-    """The product's fleet and the fixed ones that it is compared with."""
+    """Return the planned fleet and the fixed fleets that it is compared with, by name."""
     cheap = int(count * CHEAP_SHARE)
     standard = [Place(DATA_CENTRES[number % 3], STANDARD) for number in range(count)]
-    spread_out = [Place(DATA_CENTRES[number % 3], CHEAP) for number in range(cheap)]
-    in_one = [Place(DATA_CENTRES[0], CHEAP) for _ in range(cheap)]
+    cheap_spread = [Place(DATA_CENTRES[number % 3], CHEAP) for number in range(cheap)]
+    cheap_in_one = [Place(DATA_CENTRES[0], CHEAP) for _ in range(cheap)]
     return {
         "planned": PlannedFleet(Wanted(DATA_CENTRES, count, CHEAP_SHARE)),
         "fixed, all standard": FixedFleet(standard),
-        "fixed, cheap spread": FixedFleet(spread_out + standard[cheap:]),
-        "fixed, cheap in one": FixedFleet(in_one + standard[cheap:]),
+        "fixed, cheap spread": FixedFleet(cheap_spread + standard[cheap:]),
+        "fixed, cheap in one": FixedFleet(cheap_in_one + standard[cheap:]),
     }
 
 
@@ -194,8 +197,8 @@
     for service, count in COUNT_BY_SERVICE.items():
         plot[service] = {}
         for name in fleets(count):
-            days = [replay(count, fleets(count)[name], seed).row() for seed in SEEDS]
-            columns = [list(column) for column in zip(*days, strict=True)]
+            figures_by_seed = [replay(count, fleets(count)[name], seed).figures() for seed in SEEDS]
+            columns = [list(column) for column in zip(*figures_by_seed, strict=True)]
             digits = (3, 4, 2, 2)
             cells = [spread(column, n) for column, n in zip(columns, digits, strict=True)]
             rows.append((service, name, *cells))
--- a/bench/commits.py
+++ b/bench/commits.py
@@ -1,9 +1,9 @@
 """
-Commits a second and their latency with synced disks, and the time without a leader after its death.
+Commits a second and their latency with synced disks, and the time to recover from a killed leader.
 
-`python -m bench.commits [--seconds S] [--deaths N]` starts three replicas as processes of their
-own, with the settings' default times. Writers run in the leader's process, so that the figures are
-those of the log and not of an interface before it.
+`python -m bench.commits [--seconds S] [--deaths N]` starts three replicas, each in a process of its
+own, with the default time settings. Writers run in the leader's process, so that the figures are
+those of the log and do not include a client interface.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 async def measure_load(folder: Path, seconds: float) -> list[tuple[bool, int, dict]]:
-    """Run each count of writers with and without group commit."""
+    """Measure each count of writers with and without group commit."""
     from integration.replicas import Replicas
 
     replicas = Replicas.from_count(folder, REPLICAS, snapshot_every=1_000_000)
@@ -53,28 +53,28 @@
 
 
 async def measure_deaths(folder: Path, deaths: int) -> list[float]:
-    """Kill the leader and wait for the next accepted write, several times."""
+    """Kill the leader `deaths` times; returns the seconds until each next accepted write."""
     from integration.replicas import Replicas
 
     replicas = Replicas.from_count(folder, REPLICAS)
-    taken = []
+    times_s = []
     try:
         await replicas.found()
         for _ in range(deaths):
             leader = await replicas.leader()
             replicas.process(leader).kill()
-            taken.append(await _time_to_accept(replicas, leader))
+            times_s.append(await _time_to_accept(replicas, leader))
             replicas.start(leader)
             await replicas.wait_up(leader)
             await replicas.wait_lines(leader, ["after"])
     finally:
         replicas.stop_all()
-    return taken
+    return times_s
 
 
-async def _time_to_accept(replicas, dead: str) -> float:
+async def _time_to_accept(replicas, killed: str) -> float:
     start = time.monotonic()
-    others = [daemon for daemon in replicas.http_by_daemon if daemon != dead]
+    others = [daemon for daemon in replicas.http_by_daemon if daemon != killed]
     while True:
         for daemon in others:
             answer = await replicas.propose(daemon, "after")
@@ -84,7 +84,7 @@
 
 
 def print_load(rows: list[tuple[bool, int, dict]], seconds: float) -> None:
-    """Print the table; the ratio is that of commits a second to one writer without group commit."""
+    """Print the table; ratios are relative to the rate of one writer without group commit."""
     baseline = rows[0][2]["accepted"] / seconds
     click.echo("group commit | writers | commits/s | ratio | p50 ms | p99 ms | refused")
     for grouped, writers, row in rows:
@@ -96,13 +96,13 @@
         )
 
 
-def print_deaths(taken: list[float]) -> None:
-    """Print the times without a leader."""
-    if not taken:
+def print_deaths(times: list[float]) -> None:
+    """Print the times from the leader's end to the next accepted write."""
+    if not times:
         return
     click.echo(
-        f"leader killed {len(taken)} times; seconds to the next accepted write: "
-        f"median {statistics.median(taken):.2f}, least {min(taken):.2f}, most {max(taken):.2f}"
+        f"leader killed {len(times)} times; seconds to the next accepted write: "
+        f"median {statistics.median(times):.2f}, least {min(times):.2f}, most {max(times):.2f}"
     )
 
 
@@ -110,8 +110,8 @@
     """
     Measure and print.
 
-    :param seconds: for each line of the table.
-    :param deaths: how often the leader is killed.
+    :param seconds: duration of the load for each line of the table.
+    :param deaths: how many times the leader is killed.
     """
     with tempfile.TemporaryDirectory(dir=ROOT / "bench") as folder:
         rows = asyncio.run(measure_load(Path(folder) / "load", seconds))
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -1,4 +1,4 @@
-"""Time of one decision of the dispatcher, with many runs under way and many items waiting."""
+"""Time of one dispatcher decision while many runs are in progress and many items wait."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 REPEATS = 200
 RUNS = 176
 WAITING = 400
-REST_S = 1.0
-"""Between two decisions; an engine that broke a run takes work again by then."""
+DECISION_EVERY_S = 1.0
+"""Seconds between two decisions: after them an engine whose run broke gets new runs again."""
 RUNNERS = 8
 SIZES = ((11, 16), (22, 8))
-"""Engines and places of each; together they hold the runs."""
+"""Engine count and slots of each engine; the product is `RUNS` for each pair."""
 
 
 def record(number: int, slots: int) -> EndpointRecord:
-    """An engine."""
+    """Return the record of an engine."""
     return EndpointRecord(
         f"engine-{number}",
         1,
@@ -41,51 +41,53 @@
 
 
 def job(items: int) -> Job:
-    """One step of a trainer."""
-    made = tuple(
+    """Return a job with the items of one training step, in groups of eight."""
+    job_items = tuple(
         JobItem(f"i{n}", f"/score/{n}", (), b"body", 900, f"g{n // 8}", 100, 40 + n)
         for n in range(items)
     )
-    return Job("j", "training", "a", "scorer", "m", made, 7.5, 400.0, 3, submitted_s=1000.0)
+    return Job("j", "training", "a", "scorer", "m", job_items, 7.5, 400.0, 3, submitted_s=1000.0)
 
 
-def decision_s(engines: int, slots: int, ends: bool) -> float:
+def decision_s(engines: int, slots: int, run_ends: bool) -> float:
     """
-    Seconds of one decision, the rest of the items waiting.
+    Measure the median time of one decision while `WAITING` items wait.
 
-    :param ends: a run ends before each decision, which fills its place; else all places are taken.
+    :param run_ends: whether a run ends before each decision, which then fills the free slot;
+        otherwise no slot is free.
+    :return: seconds.
     """
     records = tuple(record(number, slots) for number in range(engines))
     terms = ServiceTerms("scorer", 100, slots, 1 << 30)
     state = JobsState()
-    around = Surroundings(lambda service: records, lambda service: terms, lambda: 1000.0)
-    dispatcher = Dispatcher(state, around, 1)
+    context = Surroundings(lambda service: records, lambda service: terms, lambda: 1000.0)
+    dispatcher = Dispatcher(state, context, 1)
     state.apply(1, COMMANDS.encode(AcceptJob(job(RUNS + WAITING))))
     for number in range(RUNNERS):
         call = TakeWork(f"e{number}", f"centre-{number % 3}", "x", 1, 1, (), 1 << 10, 0.4)
         dispatcher.take(call, 0.0).waiting = True
     dispatcher.match(0.0)
     assert len(dispatcher.run_by_number) == RUNS
-    took = []
+    times_s = []
     for repeat in range(REPEATS):
-        if ends:
+        if run_ends:
             number = next(iter(dispatcher.run_by_number))
-            dispatcher.report(Outcome(number, "broken"), repeat * REST_S)
-        began = time.perf_counter()
-        dispatcher.match((repeat + 1) * REST_S - 0.01)
-        took.append(time.perf_counter() - began)
+            dispatcher.report(Outcome(number, "broken"), repeat * DECISION_EVERY_S)
+        started_s = time.perf_counter()
+        dispatcher.match((repeat + 1) * DECISION_EVERY_S - 0.01)
+        times_s.append(time.perf_counter() - started_s)
     assert len(dispatcher.run_by_number) == RUNS
-    return median(took)
+    return median(times_s)
 
 
 def main() -> None:
-    """Print the time of a decision for fleets of today."""
+    """Print the time of a decision for each fleet size."""
     rows = [
         (
             str(engines),
             str(slots),
-            f"{decision_s(engines, slots, ends=False) * 1e3:.3f}",
-            f"{decision_s(engines, slots, ends=True) * 1e3:.3f}",
+            f"{decision_s(engines, slots, run_ends=False) * 1e3:.3f}",
+            f"{decision_s(engines, slots, run_ends=True) * 1e3:.3f}",
         )
         for engines, slots in SIZES
     ]
--- a/bench/emulated.py
+++ b/bench/emulated.py
@@ -1,11 +1,11 @@
-"""A grid of load, fleet and policy, played with emulated engines and trainers."""
+"""Runs each policy under each disturbance on emulated engines and trainers of several fleets."""
 
 from __future__ import annotations
 
 import dataclasses
 from statistics import mean
 
-from bench._emulated_system import Fleet, Trouble
+from bench._emulated_system import Disturbance, Fleet
 from bench._emulator import Emulator, Policy, Result
 from bench._report import bar_plot, print_table, spread
 
@@ -24,20 +24,20 @@
         memory_tokens=27_524,
     ),
 )
-TROUBLES = (
-    Trouble("calm"),
-    Trouble("slow engine", slow_at_s=20.0),
-    Trouble("power lost", power_at_s=41.0),
-    Trouble("two reclaimed", reclaim_at_s=25.0),
+DISTURBANCES = (
+    Disturbance("calm"),
+    Disturbance("slow engine", slow_at_s=20.0),
+    Disturbance("power lost", power_at_s=41.0),
+    Disturbance("two reclaimed", reclaim_at_s=25.0),
 )
 ALL = Policy("all")
 POLICIES = (
     ALL,
-    dataclasses.replace(ALL, name="every version everywhere", in_turn=False),
-    dataclasses.replace(ALL, name="texts not kept", kept=False),
+    dataclasses.replace(ALL, name="every version everywhere", staggered_loads=False),
+    dataclasses.replace(ALL, name="texts not kept", texts_saved=False),
     dataclasses.replace(ALL, name="no moves", moves=False),
     dataclasses.replace(ALL, name="by number, not long first", long_first=False),
-    dataclasses.replace(ALL, name="memory by the most", by_estimate=False),
+    dataclasses.replace(ALL, name="memory by the most", memory_by_estimate=False),
 )
 HEADER = (
     "fleet",
@@ -50,33 +50,33 @@
 )
 
 
-def play(fleet: Fleet, trouble: Trouble, policy: Policy) -> list[Result]:
-    """One day a seed."""
-    return [Emulator(fleet, trouble, policy, seed).run() for seed in SEEDS]
+def emulate(fleet: Fleet, disturbance: Disturbance, policy: Policy) -> list[Result]:
+    """Emulate one day for each seed."""
+    return [Emulator(fleet, disturbance, policy, seed).run() for seed in SEEDS]
 
 
 def main() -> None:
-    """Print the grid and draw the groups that were whole in time."""
+    """Print the table, and draw the share of groups in time for the first fleet."""
     rows = []
     plot: dict[str, dict[str, float]] = {}
     for fleet in FLEETS:
-        for trouble in TROUBLES:
+        for disturbance in DISTURBANCES:
             for policy in POLICIES:
-                results = play(fleet, trouble, policy)
+                results = emulate(fleet, disturbance, policy)
                 rows.append(
                     (
                         fleet.name,
-                        trouble.name,
+                        disturbance.name,
                         policy.name,
                         spread([result.in_time for result in results]),
-                        spread([result.asked for result in results]),
+                        spread([result.submitted for result in results]),
                         spread([result.step_s for result in results]),
                         spread([float(result.loads) for result in results], 0),
                     )
                 )
                 if fleet is FLEETS[0]:
                     in_time = mean(result.in_time for result in results)
-                    plot.setdefault(trouble.name, {})[policy.name] = in_time
+                    plot.setdefault(disturbance.name, {})[policy.name] = in_time
     print_table(HEADER, rows)
     path = bar_plot("emulated-policies", "Groups whole in time, each policy switched off", plot)
     print(f"plot: docs/plots/{path.name}")
--- a/bench/entry.py
+++ b/bench/entry.py
@@ -1,4 +1,4 @@
-"""What one entry adds to a request, and what resuming saves when an engine crashes."""
+"""Latency that an entry adds to a request, and tokens that resuming saves after a crash."""
 
 from __future__ import annotations
 
@@ -37,25 +37,25 @@
 
 
 async def measure(calls: int, callers: int, call: Callable[[], Awaitable[None]]) -> Latency:
-    """Time `calls` calls by so many callers at once."""
+    """Time `calls` calls that `callers` concurrent callers share."""
     histogram = HdrHistogram(1, 60 * MICROSECONDS, 3)
-    left = iter(range(calls))
+    remaining = iter(range(calls))
 
     async def caller() -> None:
-        for _ in left:
-            began = time.perf_counter()
+        for _ in remaining:
+            started_s = time.perf_counter()
             await call()
-            histogram.record_value(round((time.perf_counter() - began) * MICROSECONDS))
+            histogram.record_value(round((time.perf_counter() - started_s) * MICROSECONDS))
 
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     await asyncio.gather(*(caller() for _ in range(callers)))
-    took_s = time.perf_counter() - began
+    took_s = time.perf_counter() - started_s
     p50, p99 = (float(histogram.get_value_at_percentile(share)) for share in (50, 99))
     return Latency(p50, p99, calls / took_s)
 
 
 async def measure_calls(system: LoneSystem, session: aiohttp.ClientSession) -> None:
-    """A small lookup, direct and through the entry, in turn."""
+    """Print the latency of a small lookup, first direct, then through the entry."""
     urls = {
         "direct": f"http://{system.address_by_name['archive-1']}/find",
         "through the entry": f"{system.url}/v1/services/{SERVICE}/find",
@@ -73,9 +73,15 @@
             await measure(200, callers, call)
             measured[name] = await measure(CALLS, callers, call)
         direct, through = measured.values()
-        for name, one in measured.items():
+        for name, latency in measured.items():
             rows.append(
-                (str(callers), name, f"{one.p50:.0f}", f"{one.p99:.0f}", f"{one.per_s:.0f}")
+                (
+                    str(callers),
+                    name,
+                    f"{latency.p50:.0f}",
+                    f"{latency.p99:.0f}",
+                    f"{latency.per_s:.0f}",
+                )
             )
         ratios = (through.p50 / direct.p50, through.p99 / direct.p99, through.per_s / direct.per_s)
         rows.append((str(callers), "ratio", *(f"{ratio:.2f}" for ratio in ratios)))
@@ -85,19 +91,19 @@
 async def stream_gaps(
     session: aiohttp.ClientSession, url: str, body: dict[str, object]
 ) -> tuple[HdrHistogram, float]:
-    """Gaps between the lines of one stream, and its whole time."""
+    """Return the gaps between the lines of one stream, and its total seconds."""
     gaps = HdrHistogram(1, 60 * MICROSECONDS, 3)
-    began = last = time.perf_counter()
+    started_s = last = time.perf_counter()
     async with session.post(url, json=body, headers=HEADERS) as response:
         async for _ in response.content:
             now = time.perf_counter()
             gaps.record_value(max(1, round((now - last) * MICROSECONDS)))
             last = now
-    return gaps, time.perf_counter() - began
+    return gaps, time.perf_counter() - started_s
 
 
 async def measure_streams(system: LoneSystem, session: aiohttp.ClientSession) -> None:
-    """Time for each chunk of a stream that the engine makes without a pause."""
+    """Print the time for each chunk of a stream that the engine produces without pauses."""
     body = {
         "model": "scorer-lm",
         "prompt": "p",
@@ -126,7 +132,7 @@
 
 
 async def made_tokens(system: LoneSystem, names: tuple[str, ...]) -> int:
-    """Tokens that the living engines made."""
+    """Return the tokens that the named engines, which must be running, have made."""
     total = 0
     for name in names:
         total += sum(request["made"] for request in (await system.log(name))["requests"])
@@ -134,21 +140,21 @@
 
 
 async def measure_crash(resume: bool) -> int:
-    """Tokens made for one answer whose engine crashes in its course."""
+    """Return the tokens made in total for one answer whose engine crashes before its end."""
     with tempfile.TemporaryDirectory() as folder:
         system = LoneSystem(Path(folder))
         try:
             await system.start_entry()
             await system.start_engine("scorer-1", tokens_per_s=2000)
             await system.fault("scorer-1", crash_after=CRASH_AFTER)
-            asking = asyncio.create_task(system.generate("p", CRASH_TOKENS))
+            generation = asyncio.create_task(system.generate("p", CRASH_TOKENS))
             await wait_until(lambda: not system.process_by_name["scorer-1"].alive(), "the crash")
             if not resume:
                 # Without resuming, a caller starts again from the first token.
-                asking.cancel()
+                generation.cancel()
             await system.start_engine("scorer-2", tokens_per_s=2000)
             if resume:
-                assert (await asking).whole()
+                assert (await generation).whole()
             else:
                 assert (await system.generate("p", CRASH_TOKENS)).whole()
             return CRASH_AFTER + await made_tokens(system, ("scorer-2",))
--- a/bench/exchange.py
+++ b/bench/exchange.py
@@ -1,4 +1,4 @@
-"""What the exchange between entries carries, by endpoints and entries."""
+"""Bytes and processor time of the exchange between entries, by counts of endpoints and entries."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from ibisspring_entry.registry.peer_wire import pack, take_all
 from ibisspring_entry.registry.peers import EXCHANGE_EVERY_S
 
+# Endpoints and entries of each row.
 SIZES = ((5, 3), (16, 9), (60, 38), (600, 380))
 ANNOUNCE_EVERY_S = 1.0
 ROUNDS = 20
 
 
 def record(number: int) -> EndpointRecord:
-    """An engine of ten trainers' adapters with a full list of cached prefixes."""
+    """Return the record of an engine with three trainers' adapters and a full list of prefixes."""
     return EndpointRecord(
         endpoint=f"engine-{number:04}",
         incarnation=1_790_000_000_000 + number,
@@ -30,51 +31,51 @@
         address="10.20.30.40:12345",
         version_by_adapter={f"trainer-{trainer}": 120 for trainer in range(3)},
         load=EndpointLoad(6, 2, 8),
-        prefixes=tuple(f"{place:016x}" for place in range(8)),
+        prefixes=tuple(f"{prefix:016x}" for prefix in range(8)),
     )
 
 
-def carry(table: EndpointTable, heard: list[Heard], whole: bool) -> bytes:
-    """One exchange, encoded, decoded and taken."""
+def exchange(table: EndpointTable, received: list[Heard], full_records: bool) -> bytes:
+    """Encode, decode and apply one exchange; returns its bytes."""
     sent = SentToPeer()
-    if not whole:
-        sent.acknowledged(Delta(tuple(heard), ()), 0.0)
-    delta = sent.delta(heard, 1.0)
+    if not full_records:
+        sent.acknowledged(Delta(tuple(received), ()), 0.0)
+    delta = sent.delta(received, 1.0)
     records, ages_s = pack(delta.whole, 1.0)
     request = entry_peer_pb2.ExchangeRequest(
         daemon="e1", endpoints=records, ages_s=ages_s, refreshes=delta.refreshes, digest=1 << 63
     )
     data = request.SerializeToString()
-    again = entry_peer_pb2.ExchangeRequest.FromString(data)
-    take_all(table, again.endpoints, again.ages_s, 1.0)
-    for refresh in again.refreshes:
+    decoded = entry_peer_pb2.ExchangeRequest.FromString(data)
+    take_all(table, decoded.endpoints, decoded.ages_s, 1.0)
+    for refresh in decoded.refreshes:
         load = EndpointLoad(refresh.running, refresh.queued, refresh.capacity)
         start = (refresh.endpoint, refresh.incarnation)
         table.refresh(start, refresh.sequence, load, 1.0 - refresh.age_s)
     return data
 
 
-def measure(endpoints: int, entries: int, whole: bool) -> tuple[str, ...]:
-    """Bytes and processor time of one entry's exchanges with all others, a second."""
-    heard = [Heard(record(number), 0.0, True) for number in range(endpoints)]
+def measure(endpoints: int, entries: int, full_records: bool) -> tuple[str, ...]:
+    """Measure bytes and processor time a second of one entry's exchanges with all others."""
+    received = [Heard(record(number), 0.0, True) for number in range(endpoints)]
     table = EndpointTable(5.0)
-    for one in heard:
-        table.take(one.record, 0.0)
-    # Each announcement comes to one entry; each exchange carries those of its interval.
+    for entry_record in received:
+        table.take(entry_record.record, 0.0)
+    # Each announcement reaches one entry; each exchange carries the announcements of its interval.
     share = endpoints / entries / ANNOUNCE_EVERY_S * EXCHANGE_EVERY_S
     count = max(1, round(share))
     exchanges_s = (entries - 1) / EXCHANGE_EVERY_S
-    began = time.process_time()
+    started_s = time.process_time()
     for _ in range(ROUNDS):
-        data = carry(table, heard[:count], whole)
-    cpu_s = (time.process_time() - began) / ROUNDS
+        data = exchange(table, received[:count], full_records)
+    cpu_s = (time.process_time() - started_s) / ROUNDS
     empty = len(entry_peer_pb2.ExchangeRequest(daemon="e1", digest=1 << 63).SerializeToString())
     record_bytes = (len(data) - empty) / count
     kilobytes = (empty + record_bytes * share) * exchanges_s / 1024
     return (
         str(entries),
         str(endpoints),
-        "whole" if whole else "refreshes",
+        "whole" if full_records else "refreshes",
         f"{record_bytes:.0f}",
         f"{kilobytes:.1f}",
         f"{cpu_s * exchanges_s * 100:.2f}",
@@ -82,8 +83,8 @@
 
 
 def main() -> None:
-    """Measure and print; gRPC's own cost is not in it."""
-    rows = [measure(*size, whole) for size in SIZES for whole in (True, False)]
+    """Measure and print; the processor time does not include that of gRPC."""
+    rows = [measure(*size, full_records) for size in SIZES for full_records in (True, False)]
     header = ("entries", "endpoints", "sent", "bytes a record", "KB/s of an entry", "% of a core")
     print_table(header, rows)
 
--- a/bench/log_lines.py
+++ b/bench/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of a daemon: how many come at rest and under load, and their processor time."""
+"""Log lines of an entry: lines a second when idle and under load, and their processor time."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 SPAN_S = 6.0
 USUAL_PER_S = 30
-"""Requests a second to one entry; the aim is ten times as many."""
+"""Usual requests a second to one entry; the entry should also serve ten times as many."""
 
 REFUSED_SHARE = 0.1
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-WITHOUT_LINES = (
+PROGRAM_WITHOUT_LINES = (
     "import sys; sys.path.insert(0, {platform!r}); sys.path[:0] = {sources!r};"
     "import ibisspring_platform.main as daemon;"
     "daemon.log_to = lambda *arguments: None;"
@@ -40,31 +40,32 @@
     """
     One entry under one load.
 
-    :param lines_per_s: log lines.
-    :param share: of one core.
+    :param per_s: requests a second.
+    :param lines_per_s: log lines a second.
+    :param core_share: share of one core that the entry spends.
     """
 
     per_s: int
     lines_per_s: float
-    share: float
+    core_share: float
 
 
 def processor_s(process: Process) -> float:
-    """Processor time that a process took so far."""
+    """Return the processor seconds that a process has spent so far."""
     fields = Path(f"/proc/{process.popen.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-async def load(system: PlatformSystem, per_s: int) -> None:
-    """Send requests at a rate, a tenth of them to a path without a route."""
+async def send_requests(system: PlatformSystem, per_s: int) -> None:
+    """Send requests at a rate for `SPAN_S`, a tenth of them to a path without a route."""
     end = asyncio.get_running_loop().time() + SPAN_S
     refused_every = int(1 / REFUSED_SHARE)
     async with aiohttp.ClientSession() as session:
 
         async def send(number: int) -> None:
             path = f"{LOOKUP}{number}" if number % refused_every else "/nowhere"
-            own = headers_of(f"r{per_s}-{number}")
-            async with session.post(system.entry_url(1) + path, headers=own) as answer:
+            headers = headers_of(f"r{per_s}-{number}")
+            async with session.post(system.entry_url(1) + path, headers=headers) as answer:
                 await answer.read()
 
         sent = []
@@ -78,26 +79,26 @@
 
 
 async def measure(system: PlatformSystem, per_s: int) -> Measured:
-    """Measure the one entry under a load."""
+    """Measure the only entry of the system under a load."""
     entry = system.process_by_name["entry-1"]
-    lines, spent_s = len(entry.log.read_bytes().splitlines()), processor_s(entry)
-    await load(system, per_s)
-    more = len(entry.log.read_bytes().splitlines()) - lines
-    return Measured(per_s, more / SPAN_S, (processor_s(entry) - spent_s) / SPAN_S)
+    lines_before, spent_s = len(entry.log.read_bytes().splitlines()), processor_s(entry)
+    await send_requests(system, per_s)
+    new_lines = len(entry.log.read_bytes().splitlines()) - lines_before
+    return Measured(per_s, new_lines / SPAN_S, (processor_s(entry) - spent_s) / SPAN_S)
 
 
 @contextlib.contextmanager
 def folder() -> Iterator[Path]:
-    """A folder for one system."""
+    """Provide a temporary folder for the files of one system."""
     with tempfile.TemporaryDirectory() as name:
         yield Path(name)
 
 
-async def run(lines: bool) -> list[Measured]:
-    """Start a system of one entry, with or without log lines, and measure three loads."""
+async def run(write_lines: bool) -> list[Measured]:
+    """Start a system of one entry, with or without log lines, and measure it under three loads."""
     with folder() as path:
         async with platform_system(path, entries=1) as system:
-            if not lines:
+            if not write_lines:
                 await _restart_without_lines(system)
             return [await measure(system, per_s) for per_s in (0, USUAL_PER_S, 10 * USUAL_PER_S)]
 
@@ -106,8 +107,8 @@
     from integration.platform_system import wait_served
     from integration.processes import REPOSITORY
 
-    sources = [str(one) for one in sorted(REPOSITORY.glob("packages/*/src"))]
-    program = WITHOUT_LINES.format(platform=str(REPOSITORY / "platform"), sources=sources)
+    sources = [str(source) for source in sorted(REPOSITORY.glob("packages/*/src"))]
+    program = PROGRAM_WITHOUT_LINES.format(platform=str(REPOSITORY / "platform"), sources=sources)
     entry = system.process_by_name["entry-1"]
     entry.kill()
     entry.arguments = [*entry.arguments[:2], sys.executable, "-OO", "-c", program]
@@ -116,18 +117,22 @@
 
 
 def main() -> None:
-    """Print lines a second and processor time, with and without lines, in one run."""
-    with_lines = asyncio.run(run(lines=True))
-    without = asyncio.run(run(lines=False))
+    """Print lines a second and processor time, and compare with an entry that writes no lines."""
+    with_lines = asyncio.run(run(write_lines=True))
+    without_lines = asyncio.run(run(write_lines=False))
     rows = []
-    for one, other in zip(with_lines, without, strict=True):
-        ratio = one.share / other.share if other.share else 0.0
+    for measured, measured_without in zip(with_lines, without_lines, strict=True):
+        ratio = (
+            measured.core_share / measured_without.core_share
+            if measured_without.core_share
+            else 0.0
+        )
         rows.append(
             (
-                str(one.per_s),
-                f"{one.lines_per_s:.1f}",
-                f"{one.share:.4f}",
-                f"{other.share:.4f}",
+                str(measured.per_s),
+                f"{measured.lines_per_s:.1f}",
+                f"{measured.core_share:.4f}",
+                f"{measured_without.core_share:.4f}",
                 f"{ratio:.3f}",
             )
         )
--- a/bench/reports.py
+++ b/bench/reports.py
@@ -1,9 +1,9 @@
 """
 Lateness and correctness of usage reports, with real processes.
 
-Usage is handed over in each window; measured is the time from a window's end to the arrival of its
-report, in quiet times and with the leader killed in the middle. A report is wrong when its figures
-differ from what was handed over.
+Usage is sent in each window. The lateness of a report is the time from its window's end to its
+arrival; it is measured without faults and with the leader killed once. Reports are wrong where the
+calls that they give differ from the calls sent.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 WINDOW_S = 4.0
 WINDOWS = 8
-EVERY_S = 0.5
-KILLED_AT = 3
+SEND_EVERY_S = 0.5
+KILL_IN_WINDOW = 3
 
 
 async def replay(folder: Path, kill: bool) -> tuple[list[float], int, int, int]:
     """
-    Hand usage over through some windows.
+    Send usage during `WINDOWS` windows and wait for the reports.
 
-    :param kill: whether the leader is killed in the middle.
-    :return: lateness of each window in seconds, calls handed over, calls reported, late lines.
+    :param kill: whether the leader is killed in window `KILL_IN_WINDOW`.
+    :return: lateness of each window in seconds, calls sent, calls reported, late lines.
     """
     system = await DutiesSystem.found(folder, usage_window_s=WINDOW_S)
     sections = system.cluster.settings_by_daemon
@@ -45,14 +45,14 @@
         calls = 0
         killed = not kill
         while (window := int(time.time() // WINDOW_S)) < first + WINDOWS:
-            if not killed and window >= first + KILLED_AT:
+            if not killed and window >= first + KILL_IN_WINDOW:
                 killed = True
                 leader = await system.rules.leader()
                 system.cluster.process_by_name[leader].kill()
             if window >= first:
                 calls += 1
                 await _add(client, calls, window)
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(SEND_EVERY_S)
         await wait_until(lambda: _all_reported(system, calls), "all reports", 120.0)
         return await _figures(system, calls)
     finally:
@@ -86,8 +86,8 @@
     rows = []
     for name, kill in (("quiet", False), ("leader killed once", True)):
         with tempfile.TemporaryDirectory(prefix="ibisspring-bench-") as folder:
-            lateness, handed, reported, late = await replay(Path(folder), kill)
-        rows.append((name, spread(lateness), str(handed), str(reported), str(late)))
+            lateness, sent, reported, late = await replay(Path(folder), kill)
+        rows.append((name, spread(lateness), str(sent), str(reported), str(late)))
     return rows
 
 
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -1,10 +1,10 @@
 """
-Trainer idle time and samples thrown away as stale, replayed through `decisions.sampling`.
+Trainer idle time and samples discarded as stale, replayed through `ibisspring_decisions.sampling`.
 
 The load pattern is drawn from a seed: samples of very different length, one engine that is slow for
 a while, a few attempts that hang, and new weights after each step. The trainer opens its next step
-as soon as it has a batch, and publishes after training. Every seed is replayed with the whole
-policy and with each part switched off.
+as soon as it has a batch, and publishes after training. Every seed is replayed with the complete
+policy and with each part of it switched off.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 GROUP_SIZE = 8
 MEAN_SAMPLE_S = 6.0
 TRAIN_S = 30.0
-SWAP_S = 4.0
-BOUNDS = (0, 1)
+WEIGHT_LOAD_S = 4.0
+STALENESS_BOUNDS = (0, 1)
 SLOW_FACTOR = 5.0
 HANG_SHARE = 0.005
 HANG_S = 120.0
@@ -43,7 +43,7 @@
 
 @dataclass
 class Step:
-    """The samples of one step: versions of the finished ones, starts and ends of the others."""
+    """A step's samples; `running` is a heap of end, sample, start and version of each attempt."""
 
     views: list[MemberView]
     version_by_member: dict[int, int] = field(default_factory=dict)
@@ -53,7 +53,7 @@
 
 @dataclass
 class Result:
-    """What the trainer saw."""
+    """Trainer idle time, and counts of samples made, discarded as stale and started twice."""
 
     idle_s: float = 0.0
     span_s: float = 0.0
@@ -65,13 +65,18 @@
 def without_races(
     views: tuple[MemberView, ...], free: int, durations_s: tuple[float, ...], now: float
 ) -> tuple[Start, ...]:
-    """The policy with its races switched off."""
+    """Plan starts without races: no duration is passed on by which an attempt could be late."""
     return plan_starts(views, free, (), now)
 
 
 @dataclass(frozen=True)
 class Policy:
-    """A policy, whole or with one part switched off."""
+    """
+    A sampling policy, complete or with parts switched off.
+
+    :param planner: the function that plans the starts.
+    :param holds_back: whether starts are delayed that an expected publication would make stale.
+    """
 
     name: str
     planner: Planner
@@ -87,14 +92,14 @@
 
 
 class Replay:
-    """One trainer that opens its next step when it has a batch, and publishes after training."""
+    """Replay of one trainer that opens a step once it has a batch and publishes after training."""
 
     def __init__(self, deployment: Deployment, policy: Policy, bound: int, seed: int) -> None:
         self.source = random.Random(f"{deployment.name} {seed}")
         self.policy = policy
         self.bound = bound
         self.publications: tuple[int, ...] = ()
-        self.places = deployment.engines * deployment.slots
+        self.total_slots = deployment.engines * deployment.slots
         self.slow_share = 1 / deployment.engines
         self.now = 0.0
         self.version = 0
@@ -102,60 +107,60 @@
         self.result = Result()
 
     def run(self) -> Result:
-        """All steps, one after the other."""
+        """Run all steps in sequence and return the figures."""
         trained_at_s = 0.0
         for _ in range(STEPS):
-            whole_at_s = self.gather(trained_at_s)
-            self.result.idle_s += max(0.0, whole_at_s - trained_at_s)
-            trained_at_s = max(whole_at_s, trained_at_s) + TRAIN_S
+            complete_at_s = self.gather(trained_at_s)
+            self.result.idle_s += max(0.0, complete_at_s - trained_at_s)
+            trained_at_s = max(complete_at_s, trained_at_s) + TRAIN_S
         self.result.span_s = trained_at_s
         return self.result
 
     def gather(self, publish_at_s: float) -> float:
-        """Gather one step; the trainer publishes a version while it is on its way."""
+        """Run one step, in which the trainer publishes; returns the time of the complete batch."""
         step = Step([MemberView(g, m) for g in range(GROUPS) for m in range(GROUP_SIZE)])
         published = int(publish_at_s <= self.now)
-        to_come = 1 - published
+        publications_left = 1 - published
         expected = expected_publications(self.publications) if self.policy.holds_back else 0
-        self.publications = (*self.publications, to_come)
+        self.publications = (*self.publications, publications_left)
         while True:
-            waits = self.now >= publish_at_s
-            if not published and waits:
+            trainer_waits = self.now >= publish_at_s
+            if not published and trainer_waits:
                 published = 1
                 self.version += 1
-                self.loaded_from_s = self.now + SWAP_S
+                self.loaded_from_s = self.now + WEIGHT_LOAD_S
             self.finish(step)
             self.discard(step)
-            if waits and all(view.done for view in step.views):
+            if trainer_waits and all(view.done for view in step.views):
                 return self.now
-            if may_start(expected, to_come * published, self.bound, waits):
+            if may_start(expected, publications_left * published, self.bound, trainer_waits):
                 self.start(step)
             self.now += TICK_S
 
     def start(self, step: Step) -> None:
         version = self.version if self.now >= self.loaded_from_s else self.version - 1
-        # As the entry does: engines whose announced version is too old get no work.
+        # As in the entry, engines whose announced version is too old get no work.
         if is_stale(version, self.version, self.bound):
             return
-        free = self.places - len(step.running)
+        free = self.total_slots - len(step.running)
         views = tuple(step.views)
         for start in self.policy.planner(views, free, tuple(step.durations_s), self.now):
             index = start.group * GROUP_SIZE + start.member
             self.result.raced += start.race
-            took_s = self.draw()
-            heapq.heappush(step.running, (self.now + took_s, index, self.now, version))
+            duration_s = self.draw_duration_s()
+            heapq.heappush(step.running, (self.now + duration_s, index, self.now, version))
             view = step.views[index]
             step.views[index] = replace(view, started_s=(*view.started_s, self.now))
 
-    def draw(self) -> float:
-        """Seconds of one attempt."""
-        took_s = self.source.lognormvariate(0.0, 0.6) * MEAN_SAMPLE_S
+    def draw_duration_s(self) -> float:
+        """Draw the seconds of one attempt."""
+        duration_s = self.source.lognormvariate(0.0, 0.6) * MEAN_SAMPLE_S
         if self.source.random() < HANG_SHARE:
-            return took_s + HANG_S
+            return duration_s + HANG_S
         in_slow_span = int(self.now / 60) % 4 == 1
         if in_slow_span and self.source.random() < self.slow_share:
-            return took_s * SLOW_FACTOR
-        return took_s
+            return duration_s * SLOW_FACTOR
+        return duration_s
 
     def finish(self, step: Step) -> None:
         while step.running and step.running[0][0] <= self.now:
@@ -183,7 +188,7 @@
     rows = []
     plot: dict[str, dict[str, float]] = {}
     for deployment in DEPLOYMENTS:
-        for bound in BOUNDS:
+        for bound in STALENESS_BOUNDS:
             label = f"{deployment.name}, bound {bound}"
             plot[label] = {}
             for policy in POLICIES:
--- a/bench/rules_in_force.py
+++ b/bench/rules_in_force.py
@@ -1,7 +1,7 @@
 """
-Measures how soon accepted rules act: on 8 entries, and on streams whose key is withdrawn.
+Measures how soon accepted rules are in force on 8 entries and streams of a withdrawn key end.
 
-Three control daemons and eight entries as real processes on one machine, default settings.
+Runs three control daemons and eight entries as processes on one machine, with default settings.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 ENTRIES = 8
 APPLIES = 60
 WITHDRAWALS = 6
-REST_S = 15.0
+IDLE_S = 15.0
 US = 1e6
 MAX_US = 120_000_000
 
 
 @dataclass(frozen=True)
 class Quantiles:
-    """Median, 99th percentile and most, in milliseconds."""
+    """Median, 99th percentile and maximum, in milliseconds."""
 
     median_ms: float
     p99_ms: float
-    most_ms: float
+    max_ms: float
 
     @classmethod
     def from_seconds(cls, values: list[float]) -> Quantiles:
@@ -54,7 +54,7 @@
         )
 
     def cells(self) -> tuple[str, ...]:
-        return (f"{self.median_ms:.1f}", f"{self.p99_ms:.1f}", f"{self.most_ms:.1f}")
+        return (f"{self.median_ms:.1f}", f"{self.p99_ms:.1f}", f"{self.max_ms:.1f}")
 
 
 class _Bench:
@@ -65,7 +65,7 @@
         self.version = 0
 
     async def apply(self, *extra: str, keys: tuple[str, ...] = (KEY,)) -> float:
-        """Apply a file; seconds until it is in force on every entry."""
+        """Apply a rules file; returns the seconds until it is in force on every entry."""
         text = rules_text(*extra, keys=keys)
         command = ApplyRules(self.version, text, "bench")
         start = time.monotonic()
@@ -77,29 +77,29 @@
         return took_s
 
     async def commit(self, number: int) -> float:
-        """The baseline: commit a command that waits for no entry."""
+        """Commit a command that waits for no entry, as the baseline; returns the seconds taken."""
         command = DrainEndpoint(f"engine-{number % 2}", "bench", cancel=number % 4 > 1)
         start = time.monotonic()
         await self.client.propose(command, new_request_id())
         return time.monotonic() - start
 
     async def withdraw(self) -> list[float]:
-        """Open a stream on every entry, withdraw its key; seconds to each one's last byte."""
+        """Withdraw the key of a stream on every entry; returns the seconds to each last token."""
         await self.apply(f"timeout archive-app {self.version + 1} s {ASKED}")
-        last_s = [0.0] * ENTRIES
+        last_token_s = [0.0] * ENTRIES
         entries = self.system.entries()
         streams = [
-            asyncio.create_task(self._read(self.system.cluster.url(entry), last_s, place))
-            for place, entry in enumerate(entries)
+            asyncio.create_task(self._read(self.system.cluster.url(entry), last_token_s, position))
+            for position, entry in enumerate(entries)
         ]
-        await wait_until(lambda: all(last_s), "the streams' first bytes")
+        await wait_until(lambda: all(last_token_s), "the streams' first bytes")
         start = time.monotonic()
         await self.apply(keys=())
         await asyncio.gather(*streams)
-        return [at - start for at in last_s]
+        return [token_s - start for token_s in last_token_s]
 
-    async def _read(self, url: str, last_s: list[float], place: int) -> None:
-        body = {"model": "scorer-lm", "prompt": f"p{place}", "max_tokens": 100_000}
+    async def _read(self, url: str, last_token_s: list[float], position: int) -> None:
+        body = {"model": "scorer-lm", "prompt": f"p{position}", "max_tokens": 100_000}
         body.update(stream=True, deadline_s=110)
         headers = {"Authorization": f"Bearer {KEY}"}
         async with (
@@ -107,10 +107,10 @@
             session.post(f"{url}/v1/generate", json=body, headers=headers) as response,
         ):
             async for line in response.content:
-                read = json.loads(line)
-                if "tokens" in read:
-                    last_s[place] = time.monotonic()
-            reason = read.get("error", {}).get("reason")
+                line_fields = json.loads(line)
+                if "tokens" in line_fields:
+                    last_token_s[position] = time.monotonic()
+            reason = line_fields.get("error", {}).get("reason")
             if reason != "key_withdrawn":
                 raise SystemExit(f"a stream ended by {reason}, not by its key")
 
@@ -143,18 +143,18 @@
             quantiles = Quantiles.from_seconds(values)
             ratio = f"{quantiles.median_ms / committed.median_ms:.1f}"
             rows.append((name, str(len(values)), *quantiles.cells(), ratio))
-        head = ("time from the proposal to", "n", "median ms", "p99 ms", "most ms", "ratio")
-        print_table(head, rows)
+        header = ("time from the proposal to", "n", "median ms", "p99 ms", "most ms", "ratio")
+        print_table(header, rows)
         print()
-        await self.rest()
+        await self.measure_idle()
 
-    async def rest(self) -> None:
-        """Processor time of the daemons while nothing happens but renewals and heartbeats."""
+    async def measure_idle(self) -> None:
+        """Print the cost of the daemons while they send nothing but renewals and heartbeats."""
         leader = await self.system.leader()
         daemons = {"leader": leader, "entry": "e1"}
         before = {role: self._processor_s(daemon) for role, daemon in daemons.items()}
         start = time.monotonic()
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(IDLE_S)
         passed_s = time.monotonic() - start
         rows = []
         for role, daemon in daemons.items():
@@ -185,7 +185,7 @@
 
 
 def main() -> None:
-    """Run the benchmark and print its table."""
+    """Run the benchmark and print its tables."""
     with tempfile.TemporaryDirectory(prefix="ibisspring-bench-") as folder:
         asyncio.run(_run(Path(folder)))
 
--- a/bench/serving.py
+++ b/bench/serving.py
@@ -1,4 +1,4 @@
-"""How callers fare under load, each policy against the plain baseline, in one run."""
+"""Served shares, late answers and waits under load, for each policy and a baseline."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from bench._patterns import DEPLOYMENTS, PATTERNS, Deployment, Pattern
 from bench._report import bar_plot, print_table, spread
-from bench._serving import BASELINE, POLICIES, WHOLE, Outcome, Policy, Serving
+from bench._serving import BASELINE, FULL_POLICY, POLICIES, Outcome, Policy, ServingReplay
 
 SEEDS = (1, 2, 3, 4, 5)
 SPAN_S = 60.0
@@ -22,12 +22,14 @@
 
 
 def replay(deployment: Deployment, pattern: Pattern, policy: Policy) -> list[Outcome]:
-    """One replay a seed."""
-    return [Serving.from_seed(deployment, pattern, policy, SPAN_S, seed).run() for seed in SEEDS]
+    """Run one replay for each seed."""
+    return [
+        ServingReplay.from_seed(deployment, pattern, policy, SPAN_S, seed).run() for seed in SEEDS
+    ]
 
 
 def hot_account(deployment: Deployment, pattern: Pattern) -> str | None:
-    """The account that causes the pattern is not among those that must not suffer."""
+    """Return the overloading account, which the worst served share leaves out; None for none."""
     if pattern.hot is None:
         return None
     return list(deployment.share_by_client_account)[pattern.hot]
@@ -36,7 +38,7 @@
 def row(
     deployment: Deployment, pattern: Pattern, policy: Policy, outcomes: list[Outcome]
 ) -> tuple[str, ...]:
-    """Figures over the seeds."""
+    """Return a table row with the mean and range of each figure over the seeds."""
     hot = hot_account(deployment, pattern)
     wasted = [outcome.wasted_s / max(outcome.worked_s, 1e-9) for outcome in outcomes]
     return (
@@ -51,7 +53,7 @@
 
 
 def main() -> None:
-    """Print a table for each deployment and draw the worst account's share."""
+    """Print the table of the first deployment and draw the worst account's share."""
     for deployment in DEPLOYMENTS[:1]:
         print(
             f"{deployment.name}: {len(SEEDS)} seeds, {SPAN_S:.0f} s of load; mean (least to most)"
@@ -63,7 +65,7 @@
             for policy in POLICIES:
                 outcomes = replay(deployment, pattern, policy)
                 rows.append(row(deployment, pattern, policy, outcomes))
-                if policy in (BASELINE, WHOLE):
+                if policy in (BASELINE, FULL_POLICY):
                     hot = hot_account(deployment, pattern)
                     shares = [outcome.worst_share(hot) for outcome in outcomes]
                     plot[pattern.name][policy.name] = mean(shares)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,9 @@
 """
-Processor time, memory and traffic for control at rest, by counts of entries and endpoints.
+Processor time, memory and control traffic without requests, by counts of entries and endpoints.
 
-Real daemons on one machine with default settings; the endpoints are announcements sent from here,
-one a second each, through one entry each. Slopes are least-squares fits over all runs.
+Runs daemons on one machine with default settings. The endpoints do not exist: this process sends
+their announcements, one a second for each endpoint, to one entry each. Slopes are least-squares
+fits over all runs.
 """
 
 from __future__ import annotations
@@ -22,6 +23,7 @@
 from integration.cluster import Cluster
 from integration.processes import command_line, wait_until
 
+# Entries and endpoints of each run.
 COUNTS = ((2, 0), (4, 0), (8, 0), (16, 0), (24, 0), (8, 40), (8, 160), (16, 160))
 SETTLE_S = 6.0
 SPAN_S = 10.0
@@ -32,11 +34,13 @@
 @dataclass(frozen=True)
 class Reading:
     """
-    One run.
+    Figures of one run.
 
-    :param leader_share: share of a core that the leader spends.
-    :param entry_share: median share of a core over the entries.
-    :param bytes_per_s: loopback traffic a second of everything on the machine, acknowledgements
+    :param leader_share: share of a core that the leader uses.
+    :param entry_share: share of a core that an entry uses, the median over the entries.
+    :param leader_mb: resident memory of the leader.
+    :param entry_mb: resident memory of an entry, the median over the entries.
+    :param bytes_per_s: loopback traffic a second of all processes on the machine, acknowledgements
         included.
     """
 
@@ -50,18 +54,18 @@
 
 
 def processor_s(pid: int) -> float:
-    """User and system seconds of a process so far."""
+    """Return the user and system seconds that a process has spent so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 def resident_mb(pid: int) -> float:
-    """Resident memory of a process."""
+    """Return the resident memory of a process in MB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_MB
 
 
 def loopback_bytes() -> int:
-    """Bytes that the loopback interface has carried."""
+    """Return the bytes that the loopback interface has received so far."""
     for line in Path("/proc/net/dev").read_text().splitlines():
         name, _, figures = line.partition(":")
         if name.strip() == "lo":
@@ -70,7 +74,7 @@
 
 
 async def announce(cluster: Cluster, number: int, entries: list[str]) -> None:
-    """One endpoint's announcements until cancelled."""
+    """Send the announcements of one endpoint until cancelled."""
     url = f"{cluster.url(entries[number % len(entries)])}/v1/announce"
     record = {
         "endpoint": f"engine-{number}",
@@ -93,7 +97,7 @@
 
 
 async def measure(folder: Path, entries: int, endpoints: int) -> Reading:
-    """Start a system, let it settle, and read what it spends."""
+    """Start a system, wait `SETTLE_S`, and measure what it uses."""
     cluster = Cluster.from_counts(folder, controls=3, entries=entries)
     names = [f"e{number + 1}" for number in range(entries)]
     options = [
@@ -113,16 +117,16 @@
             asyncio.create_task(announce(cluster, number, names)) for number in range(endpoints)
         ]
         await asyncio.sleep(SETTLE_S)
-        return await read(cluster, names, endpoints)
+        return await read_figures(cluster, names, endpoints)
     finally:
         for task in tasks:
             task.cancel()
         cluster.stop_all()
 
 
-async def read(cluster: Cluster, names: list[str], endpoints: int) -> Reading:
-    """Processor time, memory and bytes over one span."""
-    pid_by_name = {name: one.popen.pid for name, one in cluster.process_by_name.items()}
+async def read_figures(cluster: Cluster, names: list[str], endpoints: int) -> Reading:
+    """Measure processor time, memory and traffic over `SPAN_S`."""
+    pid_by_name = {name: process.popen.pid for name, process in cluster.process_by_name.items()}
     before = {name: processor_s(pid) for name, pid in pid_by_name.items()}
     start_bytes, start_s = loopback_bytes(), time.monotonic()
     await asyncio.sleep(SPAN_S)
@@ -141,10 +145,10 @@
 
 
 def fit(readings: list[Reading], field: str) -> tuple[float, float, float]:
-    """Least squares of a field: at rest, for each entry, for each endpoint."""
-    places = numpy.array([[1.0, one.entries, one.endpoints] for one in readings])
-    values = numpy.array([getattr(one, field) for one in readings])
-    solution = numpy.linalg.lstsq(places, values, rcond=None)[0]
+    """Fit a field by least squares; returns its base, and its slopes by entries and endpoints."""
+    terms = numpy.array([[1.0, reading.entries, reading.endpoints] for reading in readings])
+    values = numpy.array([getattr(reading, field) for reading in readings])
+    solution = numpy.linalg.lstsq(terms, values, rcond=None)[0]
     return tuple(float(value) for value in solution)
 
 
@@ -157,15 +161,15 @@
     header = ("entries", "endpoints", "leader core", "entry core", "leader MB", "entry MB", "KB/s")
     rows = [
         (
-            str(one.entries),
-            str(one.endpoints),
-            f"{one.leader_share:.2%}",
-            f"{one.entry_share:.2%}",
-            f"{one.leader_mb:.1f}",
-            f"{one.entry_mb:.1f}",
-            f"{one.bytes_per_s / 1000:.1f}",
+            str(reading.entries),
+            str(reading.endpoints),
+            f"{reading.leader_share:.2%}",
+            f"{reading.entry_share:.2%}",
+            f"{reading.leader_mb:.1f}",
+            f"{reading.entry_mb:.1f}",
+            f"{reading.bytes_per_s / 1000:.1f}",
         )
-        for one in readings
+        for reading in readings
     ]
     print_table(header, rows)
     print()
--- a/bench/state.py
+++ b/bench/state.py
@@ -1,7 +1,7 @@
 """
 Measures the replicated state machine: processor time per command, bytes and time per snapshot.
 
-No network and no disk: what a replica pays beside the log.
+Uses no network and no disk, so that the figures are the costs of a replica apart from its log.
 """
 
 from __future__ import annotations
@@ -52,13 +52,13 @@
     return "\n".join(lines)
 
 
-class _Log:
+class _Replica:
     def __init__(self) -> None:
         self.state = StateMachine.empty()
         self.index = 0
 
     def apply(self, command: Any) -> float:
-        """Apply one command; its processor time in seconds."""
+        """Apply one command; returns the processor time in seconds."""
         self.index += 1
         raw = msgspec.Raw(COMMANDS.encode(command))
         data = encode(Envelope(new_request_id(), time.time(), raw))
@@ -67,7 +67,7 @@
         return time.process_time() - start
 
     def apply_many(self, count: int, make: Callable[[int], Any]) -> float:
-        """Mean microseconds of processor time per command."""
+        """Apply `count` commands; returns the mean microseconds of processor time of one."""
         return sum(self.apply(make(number)) for number in range(count)) / count * 1e6
 
 
@@ -92,10 +92,10 @@
 
 def main() -> None:
     """Run the benchmark and print its tables."""
-    log = _Log()
+    replica = _Replica()
     text = _rules(ACCOUNTS)
     rows = [
-        (f"ApplyRules, {ACCOUNTS} accounts", f"{log.apply(ApplyRules(0, text, 'b')) * 1e6:.0f}")
+        (f"ApplyRules, {ACCOUNTS} accounts", f"{replica.apply(ApplyRules(0, text, 'b')) * 1e6:.0f}")
     ]
     for name, make in (
         ("ClaimKey", _claim),
@@ -103,28 +103,28 @@
         ("AddUsage, 4 records", _usage),
         ("OrderIntent", lambda number: OrderIntent(f"o{number}", "platform", b"{}" * 50)),
     ):
-        rows.append((name, f"{log.apply_many(COUNT, make):.1f}"))
+        rows.append((name, f"{replica.apply_many(COUNT, make):.1f}"))
     steps_us = 0.0
     for step in range(1, 9):
-        log.apply(OpenStep("t", step, "m", "d", SAMPLES, "e1", 1))
-        steps_us += log.apply(_deliver(step)) * 1e6
+        replica.apply(OpenStep("t", step, "m", "d", SAMPLES, "e1", 1))
+        steps_us += replica.apply(_deliver(step)) * 1e6
     rows.append((f"DeliverBatch, {SAMPLES} samples", f"{steps_us / 8:.0f}"))
     print_table(("command", "processor us"), rows)
     print()
-    _print_snapshot(log)
+    _print_snapshot(replica)
 
 
-def _print_snapshot(log: _Log) -> None:
+def _print_snapshot(replica: _Replica) -> None:
     start = time.process_time()
-    data = log.state.snapshot()
+    data = replica.state.snapshot()
     encoded_s = time.process_time() - start
     start = time.process_time()
-    log.state.restore(data)
+    replica.state.restore(data)
     restored_s = time.process_time() - start
-    held = f"{COUNT} claims, {COUNT} orders, 8 steps of {SAMPLES}, {ACCOUNTS} accounts"
+    contents = f"{COUNT} claims, {COUNT} orders, 8 steps of {SAMPLES}, {ACCOUNTS} accounts"
     print_table(
         ("snapshot of", "MB", "encode ms", "restore ms"),
-        [(held, f"{len(data) / 1e6:.1f}", f"{encoded_s * 1e3:.0f}", f"{restored_s * 1e3:.0f}")],
+        [(contents, f"{len(data) / 1e6:.1f}", f"{encoded_s * 1e3:.0f}", f"{restored_s * 1e3:.0f}")],
     )
 
 
--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A guided run of a small system: `make demo`."""
+"""A demonstration run of a small system, started by `make demo`."""
