--- a/bench/_patterns.py
+++ b/bench/_patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns of the two deployments in the sizes of the brief, drawn from a seed."""
+"""Load patterns of the two deployments, sized as in the project's brief, drawn from a seed."""
 
 from __future__ import annotations
 
--- a/bench/_serving.py
+++ b/bench/_serving.py
@@ -60,7 +60,7 @@
 
 @dataclass
 class Outcome:
-    """Counts and times of one replay, as the callers see them."""
+    """Results of one replay; `wasted_s` is the part of `worked_s` that went into late answers."""
 
     requested: Counter = field(default_factory=Counter)
     served: Counter = field(default_factory=Counter)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Span:
-    """A time in which a place gives no endpoints; a reclaim also stops those that run there."""
+    """A time span in which no endpoint can start in a place; a reclaim also stops those there."""
 
     place: Place
     from_s: int
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -18,7 +18,7 @@
 RUNS = 176
 WAITING = 400
 DECISION_EVERY_S = 1.0
-"""Seconds between two decisions: after them an engine whose run broke gets new runs again."""
+"""Seconds between two decisions, after which an engine whose run failed gets new runs again."""
 RUNNERS = 8
 SIZES = ((11, 16), (22, 8))
 """Engine count and slots of each engine; the product is `RUNS` for each pair."""
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -65,7 +65,7 @@
 def without_races(
     views: tuple[MemberView, ...], free: int, durations_s: tuple[float, ...], now: float
 ) -> tuple[Start, ...]:
-    """Plan starts without races: no duration is passed on by which an attempt could be late."""
+    """Plan starts without races: no durations are given that would show an attempt to be slow."""
     return plan_starts(views, free, (), now)
 
 
