--- a/tests/unit/consensus/test_core_fuzz.py
+++ b/tests/unit/consensus/test_core_fuzz.py
@@ -28,13 +28,13 @@
 
 @pytest.mark.parametrize("count", [3, 5])
 @pytest.mark.parametrize("seed", range(30))
-def test_random_run_is_safe_and_comes_back(seed, count) -> None:
+def test_random_run_is_safe_and_recovers(seed, count) -> None:
     run(seed, count, STEPS)
 
 
 @pytest.mark.parametrize("count", [3, 5])
 @pytest.mark.parametrize("seed", range(15))
-def test_a_wait_that_counts_from_the_start_of_a_process_is_safe(seed, count) -> None:
+def test_random_run_with_vote_wait_counted_from_process_start_is_safe(seed, count) -> None:
     run(seed, count, STEPS, SlowStarts)
 
 
--- a/tests/unit/consensus/test_core_scenarios.py
+++ b/tests/unit/consensus/test_core_scenarios.py
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("remove_guard", [None, guards.vote_despite_leader_contact])
-def test_a_voter_that_hears_the_leader_helps_no_other(monkeypatch, remove_guard) -> None:
+def test_a_voter_in_contact_with_the_leader_grants_no_vote(monkeypatch, remove_guard) -> None:
     """
     The platform receives orders from two processes that both hold a lease.
 
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("remove_guard", [None, guards.lease_from_reply_receipt])
-def test_answers_that_were_long_on_their_way_carry_no_lease(monkeypatch, remove_guard) -> None:
+def test_late_heartbeat_replies_do_not_extend_the_lease(monkeypatch, remove_guard) -> None:
     """
     The platform receives orders from two processes that both hold a lease.
 
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("remove_guard", [None, guards.commit_older_terms])
-def test_an_older_entry_on_a_majority_is_not_committed_by_counting(
+def test_an_entry_of_an_earlier_term_is_not_committed_by_counting_replicas(
     monkeypatch, remove_guard
 ) -> None:
     """
--- a/tests/unit/consensus/test_peer.py
+++ b/tests/unit/consensus/test_peer.py
@@ -28,7 +28,7 @@
         return consensus_pb2.DeliverReply(disk_id=OTHER.disk_id)
 
 
-async def test_a_follower_is_not_left_out_because_a_snapshot_could_not_be_read(
+async def test_a_leader_sends_to_a_follower_again_after_a_failed_snapshot_read(
     tmp_path, monkeypatch
 ) -> None:
     # A leader has no free descriptor while it sends a snapshot, and from then on sends that
--- a/tests/unit/consensus/test_power_loss.py
+++ b/tests/unit/consensus/test_power_loss.py
@@ -104,7 +104,7 @@
     return run
 
 
-def test_nothing_promised_is_lost_whenever_the_power_goes(tmp_path, record) -> None:
+def test_power_loss_between_any_two_calls_loses_no_acknowledged_state(tmp_path, record) -> None:
     # A control VM loses power between any two calls of its storage. After its restart it must hold
     # all that it acknowledged; otherwise a change that was confirmed to an operator is lost.
     assert find_losses(tmp_path, record()) == []
@@ -120,7 +120,7 @@
         "sync_folder",
     ],
 )
-def test_each_sync_is_needed(tmp_path, record, name) -> None:
+def test_omitting_any_sync_loses_state(tmp_path, record, name) -> None:
     # Without any one of these syncs some state is lost, and the test above detects the loss.
     assert find_losses(tmp_path, record(lambda synced: synced == name))
 
--- a/tests/unit/consensus/test_start.py
+++ b/tests/unit/consensus/test_start.py
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("refused", ["mkdir", "open", "write", "fsync", "replace"])
-async def test_a_replica_that_starts_on_a_full_disk_waits_for_room(
+async def test_a_replica_that_starts_on_a_full_disk_waits_for_free_space(
     tmp_path, monkeypatch, refused
 ) -> None:
     # The daemon of a VM with a new disk that is full for some time ends at each start.
@@ -93,7 +93,7 @@
         await kernel.stop()
 
 
-async def test_a_replica_that_waits_for_room_stops_when_told(tmp_path, monkeypatch) -> None:
+async def test_a_replica_that_waits_for_free_space_stops_on_request(tmp_path, monkeypatch) -> None:
     # A daemon that waits for free space at its start does not stop when asked and is killed after
     # the grace period.
     disk = full_disk(monkeypatch, "mkdir")
--- a/tests/unit/consensus/test_storage.py
+++ b/tests/unit/consensus/test_storage.py
@@ -104,7 +104,7 @@
     assert open_storage(folder).stored.entries == entries(1, 10)
 
 
-def test_a_flipped_byte_anywhere_before_the_last_record_refuses_to_start(folder) -> None:
+def test_a_corrupt_byte_before_the_last_record_prevents_the_start(folder) -> None:
     """
     A disk returns one wrong byte in the middle of the log.
 
@@ -212,7 +212,7 @@
     assert open_storage(folder).stored.entries == entries(51, 52)
 
 
-def test_the_names_of_new_folders_are_synced_before_anything_is_promised(tmp_path, synced) -> None:
+def test_new_folder_names_are_synced_before_term_and_vote_are_written(tmp_path, synced) -> None:
     # All VMs lose power after their first start, and each restarts without its data folder.
     open_storage(tmp_path / "data" / "control" / "consensus").close()
 
@@ -221,7 +221,7 @@
         assert parent in synced[:term_and_vote]
 
 
-def test_names_left_by_a_process_that_ended_are_synced(tmp_path, synced) -> None:
+def test_folder_names_created_by_a_killed_process_are_synced(tmp_path, synced) -> None:
     # As above, but the first process was killed after it created its folders and before it synced
     # their names.
     folder = tmp_path / "control" / "consensus"
--- a/tests/unit/consensus/test_writer.py
+++ b/tests/unit/consensus/test_writer.py
@@ -66,7 +66,7 @@
     assert synced == []
 
 
-async def test_a_full_disk_is_waited_for(tmp_path, monkeypatch) -> None:
+async def test_a_log_write_is_retried_while_the_disk_is_full(tmp_path, monkeypatch) -> None:
     """
     A store's disk is full for some seconds, and its daemon ends then and at each later start.
 
@@ -117,7 +117,9 @@
 
 
 @pytest.mark.parametrize("refused", ["open", "fsync", "replace"])
-async def test_a_new_term_on_a_full_disk_is_waited_for(storage, monkeypatch, refused) -> None:
+async def test_writing_a_new_term_is_retried_while_the_disk_is_full(
+    storage, monkeypatch, refused
+) -> None:
     # A leader is elected while the disk of a follower is full: the temporary file for term and vote
     # cannot be created, and the control daemon ends.
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
@@ -158,14 +160,18 @@
     return failed.is_set()
 
 
-async def test_a_new_term_without_descriptors_is_waited_for(storage, monkeypatch) -> None:
+async def test_writing_a_new_term_is_retried_while_no_descriptor_is_free(
+    storage, monkeypatch
+) -> None:
     # A store that has no free descriptor for a moment ends as soon as the leader changes.
     job = Persist(1, hard_state=HardState(term=9))
     assert not await fails_without_descriptors(storage, monkeypatch, job)
     assert Storage.from_folder(storage.folder).stored.hard_state.term == 9
 
 
-async def test_a_snapshot_without_descriptors_is_waited_for(storage, monkeypatch) -> None:
+async def test_writing_a_snapshot_is_retried_while_no_descriptor_is_free(
+    storage, monkeypatch
+) -> None:
     # As above, at the next snapshot.
     meta = SnapshotMeta(1, 1, Members(), 5, zlib.crc32(b"state"))
     job = StoreSnapshot(meta, b"state", SegmentStart(0, 0), (), lambda: None)
@@ -173,7 +179,9 @@
     assert Storage.from_folder(storage.folder).stored.snapshot == meta
 
 
-def test_a_segment_that_can_not_be_opened_leaves_the_one_before(storage, monkeypatch) -> None:
+def test_a_log_segment_that_cannot_be_opened_leaves_the_previous_one_open(
+    storage, monkeypatch
+) -> None:
     # A replica that has no free descriptor during a snapshot writes to a closed file afterwards.
     original = files.os.open
 
@@ -193,7 +201,7 @@
     assert [entry.index for entry in Storage.from_folder(storage.folder).stored.entries] == [1]
 
 
-async def test_a_name_whose_folder_can_not_be_opened_is_synced_later(storage, monkeypatch) -> None:
+async def test_a_folder_sync_is_retried_while_no_descriptor_is_free(storage, monkeypatch) -> None:
     # A replica has no free descriptor between the rename of its hard state file and the sync of the
     # folder.
     original = files.os.open
--- a/tests/unit/control/leader_duties/test_fleet.py
+++ b/tests/unit/control/leader_duties/test_fleet.py
@@ -65,7 +65,7 @@
     return Fleet(control, state, system, system, counters)
 
 
-async def test_a_new_leader_does_not_order_a_fleet_that_it_cannot_see(
+async def test_a_new_leader_orders_nothing_from_an_incomplete_endpoint_table(
     fleet, system, leadership
 ) -> None:
     # The endpoint table of a new leader is empty until entries renew, and while no entry is live. A
@@ -77,7 +77,9 @@
     assert system.sent == []
 
 
-async def test_what_was_ordered_counts_until_it_announces_itself(fleet, system, leadership) -> None:
+async def test_an_ordered_endpoint_counts_until_it_announces_itself_or_times_out(
+    fleet, system, leadership
+) -> None:
     # Endpoints take a minute to start. A leader that counts only announced endpoints would order
     # them again with each plan.
     await fleet.run(leadership, READY_S, WALL_S)
--- a/tests/unit/control/leader_duties/test_leadership.py
+++ b/tests/unit/control/leader_duties/test_leadership.py
@@ -3,7 +3,7 @@
 from ibisspring_control.leader_duties.leadership import LeadershipWatch
 
 
-def test_a_new_leader_waits_out_its_predecessor(control) -> None:
+def test_a_new_leader_acts_only_after_the_takeover_wait(control) -> None:
     watch = LeadershipWatch(control, wait_s=2.8)
 
     assert watch.current(100.0) is None
@@ -11,7 +11,7 @@
     assert watch.current(102.8).term == 1
 
 
-def test_a_replica_that_leads_again_waits_again(control) -> None:
+def test_a_replica_elected_leader_again_waits_again(control) -> None:
     watch = LeadershipWatch(control, wait_s=2.8)
     watch.current(100.0)
     old = watch.current(103.0)
--- a/tests/unit/control/leader_duties/test_orders.py
+++ b/tests/unit/control/leader_duties/test_orders.py
@@ -47,7 +47,7 @@
     assert list(control.open_by_id) == ["o1"]
 
 
-async def test_an_order_whose_answer_was_lost_ends_under_its_own_id_and_bytes(
+async def test_an_order_whose_answer_was_lost_is_resent_with_the_same_id_and_bytes(
     control, orders, leadership, fake_platform
 ) -> None:
     # The platform executes an order and its answer is lost, so the order stays open in the state.
@@ -80,7 +80,7 @@
     assert sent.order == {"fencing": 1, "order_id": "o1", **START}
 
 
-async def test_an_unavailable_kind_is_a_known_end(
+async def test_an_order_for_an_unavailable_kind_ends_as_unavailable(
     control, orders, leadership, fake_platform
 ) -> None:
     fake_platform.faults.unavailable = ["derby/cheap"]
@@ -105,7 +105,7 @@
     assert [sent.order_id for sent in fake_platform.sent] == ["o1"]
 
 
-async def test_an_order_that_ended_while_it_waited_is_not_sent_again(
+async def test_resume_does_not_resend_an_order_that_ended_in_the_meantime(
     control, orders, leadership, fake_platform
 ) -> None:
     # The periodic resume of open orders finds an order that `send` is still sending. If `resume`
--- a/tests/unit/control/leader_duties/test_usage_reports.py
+++ b/tests/unit/control/leader_duties/test_usage_reports.py
@@ -38,7 +38,7 @@
     assert fake_usage.reports == []
 
 
-async def test_a_report_whose_answer_was_lost_comes_again_with_the_same_figures(
+async def test_a_report_whose_answer_was_lost_is_resent_with_the_same_figures(
     control, reports, leadership, fake_usage
 ) -> None:
     # The usage interface accepts a report and its answer is lost. The retry must have the same key
--- a/tests/unit/control/state/test_machine.py
+++ b/tests/unit/control/state/test_machine.py
@@ -109,7 +109,7 @@
     assert isinstance(other, Refused) and other.reason == "conflict"
 
 
-def test_a_resend_after_its_result_was_forgotten_is_refused_not_applied_again() -> None:
+def test_a_resend_after_its_result_was_removed_is_refused_not_applied_again() -> None:
     """
     A command is resent after its stored result was removed, and once more after a change to a
     leader whose clock is ten minutes behind.
@@ -177,7 +177,7 @@
     assert log.apply(other).state == "conflict"
 
 
-def test_what_a_restarted_entry_left_running_may_have_run(log) -> None:
+def test_a_claim_of_a_restarted_entry_may_have_run(log) -> None:
     """
     An entry crashes after it claimed a key and restarts; the caller resends the request.
 
@@ -261,7 +261,7 @@
     return DeliverBatch("reader", 1, epoch, f"{batch}{epoch}", labels)
 
 
-def test_a_sample_that_became_stale_on_its_way_is_not_delivered(log) -> None:
+def test_a_sample_that_became_stale_before_delivery_is_not_delivered(log) -> None:
     """
     The samples are within the staleness limit when the entry checks them, but the trainer publishes
     a version before the batch is delivered.
@@ -276,7 +276,7 @@
     assert log.apply(PublishVersion("reader", "scorer-lm", 3)).reason == "stale"
 
 
-def test_a_step_that_changed_hands_is_delivered_by_its_new_owner_only(log) -> None:
+def test_a_step_that_was_taken_over_is_delivered_by_its_new_owner_only(log) -> None:
     """
     An entry is disconnected while it gathers a step. Another entry takes over the step and delivers
     it, then the first entry reconnects and delivers too.
@@ -309,14 +309,14 @@
     assert log.apply(_open("e3", 2)).state == "acknowledged"
 
 
-def test_a_step_that_was_forgotten_is_not_opened_anew(log) -> None:
+def test_a_step_whose_record_was_removed_is_not_opened_again(log) -> None:
     for step in range(1, 12):
         log.apply(OpenStep("reader", step, "scorer-lm", "digest", 1, "e1", 1))
 
     assert log.apply(_open("e1")).reason == "stale"
 
 
-def test_years_of_replaced_vms_do_not_add_up(log, monkeypatch) -> None:
+def test_state_size_stays_bounded_while_vms_are_replaced(log, monkeypatch) -> None:
     monkeypatch.setattr(claims, "MAX_DAEMONS", 3)
     log.apply(ClaimKey("forge", "ticket-7", "digest", "r1", "old", 1))
     for number in range(10):
--- a/tests/unit/control/test_entry_leases.py
+++ b/tests/unit/control/test_entry_leases.py
@@ -75,7 +75,7 @@
     await system.kernel.stop()
 
 
-async def test_a_change_is_in_force_once_every_live_entry_acts_on_it(system) -> None:
+async def test_a_change_is_in_force_once_every_live_entry_has_applied_it(system) -> None:
     """
     An operator withdraws a key. One entry has the new rules, another one has not renewed since.
 
@@ -108,7 +108,7 @@
     assert system.kernel.find("timer").now() >= lapses_s
 
 
-async def test_a_new_leader_waits_out_leases_that_it_never_heard_of(system) -> None:
+async def test_a_new_leader_waits_for_the_end_of_leases_granted_by_its_predecessor(system) -> None:
     """
     The old leader granted a lease and crashed; the new leader has not received a renewal.
 
@@ -157,7 +157,7 @@
     assert system.consensus.confirms == 2
 
 
-async def test_an_entry_that_is_ahead_of_the_state_gets_no_lease(system) -> None:
+async def test_an_entry_with_a_higher_index_than_the_state_gets_no_lease(system) -> None:
     reply = await system.renew("e1", 7)
 
     assert reply.status == control_pb2.INVALID
--- a/tests/unit/core/routes/test_routes.py
+++ b/tests/unit/core/routes/test_routes.py
@@ -66,7 +66,7 @@
     assert index.route("elsewhere.example", "/lookup/7") is None
 
 
-def test_a_key_finds_its_client_account() -> None:
+def test_an_api_key_maps_to_its_client_account() -> None:
     index = RouteIndex(TABLE)
 
     assert index.account("k2").name == "forge"
--- a/tests/unit/core/test_control_client.py
+++ b/tests/unit/core/test_control_client.py
@@ -110,7 +110,7 @@
         assert await client.propose(DRAIN, "r1") == Done()
 
 
-async def test_a_connection_that_went_silent_is_replaced_while_new_ones_work(monkeypatch) -> None:
+async def test_an_unresponsive_connection_is_replaced_while_new_ones_work(monkeypatch) -> None:
     """
     A firewall loses the state of the connection to the leader, whose VM is healthy.
 
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("unknown", [False, True])
-async def test_not_run_is_said_only_when_nothing_can_have_been_committed(unknown) -> None:
+async def test_not_run_is_reported_only_when_nothing_can_have_been_committed(unknown) -> None:
     """
     An operator drains an endpoint; the only reply says that the outcome is unknown, and after it
     there is no leader.
@@ -147,7 +147,7 @@
     assert refusal == Refusal(Reason.NO_LEADER, not unknown, 1.0, "no control daemon answered")
 
 
-async def test_a_refused_connection_is_known_not_to_have_run() -> None:
+async def test_a_refused_connection_is_reported_as_not_run() -> None:
     client = ControlClient({"c1": "127.0.0.1:1"})
 
     refusal = await client.propose(DRAIN, "r1", total_s=0.5)
@@ -156,7 +156,7 @@
     await client.stop()
 
 
-async def test_a_channel_that_another_call_gave_up_cancels_no_caller(monkeypatch) -> None:
+async def test_replacing_a_channel_cancels_no_call_that_uses_it(monkeypatch) -> None:
     # gRPC cancels the calls that are open on a closed channel. If the CancelledError propagated, it
     # would end a task that was not cancelled.
     monkeypatch.setattr(control_channels, "CLOSE_GRACE_S", 0.1)
--- a/tests/unit/core/test_endpoint_table.py
+++ b/tests/unit/core/test_endpoint_table.py
@@ -29,7 +29,7 @@
     return bool(table.serving("scorer-lm", now))
 
 
-def test_leaving_is_final_until_the_next_start() -> None:
+def test_a_leaving_endpoint_serves_again_only_after_a_restart() -> None:
     # Guards against requests to an endpoint that has announced LEAVING: an earlier SERVING
     # announcement went through another entry and arrives late, or a faulty endpoint announces
     # SERVING again.
@@ -44,7 +44,7 @@
     assert serves(table, 10.3)
 
 
-def test_rumour_does_not_keep_a_dead_endpoint_alive() -> None:
+def test_peers_do_not_renew_each_others_record_of_a_dead_endpoint() -> None:
     # An engine dies. If two entries renewed each other's record of it, requests would be sent to a
     # dead machine until the entries are restarted.
     tables = [EndpointTable(TTL_S), EndpointTable(TTL_S)]
@@ -60,7 +60,7 @@
     assert not any(serves(table, TTL_S + 0.1) for table in tables)
 
 
-def test_refreshes_keep_a_record_alive_and_make_none_up() -> None:
+def test_refreshes_renew_known_records_and_create_none() -> None:
     # A peer receives the complete record once and then only refreshes. A restarted peer receives
     # refreshes of endpoints whose records it does not have, and must not create records from them.
     sender, known, restarted = (EndpointTable(TTL_S) for _ in range(3))
@@ -89,7 +89,7 @@
     assert len(sent.delta(sender.heard(), 20.0).whole) == 1
 
 
-def test_refresh_does_not_bring_a_leaving_endpoint_back() -> None:
+def test_a_refresh_does_not_make_a_leaving_endpoint_serve_again() -> None:
     table = EndpointTable(TTL_S)
     table.take(after(FIRST, state="leaving"), 0.0)
 
@@ -98,7 +98,7 @@
     assert not serves(table, 1.0)
 
 
-def test_refresh_of_another_start_is_not_taken() -> None:
+def test_a_refresh_for_another_incarnation_is_ignored() -> None:
     # An endpoint restarted with other weights. Its refresh must not renew the record of the earlier
     # incarnation.
     table = EndpointTable(TTL_S)
@@ -109,7 +109,7 @@
     assert table.serving("scorer-lm", 1.0) == (FIRST,)
 
 
-def test_gone_endpoint_that_was_only_cut_off_comes_back() -> None:
+def test_an_expired_endpoint_serves_again_after_its_next_announcement() -> None:
     table = EndpointTable(TTL_S)
     table.take(FIRST, 0.0)
 
@@ -119,7 +119,7 @@
     assert serves(table, TTL_S + 2)
 
 
-def test_load_alone_is_not_told_to_the_leader_unless_it_leaves() -> None:
+def test_a_load_change_is_sent_to_the_leader_only_for_a_leaving_endpoint() -> None:
     table = EndpointTable(TTL_S)
     table.take(FIRST, 0.0)
     table.changed.clear()
@@ -135,7 +135,7 @@
     assert table.changed == {"scorer-1"}
 
 
-def test_equal_tables_have_equal_digests_whatever_their_order() -> None:
+def test_equal_tables_have_equal_digests_regardless_of_order() -> None:
     second = dataclasses.replace(FIRST, endpoint="scorer-2")
     tables = [EndpointTable(TTL_S), EndpointTable(TTL_S)]
     for table, records in zip(tables, [(FIRST, second), (second, after(FIRST))], strict=True):
--- a/tests/unit/core/test_grpc_runtime.py
+++ b/tests/unit/core/test_grpc_runtime.py
@@ -71,7 +71,7 @@
     assert (ended.returncode, ended.stdout) == (0, "ENDPOINT_SILENT\nstopped\n"), ended.stderr
 
 
-async def test_a_daemon_that_waits_for_descriptors_stops_when_told(monkeypatch) -> None:
+async def test_a_daemon_that_waits_for_descriptors_stops_on_request(monkeypatch) -> None:
     # A daemon that waited for descriptors did not stop on a signal and was killed after its grace
     # period.
     def eventfd(value: int) -> int:
--- a/tests/unit/core/test_guarded_http.py
+++ b/tests/unit/core/test_guarded_http.py
@@ -139,7 +139,7 @@
     assert sum(received) < len(order)
 
 
-async def test_the_library_does_not_send_again_by_itself() -> None:
+async def test_the_http_client_does_not_resend_a_request_by_itself() -> None:
     connections = []
 
     async def hang_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/unit/core/test_retry_after.py
+++ b/tests/unit/core/test_retry_after.py
@@ -18,7 +18,9 @@
         (60.0, MIN_RETRY_AFTER_S),
     ],
 )
-def test_callers_come_back_once_there_may_be_a_leader(monkeypatch, up_s, expected_s) -> None:
+def test_retry_after_lasts_until_a_table_is_expected_after_a_restart(
+    monkeypatch, up_s, expected_s
+) -> None:
     # All processes restart within a second. An entry without a table refuses a lookup; with too
     # small a Retry-After the caller's only retry is refused as well.
     monkeypatch.setattr(directory_view, "PROCESS_STARTED_S", STARTED_S)
--- a/tests/unit/decisions/test_call_window.py
+++ b/tests/unit/decisions/test_call_window.py
@@ -79,7 +79,7 @@
     return refused, waited / lookups, last_s
 
 
-def test_lookups_are_served_beside_the_calls_of_a_step_that_ends() -> None:
+def test_lookups_are_served_while_the_calls_of_an_ending_step_run() -> None:
     # Texts end at five senders at the same time. Without windows their calls fill the slots and the
     # queue of the endpoints: lookups of 25 ms are rejected or wait for the duration of a call.
     refused_unlimited, waited_unlimited, last_unlimited_s = replay(None)
@@ -107,7 +107,7 @@
     assert busy.limit < 4 * INITIAL_LIMIT
 
 
-def test_a_window_takes_no_more_than_its_share_of_the_places() -> None:
+def test_a_call_window_is_limited_to_its_share_of_the_capacity() -> None:
     # The same sender with twice the capacity and with about an eighth of it.
     limits = {}
     for capacity in (5, CAPACITY, 2 * CAPACITY):
--- a/tests/unit/decisions/test_capacity.py
+++ b/tests/unit/decisions/test_capacity.py
@@ -90,7 +90,7 @@
     return fleet
 
 
-def test_the_fleet_is_as_the_rule_says_and_stays() -> None:
+def test_the_fleet_matches_the_rule_and_stays_unchanged() -> None:
     fleet = _started_fleet()
 
     assert (fleet.count(CHEAP), fleet.count(STANDARD)) == (3, 2)
@@ -124,7 +124,7 @@
     assert fleet.stopped == 1
 
 
-def test_an_unavailable_cheap_kind_falls_back_to_the_standard_one_without_a_storm() -> None:
+def test_an_unavailable_cheap_kind_is_replaced_by_the_standard_one_with_few_orders() -> None:
     fleet = _Fleet(WANTED)
     fleet.unavailable = {Place(data_centre, CHEAP) for data_centre in DATA_CENTRES}
 
@@ -143,7 +143,7 @@
     assert (fleet.count(CHEAP), fleet.count(STANDARD)) == (3, 0)
 
 
-def test_an_endpoint_too_many_for_a_moment_is_not_stopped() -> None:
+def test_a_surplus_of_some_seconds_stops_no_endpoint() -> None:
     # A late announcement makes a lost endpoint count as serving for some seconds.
     fleet = _started_fleet()
     fleet.serving["lost"] = Place("derby", STANDARD)
--- a/tests/unit/decisions/test_drain.py
+++ b/tests/unit/decisions/test_drain.py
@@ -24,5 +24,5 @@
         (Draining(0.0, None, 0, False), 120.0, DrainStep.STOP_AT_DEADLINE),
     ],
 )
-def test_steps(draining: Draining, now: float, step: DrainStep) -> None:
+def test_next_step_of_a_drain(draining: Draining, now: float, step: DrainStep) -> None:
     assert next_step(draining, LIMITS, now) is step
--- a/tests/unit/decisions/test_stragglers.py
+++ b/tests/unit/decisions/test_stragglers.py
@@ -67,7 +67,7 @@
     assert choose_moves(runs, frozenset("a"), {"a": 9, "b": 3, "c": 2}, waiting=0) == (2, 1)
 
 
-def test_a_text_does_not_leave_for_places_where_it_may_not_run() -> None:
+def test_a_run_is_moved_only_if_an_allowed_endpoint_has_free_slots() -> None:
     # Right after a trainer has published a new version, only the slow engine has weights that the
     # job accepts. The other engines have free slots, but a run that left the slow engine would be
     # placed on it again at once, repeatedly.
--- a/tests/unit/decisions/test_version_hosts.py
+++ b/tests/unit/decisions/test_version_hosts.py
@@ -76,7 +76,7 @@
     assert hosts_per_model(0, 3) == 0
 
 
-def test_loads_grow_with_the_fleet() -> None:
+def test_concurrent_loads_increase_with_the_number_of_engines() -> None:
     assert [loads_at_once(engines) for engines in (1, 5, 12, 24)] == [2, 2, 4, 9]
 
 
--- a/tests/unit/directory/test_duties.py
+++ b/tests/unit/directory/test_duties.py
@@ -63,7 +63,7 @@
     return leader
 
 
-async def test_a_new_leader_orders_nothing_until_its_predecessors_orders_are_over(leader):
+async def test_a_new_leader_orders_nothing_while_an_earlier_order_may_be_in_transit(leader):
     """
     A leader is frozen while its order is in transit; another takes over and orders at once.
 
@@ -82,7 +82,7 @@
     assert leader.duties.may_order()
 
 
-async def test_holders_that_change_as_fast_as_they_can_take_no_turns_inside_the_gap(leader) -> None:
+async def test_a_leader_elected_again_orders_at_least_the_gap_after_its_last_order(leader) -> None:
     """
     A leader orders and is lost, its successor orders and is lost at once, and the first leads
     again.
@@ -116,7 +116,7 @@
     assert leader.duties.duty() == Duty("core-1", 7)
 
 
-async def test_an_order_does_not_go_out_under_a_later_term(leader, monkeypatch) -> None:
+async def test_an_order_is_not_sent_in_a_later_term(leader, monkeypatch) -> None:
     """
     A leader is deposed and elected again while an order waits; the order carries the old fencing
     number.
--- a/tests/unit/directory/test_service.py
+++ b/tests/unit/directory/test_service.py
@@ -202,7 +202,7 @@
     assert isinstance(await directory.renew(unchanged), Unchanged)
 
 
-async def test_an_operator_is_answered_once_the_entries_in_touch_have_the_change(directory) -> None:
+async def test_an_operator_is_answered_once_all_active_entries_have_the_change(directory) -> None:
     # With an earlier answer, one entry would still forward requests sent after it by the old route.
     directory.led_since = boot_now() - 2 * SESSION_ACTIVE_S
     await directory.renew(renew("1"))
@@ -219,7 +219,7 @@
         assert (await answer).version == 4
 
 
-async def test_a_departure_without_a_start_ends_the_newest_that_is_known(directory) -> None:
+async def test_a_departure_without_incarnation_ends_the_newest_known_one(directory) -> None:
     # Engines announce their departure with an empty body. If such a message were rejected, requests
     # would still be sent to the engine for seconds.
     await directory.endpoints.announce(Announce(ENGINE))
@@ -250,7 +250,7 @@
     )
 
 
-async def test_a_departure_outlives_the_leader_that_heard_it(directory) -> None:
+async def test_a_departure_is_kept_across_a_leader_change(directory) -> None:
     # A delayed announcement with the state `serving` reaches the next leader. Without a record of
     # the departure, that leader would direct requests to the endpoint again.
     await directory.endpoints.announce(Announce(ENGINE))
@@ -263,7 +263,7 @@
     assert directory.endpoints.table.heard() == ()
 
 
-async def test_a_new_leader_knows_the_endpoints_that_joined(directory) -> None:
+async def test_a_new_leader_lists_the_endpoints_announced_to_its_predecessor(directory) -> None:
     # All processes are restarted at the same moment. Until each endpoint has announced itself
     # again, which takes seconds, every request would be rejected although all endpoints serve.
     await directory.endpoints.announce(Announce(ENGINE))
@@ -300,9 +300,7 @@
         await directory.renew(dataclasses.replace(renew(name), role="store", member=member))
 
 
-async def test_a_store_that_is_silent_for_a_moment_ends_no_retirement(
-    directory, monkeypatch
-) -> None:
+async def test_a_short_absence_of_a_store_does_not_end_a_retirement(directory, monkeypatch) -> None:
     # An operator who retires a store while another one restarts would receive the final answer that
     # there are too few stores.
     started_s = boot_now()
@@ -318,7 +316,9 @@
     assert await directory.retire(Retire("1", begin=True)) == Retiring("active")
 
 
-async def test_a_store_that_is_gone_counts_as_one_too_few(directory, monkeypatch) -> None:
+async def test_a_store_without_renewals_past_the_restart_limit_counts_as_lost(
+    directory, monkeypatch
+) -> None:
     # An operator who retires one of too few stores would otherwise wait for a permanently lost
     # store.
     started_s = boot_now()
@@ -329,7 +329,7 @@
     assert await directory.retire(Retire("1", begin=True)) == Retiring("too_few")
 
 
-async def test_enough_stores_stay_for_the_losses_to_be_borne() -> None:
+async def test_a_retirement_leaves_enough_stores_for_the_configured_losses() -> None:
     # Where two stores may be lost at once, three remaining stores survive the loss of only one.
     async with started(dataclasses.replace(SETTINGS, losses=2)) as directory:
         directory.led_since -= SESSION_ACTIVE_S
@@ -338,7 +338,9 @@
         assert await directory.retire(Retire("1", begin=True)) == Retiring("too_few")
 
 
-async def test_a_new_leader_does_not_yet_say_that_there_are_too_few_stores(directory) -> None:
+async def test_a_new_leader_does_not_report_too_few_stores_before_all_can_have_renewed(
+    directory,
+) -> None:
     # An operator who retires a store during a change of the directory's leader would be refused
     # finally: the new leader has received renewals of only some stores.
     await renew_stores(directory, "1", "2", "3")
@@ -346,7 +348,7 @@
     assert isinstance(await directory.retire(Retire("1", begin=True)), Refusal)
 
 
-async def test_a_store_silent_since_the_change_of_leader_is_not_unknown(
+async def test_a_store_not_renewed_since_a_leader_change_is_unknown_only_after_a_limit(
     directory, monkeypatch
 ) -> None:
     # An operator who retires a store that restarts during a change of the directory's leader would
--- a/tests/unit/directory/test_sessions.py
+++ b/tests/unit/directory/test_sessions.py
@@ -25,7 +25,7 @@
     assert sessions.with_older_table(4, 10.2) == ()
 
 
-def test_the_time_of_day_is_that_of_most() -> None:
+def test_the_wall_clock_offset_is_the_median_over_all_daemons() -> None:
     # The leader's clock jumps by two seconds. Requests would be counted in the wrong usage windows,
     # and the reports of all client accounts would be wrong.
     sessions = Sessions()
@@ -54,7 +54,7 @@
     assert sessions.job_leader(9.0) is None
 
 
-def test_counts_of_an_entry_take_the_place_of_its_earlier_ones() -> None:
+def test_later_counts_of_an_entry_replace_its_earlier_ones() -> None:
     # Renewals are resent when their answer is lost; if counts were added up, a request would be
     # billed twice.
     counts = WindowCounts()
--- a/tests/unit/directory/test_state.py
+++ b/tests/unit/directory/test_state.py
@@ -28,7 +28,7 @@
     return PutTable(RouteTable(version), document or b"%d" % version)
 
 
-def test_the_highest_version_is_in_force_in_whatever_order_they_come() -> None:
+def test_the_highest_version_is_in_force_regardless_of_arrival_order() -> None:
     # Two operators change the configuration at once, and the older change is applied last: it must
     # not revert the newer one.
     state = apply_all(put_table(7), put_table(5), put_table(6))
@@ -37,13 +37,13 @@
     assert state.document == b"7"
 
 
-def test_other_content_under_the_version_held_changes_nothing() -> None:
+def test_other_content_with_the_same_version_is_ignored() -> None:
     state = apply_all(put_table(7, b"first"), put_table(7, b"second"))
 
     assert state.document == b"first"
 
 
-def test_a_window_keeps_the_figures_it_was_closed_with() -> None:
+def test_a_closed_window_keeps_its_counts() -> None:
     # A leader reports a window and is deposed; its successor closes the window again with counts
     # that arrived late. Two different sets of counts would be billed for one window.
     state = apply_all(
--- a/tests/unit/entry/lease/test_holding.py
+++ b/tests/unit/entry/lease/test_holding.py
@@ -10,7 +10,7 @@
 WITHDRAWN = f"client_account forge rate 1/s weight 1 {RULE_COMMENT}"
 
 
-def test_a_grant_counts_from_its_sending_however_late_its_answer_comes() -> None:
+def test_a_lease_counts_from_the_sending_of_its_renewal() -> None:
     """
     The reply to a renewal arrives after 10 seconds. By then the leader counts the lease as lapsed
     and has reported to an operator that the key is withdrawn on every entry.
@@ -29,7 +29,7 @@
     assert (refusal.reason, refusal.not_run) == (Reason.LEASE_LAPSED, True)
 
 
-def test_an_older_view_never_comes_back_into_force() -> None:
+def test_an_older_view_never_replaces_a_newer_one() -> None:
     """
     Two replies arrive out of order: the view without the withdrawn key is already in force when the
     older view arrives.
--- a/tests/unit/entry/rollouts/test_gathering.py
+++ b/tests/unit/entry/rollouts/test_gathering.py
@@ -82,7 +82,7 @@
     assert counters.count_by_name["samples.discarded.stale"] == 1
 
 
-async def test_one_winner_of_a_race() -> None:
+async def test_a_sample_with_two_attempts_is_delivered_once() -> None:
     """
     An engine hangs at the end of the last sample; the other samples took milliseconds.
 
--- a/tests/unit/entry/rollouts/test_service.py
+++ b/tests/unit/entry/rollouts/test_service.py
@@ -121,7 +121,7 @@
     return found[0]
 
 
-async def test_an_owner_that_lost_its_step_hands_out_nothing_of_it() -> None:
+async def test_an_owner_that_lost_its_step_returns_no_batch_of_it() -> None:
     """
     An owner that was replaced gets another request for the batch.
 
@@ -144,7 +144,7 @@
     assert again.reason is Reason.OWNER_LOST
 
 
-async def test_a_resend_gets_the_same_bytes_and_an_acknowledged_step_none() -> None:
+async def test_a_batch_is_resent_unchanged_until_its_step_is_acknowledged() -> None:
     first, _, _ = await _two_entries()
     await first.open_step(TRAINER, 1, REQUEST)
     batch = await _batch(first)
@@ -169,7 +169,7 @@
     assert json.loads(owner_batch)["samples"][0]["sample"].startswith(f"{TRAINER}:1:1:")
 
 
-async def test_a_delivery_whose_answer_was_lost_is_made_again_with_the_same_batch() -> None:
+async def test_a_delivery_whose_answer_was_lost_is_repeated_with_the_same_batch() -> None:
     """
     The response to a committed delivery is lost; the trainer publishes versions and retries.
 
@@ -195,7 +195,7 @@
     assert state.batch_digest == json.loads(batch)["digest"]
 
 
-async def test_an_owner_that_dropped_what_it_delivered_takes_its_own_step_over() -> None:
+async def test_an_owner_without_the_delivered_batch_takes_over_its_own_step() -> None:
     first, _, _ = await _two_entries()
     await first.open_step(TRAINER, 1, REQUEST)
     old = await _batch(first)
--- a/tests/unit/entry/usage_meter/test_service.py
+++ b/tests/unit/entry/usage_meter/test_service.py
@@ -29,7 +29,7 @@
         return UsageAdded(command.window)
 
 
-async def test_a_lost_answer_is_followed_by_the_same_batch_and_stop_flushes() -> None:
+async def test_a_batch_is_resent_after_a_lost_answer_and_stop_flushes() -> None:
     client = _ControlClient()
     counters = Counters.from_config(None)
     meter = UsageMeter("e1", 7)
--- a/tests/unit/gateway/test_forward.py
+++ b/tests/unit/gateway/test_forward.py
@@ -143,7 +143,7 @@
                     assert (result.status, result.body) == (200, b"whole")
 
 
-async def test_an_extra_answer_is_never_taken_for_the_next_one() -> None:
+async def test_an_extra_response_is_never_used_for_the_next_request() -> None:
     # An endpoint sends a second response after the first. If the entry took it for the response to
     # the next request on that connection, one caller would receive another caller's data.
     extra = response_bytes() + response_bytes(b"extra", head="Id: r1\r\n")
@@ -168,7 +168,7 @@
             assert len(first.heads) + len(second.heads) == 1
 
 
-async def test_a_request_that_may_run_once_goes_elsewhere_where_it_was_turned_away() -> None:
+async def test_a_request_that_may_run_once_goes_to_another_endpoint_after_a_rejection() -> None:
     rejected = response_bytes(b"", 503, "Id: r1\r\nTurned-Away: 1\r\n")
     async with (
         scripted(lambda head: [rejected]) as first,
--- a/tests/unit/gateway/test_item_run.py
+++ b/tests/unit/gateway/test_item_run.py
@@ -72,7 +72,7 @@
     ],
     ids=["reset", "incomplete event", "missing event", "repeated event"],
 )
-async def test_a_stream_that_breaks_keeps_the_events_before_it(steps) -> None:
+async def test_a_broken_stream_keeps_the_events_before_the_fault(steps) -> None:
     # An engine stops in the middle of an event, or omits or repeats one. Without these checks, a
     # trainer would learn from an incomplete text as if it were complete.
     outcome = await run(steps)
@@ -80,7 +80,7 @@
     assert (outcome.kind, outcome.output, outcome.events) == ("broken", "a\nb", 2)
 
 
-async def test_a_run_that_goes_on_begins_with_the_next_event() -> None:
+async def test_a_resumed_run_starts_with_the_next_event() -> None:
     outcome = await run([HEAD, chunk(b"3 c\n\n"), LAST_CHUNK], resume_after=2)
     assert (outcome.kind, outcome.output) == ("done", "c")
 
@@ -88,7 +88,7 @@
     assert (unexpected.kind, unexpected.events) == ("broken", 0)
 
 
-async def test_a_text_without_a_version_is_thrown_away() -> None:
+async def test_a_text_without_a_version_is_discarded() -> None:
     # The weight version is never guessed: weights of any age may have made the text.
     head = HEAD.replace(b"Version: 4\r\n", b"")
 
--- a/tests/unit/gateway/test_result_reads.py
+++ b/tests/unit/gateway/test_result_reads.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("applied", [0, 25])
-async def test_what_a_store_has_not_applied_yet_comes_from_the_leader(applied) -> None:
+async def test_results_that_a_store_has_not_applied_are_read_from_the_leader(applied) -> None:
     # A trainer waits for the newest results. Without them in this response, its step would end half
     # a second later.
     stores = _Stores(applied)
--- a/tests/unit/gateway/test_reward_calls.py
+++ b/tests/unit/gateway/test_reward_calls.py
@@ -52,7 +52,7 @@
         yield calls
 
 
-async def test_the_score_is_that_of_a_whole_answer() -> None:
+async def test_the_score_is_read_from_a_complete_response() -> None:
     async with scripted(lambda head: [SCORED_RESPONSE]) as endpoint, calls_to(endpoint) as calls:
         assert await calls.score(REWARD_CALL, 3, boot_now() + 30.0) == "0.7"
 
@@ -60,7 +60,7 @@
     assert "To: e0" in endpoint.heads[0]
 
 
-async def test_an_answer_that_was_cut_short_brings_no_score() -> None:
+async def test_an_incomplete_response_yields_no_score() -> None:
     # The connection is reset in the middle of the response body. The response headers already
     # contain a score, but a score counts only with the complete response.
     responses = iter([[SCORED_RESPONSE[:-3], None], [SCORED_RESPONSE]])
@@ -70,7 +70,7 @@
     assert len(endpoint.heads) == 2
 
 
-async def test_a_call_that_always_fails_ends_after_its_last_try() -> None:
+async def test_a_call_that_always_fails_ends_after_its_last_attempt() -> None:
     # Each send tries two endpoints, and three failures are allowed: the call must not end after the
     # second failure, nor start another send after the third.
     async with (
@@ -86,7 +86,7 @@
     assert len(first.heads) + len(second.heads) == scored.failures
 
 
-async def test_refusals_and_lost_answers_are_no_failures() -> None:
+async def test_rejections_and_lost_responses_do_not_count_as_failures() -> None:
     # The endpoint rejects some calls because it is full, and resets the connection of others. If
     # these counted as failures, a good text would be abandoned when its service is overloaded for
     # a second.
@@ -129,7 +129,7 @@
     assert scored == ScoringFailure("broken", 0)
 
 
-async def test_endpoints_are_told_one_end_at_each_sending() -> None:
+async def test_the_remaining_time_sent_to_endpoints_decreases_with_each_attempt() -> None:
     # If each send gave the endpoint the full time limit again, the endpoint would go on with a call
     # after the deadline of its item.
     async with scripted(lambda head: [REJECTED_RESPONSE]) as endpoint, calls_to(endpoint) as calls:
--- a/tests/unit/jobs/test_dispatcher.py
+++ b/tests/unit/jobs/test_dispatcher.py
@@ -130,7 +130,7 @@
     assert len(examined_keys) == 1
 
 
-def test_work_whose_answer_was_lost_is_given_out_again(harness) -> None:
+def test_an_item_is_assigned_again_after_the_answer_with_it_was_lost(harness) -> None:
     # The answer with an assignment does not reach the runner. If the dispatcher went on to count
     # the item as running, no engine would run it and the trainer would wait until its step times
     # out.
@@ -143,7 +143,7 @@
     }
 
 
-def test_the_work_of_a_runner_that_went_silent_begins_elsewhere(harness) -> None:
+def test_the_items_of_an_unresponsive_runner_are_assigned_to_another(harness) -> None:
     # An entry process is frozen while it runs items. Without a reassignment the trainer would wait
     # until the entry continues.
     first = harness.poll(now=0.0)
@@ -158,7 +158,7 @@
     }
 
 
-def test_a_broken_run_goes_on_after_its_last_whole_event(harness) -> None:
+def test_a_broken_run_resumes_after_its_last_complete_event(harness) -> None:
     # An engine fails after seven seconds of a long text. If the text were generated again from its
     # start, it would be complete too late for the trainer's step.
     number = harness.poll()[0].number
@@ -177,7 +177,7 @@
     assert listed.versions == (4, 5)
 
 
-def test_a_text_of_two_versions_begins_anew_where_one_version_is_asked_for() -> None:
+def test_a_text_of_two_versions_restarts_if_a_single_version_is_required() -> None:
     harness = DispatcherHarness(ENGINE, single_version=True)
     number = harness.poll()[0].number
     harness.end_run(number, "broken", output="a", events=1, versions=(4,))
@@ -192,7 +192,7 @@
     assert next(iter(harness.poll(running=(2,), now=3.0))).resume_after == 0
 
 
-def test_no_text_is_listed_that_older_weights_made() -> None:
+def test_a_text_of_an_older_version_than_allowed_is_not_listed() -> None:
     # A text of an older weight version than the trainer allows must not enter its training.
     harness = DispatcherHarness(ENGINE, min_version=4)
     number = harness.poll()[0].number
@@ -219,7 +219,7 @@
     assert len(harness.poll()) == 2
 
 
-def test_an_item_is_given_up_after_as_many_failures_as_its_route_allows(harness) -> None:
+def test_an_item_is_abandoned_after_as_many_failures_as_its_route_allows(harness) -> None:
     now = 0.0
     for attempt in range(3):
         assigned = [
@@ -294,7 +294,7 @@
     assert reassigned[0].endpoint != "engine-2"
 
 
-def test_a_new_leader_goes_on_after_the_parts_that_are_kept(harness) -> None:
+def test_a_new_leader_resumes_texts_after_their_stored_parts(harness) -> None:
     """
     All machines lose power in the middle of a step, when its texts are partly generated.
 
@@ -325,7 +325,7 @@
     assert (ended.output, ended.versions) == ("a\nb\nc", (4,))
 
 
-def test_a_part_that_comes_twice_is_taken_once(harness) -> None:
+def test_a_part_reported_twice_is_recorded_once(harness) -> None:
     first, _ = harness.poll()
     assert harness.report_part(first.number, 0, "a\nb")
 
--- a/tests/unit/jobs/test_reward_calls.py
+++ b/tests/unit/jobs/test_reward_calls.py
@@ -57,7 +57,7 @@
     assert harness.state.job_by_id["j"].results == [listed]
 
 
-def test_a_whole_text_is_not_listed_without_its_score(harness) -> None:
+def test_a_complete_text_is_not_listed_without_its_score(harness) -> None:
     # A runner of the previous software version does not know reward calls and reports the text as
     # done. If this were listed, a trainer would read a result without a score.
     number = harness.poll()[0].number
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("loss", ["runner", "lost answer", "broken"])
-def test_a_whole_text_goes_on_with_its_reward_call_alone(harness, loss) -> None:
+def test_a_complete_text_resumes_with_its_reward_call_only(harness, loss) -> None:
     # The runner fails or stops, or the answer to its call is lost, while the reward call of a
     # complete text is in progress. If the text were generated again, this would use an engine's
     # time a second time and the result would be too late.
@@ -89,7 +89,7 @@
     assert (listed.output, listed.versions, listed.score) == ("a\nb", (4,), "stamp")
 
 
-def test_a_whole_text_outlives_the_jobs_leader(harness) -> None:
+def test_a_complete_text_is_kept_across_a_change_of_the_jobs_leader(harness) -> None:
     # All stores lose power after the text is complete and before it is scored. The log contains the
     # complete text, so only the reward call is repeated.
     harness.report_complete_text(harness.poll()[0].number)
@@ -186,7 +186,7 @@
     assert (reassigned.endpoint, reassigned.resume_after) == ("engine-1", 0)
 
 
-def test_an_end_stops_reward_calls(harness) -> None:
+def test_closing_a_job_stops_its_reward_calls(harness) -> None:
     from ibisspring_jobs.commands import CloseJob
 
     number = harness.poll()[0].number
--- a/tests/unit/jobs/test_state.py
+++ b/tests/unit/jobs/test_state.py
@@ -40,7 +40,7 @@
     return state
 
 
-def test_a_job_is_kept_once() -> None:
+def test_a_job_submitted_twice_is_stored_once() -> None:
     # The answer to a submission is lost and the trainer submits its job again through another
     # entry. If the job were added twice, its items would run twice and have results at two
     # positions.
@@ -54,7 +54,7 @@
     assert job_record.total == 3
 
 
-def test_a_position_never_changes() -> None:
+def test_the_result_at_a_position_never_changes() -> None:
     # An item was completed on two engines. If the second text replaced the first at its position,
     # the model would be trained on a text other than the one that was read.
     state = state_after(
@@ -71,7 +71,7 @@
     ]
 
 
-def test_an_ended_job_has_nothing_left_to_run() -> None:
+def test_an_ended_job_has_no_items_left_to_run() -> None:
     state = state_after(AcceptJob(job_of()), RecordResults("j", (result("i1"),)), CloseJob("j"))
 
     job_record = state.job_by_id["j"]
--- a/tests/unit/jobs/test_texts_random.py
+++ b/tests/unit/jobs/test_texts_random.py
@@ -207,7 +207,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(SCORED_STEPS)
-def test_a_whole_text_is_scored_and_never_made_again(steps) -> None:
+def test_a_complete_text_is_scored_and_never_generated_again(steps) -> None:
     history = _ScoredHistory()
 
     for action, count in steps:
--- a/tests/unit/platform/test_configuration.py
+++ b/tests/unit/platform/test_configuration.py
@@ -81,7 +81,7 @@
     assert table.accounts[0].keys == ("k1", "k2")
 
 
-def test_what_the_operator_may_not_send_is_refused() -> None:
+def test_an_invalid_configuration_is_refused() -> None:
     # A configuration is truncated in transit, or refers to a service that was renamed. If it were
     # accepted, the routes of half of the callers would be missing.
     route = DOCUMENT["routes"][0]
--- a/tests/unit/platform/test_deploy.py
+++ b/tests/unit/platform/test_deploy.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("machines", [(2, 2, 1), (2, 1, 1, 1)])
-def test_control_outlives_as_many_lost_disks_as_the_largest_sites_name(machines) -> None:
+def test_control_keeps_a_majority_after_the_loss_of_two_disks(machines) -> None:
     # Two machines with control daemons lose their disks at the same moment, right after a
     # configuration was acknowledged. If one machine in each of three data centres runs a control
     # daemon, the remaining one is no majority: the configuration is permanently lost, and no
--- a/tests/unit/platform/test_engines.py
+++ b/tests/unit/platform/test_engines.py
@@ -74,7 +74,7 @@
     assert read_departure("i-1", b"{") is None
 
 
-def test_an_engine_learns_who_calls_from_the_key_alone() -> None:
+def test_the_account_sent_to_an_engine_comes_from_the_api_key_alone() -> None:
     # A caller sets the headers for client account, urgency or lease itself. If these were
     # forwarded, the engine would run the request for another client account and bill it to that
     # account. If the API key were forwarded, the engine could send requests on the caller's behalf.
@@ -90,7 +90,7 @@
         assert name not in names
 
 
-def test_answers_are_told_apart() -> None:
+def test_responses_are_classified_by_status_and_headers() -> None:
     # A late extra answer arrives on a connection where the answer to the next request is expected.
     # If it were forwarded, a caller would receive another client account's data.
     def classify(status: int, *headers: tuple[str, str]) -> Verdict:
--- a/tests/unit/platform/test_hostile_bodies.py
+++ b/tests/unit/platform/test_hostile_bodies.py
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("name", READERS)
 @settings(deadline=None)
 @given(st.data())
-def test_a_body_with_spoiled_bytes_is_refused_or_read(name, data) -> None:
+def test_a_body_with_corrupt_bytes_is_refused_or_read(name, data) -> None:
     body = bytearray(READERS[name][1])
     for _ in range(data.draw(st.integers(1, 4))):
         begin = data.draw(st.integers(0, len(body)))
