--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, each a process of its own."""
+"""Fakes of the external systems: most run as a process, some inside the test."""
--- a/tests/fakes/announcing.py
+++ b/tests/fakes/announcing.py
@@ -1,4 +1,4 @@
-"""Announces a fake endpoint to the entries, as endpoints do."""
+"""Announces a fake endpoint to the entries, as real endpoints do."""
 
 from __future__ import annotations
 
@@ -10,24 +10,29 @@
 
 import aiohttp
 
-EVERY_S = 0.5
+ANNOUNCE_INTERVAL_S = 0.5
 
 
 class Announcer:
-    """Sends the endpoint's announcement to one entry after the other."""
+    """
+    Sends the endpoint's announcement to one entry after the other.
+
+    :param entries: base URLs of the entries.
+    :param fields: returns the fields of an announcement except incarnation, sequence and state.
+    """
 
     def __init__(self, entries: tuple[str, ...], fields: Callable[[], dict[str, Any]]) -> None:
         self.entries = entries
         self.fields = fields
         self.state = "serving"
-        self.muted = False
+        self.paused = False
         self.incarnation = time.time_ns() // 1_000_000
-        self.left = False
+        self.has_left = False
         self.accepted_by: set[str] = set()
         self._sequence = itertools.count(1)
 
     def announcement(self) -> dict[str, Any]:
-        """The announcement as it would be sent now."""
+        """Return a new announcement with the next sequence number."""
         return {
             "incarnation": self.incarnation,
             "sequence": next(self._sequence),
@@ -36,20 +41,20 @@
         }
 
     async def run(self) -> None:
-        """Announce for ever; an entry that does not answer is passed over."""
+        """Send announcements until cancelled; errors of single entries are ignored."""
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=2)) as session:
             for url in itertools.cycle(self.entries):
-                if not self.muted:
+                if not self.paused:
                     await self._send(session, url)
-                await asyncio.sleep(EVERY_S / len(self.entries))
+                await asyncio.sleep(ANNOUNCE_INTERVAL_S / len(self.entries))
 
     async def leave(self) -> None:
-        """Tell every entry that this endpoint leaves."""
+        """Announce the state `leaving` to every entry."""
         self.state = "leaving"
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=2)) as session:
             for url in self.entries:
                 await self._send(session, url)
-        self.left = True
+        self.has_left = True
 
     async def _send(self, session: aiohttp.ClientSession, url: str) -> None:
         try:
@@ -61,7 +66,13 @@
 
 
 async def serve(app: Any, listen: str, announcer: Announcer, idle: Callable[[], bool]) -> None:
-    """Serve until SIGTERM, then leave: no new work is expected, what runs is finished."""
+    """
+    Serve HTTP until SIGTERM, then announce `leaving` and finish the running requests.
+
+    `app["stopping"]` is set to an event that stops the server in the same way.
+
+    :param idle: returns whether no request is running.
+    """
     import signal
 
     from aiohttp import web
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -1,4 +1,4 @@
-"""A model engine: streams tokens, swaps weights, and fails as engines fail."""
+"""A fake model engine that streams tokens and loads weights, with faults that tests switch on."""
 
 from __future__ import annotations
 
@@ -19,24 +19,35 @@
 
 
 def token_at(prompt: str, offset: int) -> int:
-    """The token that every engine makes there: whole answers can be told by comparing."""
+    """
+    Return the token that every fake engine generates at this offset of the answer.
+
+    Tests compare a received answer with these tokens to check that it is complete.
+    """
     return zlib.crc32(f"{prompt}:{offset}".encode()) % 32_000
 
 
 class Engine:
-    """The engine's state; `faults` are switched by `POST /fault`."""
+    """
+    The engine's state; `POST /fault` sets `faults`.
+
+    :param version_by_adapter: version that generates the tokens.
+    :param announced_by_adapter: version that is announced although it is not loaded (`load_lies`).
+    :param requests: record of all generation requests, which `GET /log` returns.
+    :param prefixes: digests of the prompts' prefixes, the most recently used last.
+    """
 
     def __init__(self, **options: Any) -> None:
         self.options = options
         self.version_by_adapter: dict[str, int] = {"": options["version"]}
-        self.claimed_by_adapter: dict[str, int] = {}
+        self.announced_by_adapter: dict[str, int] = {}
         self.faults: dict[str, Any] = {}
         self.requests: list[dict[str, Any]] = []
         self.orders: dict[str, dict[str, Any]] = {}
         self.offset_by_request: dict[str, int] = {}
         self.cancelled: set[str] = set()
         self.running: set[str] = set()
-        self.waiting = 0
+        self.queued = 0
         self.fencing = 0
         self.prefixes: list[str] = []
         self.slots = asyncio.Semaphore(options["capacity"])
@@ -49,10 +60,10 @@
             "kind": self.options["kind"],
             "data_centre": self.options["data_centre"],
             "address": self.options["advertise"] or self.options["listen"],
-            "version_by_adapter": {**self.version_by_adapter, **self.claimed_by_adapter},
+            "version_by_adapter": {**self.version_by_adapter, **self.announced_by_adapter},
             "load": {
                 "running": len(self.running),
-                "queued": self.waiting,
+                "queued": self.queued,
                 "capacity": self.options["capacity"],
             },
             "prefixes": self.prefixes[-32:],
@@ -62,7 +73,7 @@
     async def generate(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
         request_id = body["request_id"]
-        entry = {
+        record = {
             "request_id": request_id,
             "prompt": body["prompt"],
             "headers": {name.lower(): value for name, value in request.headers.items()},
@@ -71,79 +82,81 @@
             "versions": [],
             "ended": "",
         }
-        self.requests.append(entry)
+        self.requests.append(record)
         if self.faults.get("refuse"):
-            entry["ended"] = "refused"
+            record["ended"] = "refused"
             return web.json_response({"not_run": True}, status=503)
-        self.waiting += 1
+        self.queued += 1
         try:
             await self.slots.acquire()
         finally:
-            self.waiting -= 1
+            self.queued -= 1
         self.running.add(request_id)
         try:
-            return await self._stream(request, body, entry)
+            return await self._stream(request, body, record)
         except (ConnectionError, asyncio.CancelledError):
-            entry["ended"] = "broken"
+            record["ended"] = "broken"
             raise
         finally:
             self.running.discard(request_id)
             self.slots.release()
 
     async def _stream(
-        self, request: web.Request, body: dict[str, Any], entry: dict[str, Any]
+        self, request: web.Request, body: dict[str, Any], record: dict[str, Any]
     ) -> web.StreamResponse:
         request_id = body["request_id"]
-        told_id = request_id
+        answered_id = request_id
         if self.faults.get("cross", 0) > 0:
             self.faults["cross"] -= 1
-            told_id = "another-request"
-        response = web.StreamResponse(headers={"X-Request-Id": told_id})
+            answered_id = "another-request"
+        response = web.StreamResponse(headers={"X-Request-Id": answered_id})
         response.content_type = "application/x-ndjson"
-        self._cache(body["prompt"])
+        self._record_prefix(body["prompt"])
         await response.prepare(request)
         offset = len(body["resume_tokens"])
         if self.faults.get("crash_after") == 0:
             os._exit(1)
         while offset < body["max_tokens"]:
-            await self._pace(CHUNK_TOKENS)
+            await self._wait_for_tokens(CHUNK_TOKENS)
             if request_id in self.cancelled:
-                entry["ended"] = "cancelled"
+                record["ended"] = "cancelled"
                 return response
             count = min(CHUNK_TOKENS, body["max_tokens"] - offset)
-            line_id = told_id
+            line_id = answered_id
             if self.faults.get("cross_line_at", 1 << 60) <= offset:
                 del self.faults["cross_line_at"]
                 line_id = "another-request"
             line = self._line(line_id, body, offset, count)
-            entry["made"] += count
-            entry["versions"] += [self.version_of(body["adapter"])] * count
+            record["made"] += count
+            record["versions"] += [self.version_of(body["adapter"])] * count
             offset += count
             self.offset_by_request[request_id] = offset
             await self._write(response, line)
-            if entry["made"] >= self.faults.get("crash_after", 1 << 60):
+            if record["made"] >= self.faults.get("crash_after", 1 << 60):
                 os._exit(1)
         if not self.faults.get("no_end_mark"):
-            await self._write(response, {"request_id": told_id, "done": True, "total": offset})
-        entry["ended"] = "done"
+            await self._write(response, {"request_id": answered_id, "done": True, "total": offset})
+        record["ended"] = "done"
         return response
 
-    async def _pace(self, count: int) -> None:
+    async def _wait_for_tokens(self, count: int) -> None:
         while self.faults.get("stall"):
             await asyncio.sleep(0.05)
         await asyncio.sleep(count * self.faults.get("slow", 1) / self.options["tokens_per_s"])
 
     def version_of(self, adapter: str) -> int:
-        """The version that truly makes the tokens now."""
+        """Return the version that generates the tokens now, whatever is announced."""
         return self.version_by_adapter.get(adapter, self.version_by_adapter[""])
 
-    def _line(self, told_id: str, body: dict[str, Any], offset: int, count: int) -> dict[str, Any]:
-        # A line under another request's id holds that one's tokens.
-        prompt = body["prompt"] if told_id == body["request_id"] else told_id
-        tokens = [token_at(prompt, offset + place) for place in range(count)]
+    def _line(
+        self, answered_id: str, body: dict[str, Any], offset: int, count: int
+    ) -> dict[str, Any]:
+        # A line with another request's id contains the tokens of that request.
+        prompt = body["prompt"] if answered_id == body["request_id"] else answered_id
+        tokens = [token_at(prompt, offset + index) for index in range(count)]
         version = self.version_of(body["adapter"])
         line = {
-            "request_id": told_id,
+            "request_id": answered_id,
             "offset": offset,
             "tokens": tokens,
             "text": "".join(f"{token} " for token in tokens),
@@ -158,7 +171,7 @@
 
         await response.write(json.dumps(line).encode() + b"\n")
 
-    def _cache(self, prompt: str) -> None:
+    def _record_prefix(self, prompt: str) -> None:
         digest = xxhash.xxh64_hexdigest(prompt[:PREFIX_CHARACTERS].encode())
         if digest in self.prefixes:
             self.prefixes.remove(digest)
@@ -203,19 +216,24 @@
             order["failed"] = "load"
             return
         if self.faults.get("load_lies"):
-            self.claimed_by_adapter[adapter] = version
+            self.announced_by_adapter[adapter] = version
             return
         self.version_by_adapter[adapter] = version
 
     async def fault(self, request: web.Request) -> web.Response:
-        """`{"name": value, …}`; `announcing: false` mutes it, `crash` ends it, `swap` swaps now."""
-        asked = await request.json()
-        if asked.get("crash"):
+        """
+        Set the faults of the JSON body `{"name": value, …}`.
+
+        Three keys act at once: `crash` ends the process, `announcing` switches the announcements on
+        or off, and `swap` replaces versions by adapter during running requests.
+        """
+        changes = await request.json()
+        if changes.get("crash"):
             os._exit(1)
-        if "announcing" in asked:
-            request.app["announcer"].muted = not asked.pop("announcing")
-        self.version_by_adapter.update(asked.pop("swap", {}))
-        self.faults.update(asked)
+        if "announcing" in changes:
+            request.app["announcer"].paused = not changes.pop("announcing")
+        self.version_by_adapter.update(changes.pop("swap", {}))
+        self.faults.update(changes)
         return web.json_response(self.faults)
 
     async def log(self, request: web.Request) -> web.Response:
@@ -224,7 +242,7 @@
                 "requests": self.requests,
                 "orders": list(self.orders.values()),
                 "accepted_by": list(request.app["announcer"].accepted_by),
-                "left": request.app["announcer"].left,
+                "left": request.app["announcer"].has_left,
             }
         )
 
@@ -233,8 +251,8 @@
 @click.option("--endpoint", required=True)
 @click.option("--service", default="scorer-lm")
 @click.option("--listen", required=True)
-@click.option("--advertise", default="", help="Announced address where a proxy stands before it.")
-@click.option("--entry", "entries", multiple=True, required=True, help="Entry's base URL.")
+@click.option("--advertise", default="", help="Address to announce, such as that of a proxy.")
+@click.option("--entry", "entries", multiple=True, required=True, help="Base URL of an entry.")
 @click.option("--data-centre", default="birmingham")
 @click.option("--kind", default="standard")
 @click.option("--version", default=1)
--- a/tests/fakes/plain.py
+++ b/tests/fakes/plain.py
@@ -1,4 +1,4 @@
-"""A plain service: counts what it ran, and fails as services fail."""
+"""A fake plain service that records its calls, with faults that tests switch on."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Plain:
-    """The service's state; `faults` are switched by `POST /fault`."""
+    """The service's state; `POST /fault` sets `faults` and `GET /log` returns `calls`."""
 
     def __init__(self, **options: Any) -> None:
         self.options = options
@@ -71,13 +71,18 @@
         return web.json_response(answer, status=status, headers=headers)
 
     async def fault(self, request: web.Request) -> web.Response:
-        """`{"name": value, …}`; `crash` ends the process, `announcing: false` mutes it."""
-        asked = await request.json()
-        if asked.get("crash"):
+        """
+        Set the faults of the JSON body `{"name": value, …}`.
+
+        Two keys act at once: `crash` ends the process, `announcing` switches the announcements on
+        or off.
+        """
+        changes = await request.json()
+        if changes.get("crash"):
             os._exit(1)
-        if "announcing" in asked:
-            request.app["announcer"].muted = not asked.pop("announcing")
-        self.faults.update(asked)
+        if "announcing" in changes:
+            request.app["announcer"].paused = not changes.pop("announcing")
+        self.faults.update(changes)
         return web.json_response(self.faults)
 
     async def log(self, request: web.Request) -> web.Response:
@@ -90,8 +95,8 @@
 @click.option("--endpoint", required=True)
 @click.option("--service", default="archive-app")
 @click.option("--listen", required=True)
-@click.option("--advertise", default="", help="Announced address where a proxy stands before it.")
-@click.option("--entry", "entries", multiple=True, required=True, help="Entry's base URL.")
+@click.option("--advertise", default="", help="Address to announce, such as that of a proxy.")
+@click.option("--entry", "entries", multiple=True, required=True, help="Base URL of an entry.")
 @click.option("--data-centre", default="birmingham")
 @click.option("--kind", default="standard")
 @click.option("--capacity", default=32)
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -1,8 +1,8 @@
 """
-A stand-in for the platform's orders interface; `python -m fakes.platform --listen IP:PORT`.
+A fake of the platform's interface for orders; run `python -m fakes.platform --listen IP:PORT`.
 
-It records who sent what under which fencing number, when each order's bytes had arrived, and can be
-told to delay, refuse, lack a kind, work without answering, and reclaim endpoints.
+It records each order with its sender, fencing number and time of receipt. Faults make it delay or
+refuse orders, have no machines of some kinds, or carry out orders without answering.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass
 class Faults:
-    """What goes wrong; set by `POST /fault` with these fields."""
+    """The faults, which `POST /fault` sets by these field names."""
 
     delay_s: float = 0.0
     answer_late_s: float = 0.0
@@ -32,7 +32,7 @@
 
 @dataclass
 class Sent:
-    """One order as it arrived."""
+    """An order as it was received."""
 
     order_id: str
     fencing: int
@@ -43,12 +43,12 @@
 
 
 class Platform:
-    """The record and the endpoints that it believes run."""
+    """The received orders, their outcomes, and the endpoints started and stopped by them."""
 
     def __init__(self) -> None:
         self.faults = Faults()
         self.sent: list[Sent] = []
-        self.end_by_order: dict[str, dict[str, str]] = {}
+        self.outcome_by_order: dict[str, dict[str, str]] = {}
         self.highest_fencing = 0
         self.started: list[dict[str, Any]] = []
         self.stopped: list[str] = []
@@ -70,17 +70,21 @@
         if self.faults.check_fencing and order["fencing"] < self.highest_fencing:
             return web.json_response({"detail": "old fencing number"}, status=409)
         self.highest_fencing = max(self.highest_fencing, order["fencing"])
-        if order["order_id"] not in self.end_by_order:
-            self.end_by_order[order["order_id"]] = self._carry_out(order)
+        if order["order_id"] not in self.outcome_by_order:
+            self.outcome_by_order[order["order_id"]] = self._carry_out(order)
         await asyncio.sleep(self.faults.answer_late_s)
         if self.faults.drop_answer:
             request.transport.abort()
-        return web.json_response(self.end_by_order[order["order_id"]])
+        return web.json_response(self.outcome_by_order[order["order_id"]])
 
     def _carry_out(self, order: dict[str, Any]) -> dict[str, str]:
         order_id = order["order_id"]
         if self.faults.refuse:
-            return {"order_id": order_id, "outcome": "refused", "detail": "told to"}
+            return {
+                "order_id": order_id,
+                "outcome": "refused",
+                "detail": "refused by the fault `refuse`",
+            }
         kind = f"{order.get('data_centre', '')}/{order.get('kind', '')}"
         if order.get("action") == "start" and kind in self.faults.unavailable:
             return {"order_id": order_id, "outcome": "unavailable", "detail": kind}
@@ -91,10 +95,10 @@
         return {"order_id": order_id, "outcome": "done", "detail": ""}
 
     async def ask(self, request: web.Request) -> web.Response:
-        end = self.end_by_order.get(request.match_info["order_id"])
-        if end is None:
+        outcome = self.outcome_by_order.get(request.match_info["order_id"])
+        if outcome is None:
             return web.json_response({}, status=404)
-        return web.json_response(end)
+        return web.json_response(outcome)
 
     async def log(self, request: web.Request) -> web.Response:
         return web.json_response(
@@ -114,7 +118,7 @@
     """
     Build the HTTP application.
 
-    :param platform: its state.
+    :param platform: the state that the handlers use.
     :return: the application.
     """
     app = web.Application()
@@ -128,7 +132,7 @@
 @click.command()
 @click.option("--listen", required=True, help="IP:port.")
 def main(listen: str) -> None:
-    """Run the stand-in until it is ended."""
+    """Run the fake platform until it receives SIGTERM."""
     host, _, port = listen.rpartition(":")
     web.run_app(build_app(Platform()), host=host, port=int(port), print=None)
 
--- a/tests/fakes/platform_engine.py
+++ b/tests/fakes/platform_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for an engine of the users' platform: it beats, answers calls, streams runs, loads."""
+"""A fake engine of the users' platform: heartbeats, calls, streamed runs and orders to load."""
 
 from __future__ import annotations
 
@@ -9,25 +9,29 @@
 import aiohttp
 from aiohttp import web
 
-BEAT_S = 0.3
-EVENT_S = 0.01
+HEARTBEAT_INTERVAL_S = 0.3
+EVENT_INTERVAL_S = 0.01
 
 
 @dataclass
 class PlatformEngine:
     """
-    One engine.
+    A fake engine.
 
-    :param controls: IP:port of the control daemons.
-    :param events: events of each run.
+    :param controls: IP:port of the control daemons, which get the heartbeats.
+    :param models: weight version by model.
+    :param events: number of events of each run.
     :param event_s: seconds between the events of a run.
     :param answer_s: seconds until a call is answered.
-    :param failing: ids of the calls that are always answered 500.
-    :param break_after: events after which the connection of a run breaks.
-    :param runs: ids of the requests that ran, in order.
-    :param running: ids of the texts that are being written now.
+    :param failing: attempt ids of the calls that are always answered 500.
+    :param break_after: number of events after which the connection of a run is reset; None: never.
+    :param runs: attempt ids of the requests that ran, in order.
+    :param running: attempt ids of the runs whose events are being streamed.
+    :param heads: headers of the requests that ran, by lower-case name, in the order of `runs`.
     :param orders: bodies of the orders that were accepted.
-    :param acknowledged: states whose heartbeat was answered.
+    :param acknowledged: states that were in a heartbeat answered with 200.
+    :param sequence: sequence number of the last heartbeat.
+    :param born: time at which the engine was created, in milliseconds since the epoch.
     """
 
     engine: str
@@ -37,7 +41,7 @@
     models: dict[str, int] = field(default_factory=dict)
     slots: int = 4
     events: int = 5
-    event_s: float = EVENT_S
+    event_s: float = EVENT_INTERVAL_S
     answer_s: float = 0.0
     failing: set[str] = field(default_factory=set)
     break_after: int | None = None
@@ -51,7 +55,7 @@
     born: int = field(default_factory=lambda: int(time.time() * 1000))
 
     async def start(self) -> None:
-        """Listen and begin to beat."""
+        """Start the server and the heartbeats."""
         app = web.Application()
         app.router.add_get("/v1/report", self._report)
         app.router.add_post("/v1/order", self._order)
@@ -60,33 +64,33 @@
         await self._runner.setup()
         host, port = self.address.split(":")
         await web.TCPSite(self._runner, host, int(port)).start()
-        self._beats = asyncio.create_task(self._beat())
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
     async def stop(self) -> None:
-        """Crash: say nothing more."""
-        self._beats.cancel()
+        """Stop as in a crash, without a last heartbeat."""
+        self._heartbeat_task.cancel()
         await self._runner.cleanup()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         timeout = aiohttp.ClientTimeout(total=1.0)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            turn = 0
+            count = 0
             while True:
-                turn += 1
+                count += 1
                 self.sequence += 1
-                url = f"http://{self.controls[turn % len(self.controls)]}"
+                url = f"http://{self.controls[count % len(self.controls)]}"
                 try:
                     path = f"/v1/Instances.Heartbeat/{self.engine}"
-                    said = self._said()
-                    async with session.post(url + path, json=said) as answer:
+                    heartbeat = self._heartbeat()
+                    async with session.post(url + path, json=heartbeat) as answer:
                         await answer.read()
                         if answer.status == 200:
-                            self.acknowledged.add(said["state"])
+                            self.acknowledged.add(heartbeat["state"])
                 except (aiohttp.ClientError, TimeoutError):
                     pass
-                await asyncio.sleep(BEAT_S)
+                await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    def _said(self) -> dict:
+    def _heartbeat(self) -> dict:
         models = [{"name": n, "version": v, "adapters": []} for n, v in self.models.items()]
         return {
             "service": self.service,
@@ -113,40 +117,50 @@
 
     async def _run(self, request: web.Request) -> web.StreamResponse:
         await request.read()
-        said = {name.lower(): value for name, value in request.headers.items()}
-        if said.get("expect-instance") != self.engine:
+        request_headers = {name.lower(): value for name, value in request.headers.items()}
+        if request_headers.get("expect-instance") != self.engine:
             return web.Response(status=421, headers={"Instance-Id": self.engine})
-        model = said.get("model", "")
+        model = request_headers.get("model", "")
         version = self.models.get(model, 0)
-        if "expect-version" in said and int(said["expect-version"]) != version:
+        if (
+            "expect-version" in request_headers
+            and int(request_headers["expect-version"]) != version
+        ):
             return web.Response(status=421, headers={"Instance-Id": self.engine})
-        self.runs.append(said["attempt-id"])
-        self.heads.append(said)
-        own = {"Attempt-Id": said["attempt-id"], "Server-Stamp": f"stamp-{self.engine}"}
+        self.runs.append(request_headers["attempt-id"])
+        self.heads.append(request_headers)
+        response_headers = {
+            "Attempt-Id": request_headers["attempt-id"],
+            "Server-Stamp": f"stamp-{self.engine}",
+        }
         if not model:
             await asyncio.sleep(self.answer_s)
-            status = 500 if said["attempt-id"] in self.failing else 200
-            return web.Response(status=status, body=request.path.encode(), headers=own)
-        return await self._stream(request, said, {**own, "Weight-Versions": str(version)})
-
-    async def _stream(self, request: web.Request, said: dict, headers: dict) -> web.StreamResponse:
-        self.running.append(said["attempt-id"])
+            status = 500 if request_headers["attempt-id"] in self.failing else 200
+            return web.Response(status=status, body=request.path.encode(), headers=response_headers)
+        return await self._stream(
+            request, request_headers, {**response_headers, "Weight-Versions": str(version)}
+        )
+
+    async def _stream(
+        self, request: web.Request, request_headers: dict, headers: dict
+    ) -> web.StreamResponse:
+        self.running.append(request_headers["attempt-id"])
         try:
-            return await self._write_events(request, said, headers)
+            return await self._write_events(request, request_headers, headers)
         finally:
-            self.running.remove(said["attempt-id"])
+            self.running.remove(request_headers["attempt-id"])
 
     async def _write_events(
-        self, request: web.Request, said: dict, headers: dict
+        self, request: web.Request, request_headers: dict, headers: dict
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
         await response.prepare(request)
-        for number in range(int(said.get("last-event-id", 0)) + 1, self.events + 1):
+        for number in range(int(request_headers.get("last-event-id", 0)) + 1, self.events + 1):
             await asyncio.sleep(self.event_s)
             if self.break_after is not None and number > self.break_after:
                 request.transport.abort()
                 return response
-            text = f"{said['attempt-id']}-{number}"
+            text = f"{request_headers['attempt-id']}-{number}"
             await response.write(f"id: {number}\ndata: {text}\n\n".encode())
         await response.write_eof()
         return response
--- a/tests/fakes/replica.py
+++ b/tests/fakes/replica.py
@@ -1,6 +1,4 @@
-"""
-A control replica with a state machine of two lines and an HTTP interface, for the consensus tests.
-"""
+"""A control replica with a list of lines as state and an HTTP interface, for consensus tests."""
 
 from __future__ import annotations
 
@@ -22,7 +20,7 @@
 
 
 class Lines:
-    """Remembers every command in order."""
+    """A state machine that keeps the text of all commands and their log indexes, in order."""
 
     name = "state"
 
@@ -31,10 +29,10 @@
         self.indexes: list[int] = []
 
     async def start(self, kernel: Kernel) -> None:
-        """Nothing to start."""
+        """No-op: the state is in memory."""
 
     async def stop(self) -> None:
-        """Nothing to stop."""
+        """No-op: the state is in memory."""
 
     def apply(self, index: int, data: bytes) -> bytes:
         self.lines.append(data.decode())
@@ -49,7 +47,7 @@
 
 
 class Api:
-    """Proposals and reads over HTTP."""
+    """HTTP interface to propose commands and to read the state."""
 
     def __init__(self, node: ConsensusNode, state: Lines) -> None:
         self.node = node
--- a/tests/fakes/scorer.py
+++ b/tests/fakes/scorer.py
@@ -1,4 +1,4 @@
-"""A scoring service that announces itself and can send late, old or crossed scores."""
+"""A fake scorer that can answer late, for another version or under another batch's id."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 class Scorer:
     """
-    Scores a sample by its length.
+    Scores each sample by its number of tokens.
 
-    `POST /fault` sets `version_off` (added to the version that a score is for), `crossed` (answers
-    under another batch's id), `omit` (leaves the last score out), `delay_s` and `times` (how many
-    batches are hit; -1 for all).
+    `POST /fault` sets these faults: `version_off` is added to the version of each score, `crossed`
+    answers under another batch's id, `omit` leaves out the last score, `delay_s` delays the answer.
+    `times` is the number of batches that the faults affect; -1 affects all.
     """
 
     def __init__(self) -> None:
--- a/tests/fakes/scripted_endpoint.py
+++ b/tests/fakes/scripted_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that answers each request with bytes that a test wrote."""
+"""An endpoint that answers each request with the bytes that a test gives."""
 
 from __future__ import annotations
 
@@ -11,9 +11,13 @@
 @dataclass
 class ScriptedEndpoint:
     """
-    One listener; `script` gets the head of each request and returns what is sent.
+    A TCP server with scripted answers.
 
-    :param heads: heads of the requests that came in, in order.
+    :param script: returns the steps of an answer, given the head of its request: bytes to send, a
+        pause in seconds as float, or None to reset the connection.
+    :param heads: heads of the received requests, in order.
+    :param opened: number of accepted connections.
+    :param closed: number of connections that the client closed or reset.
     """
 
     script: Callable[[str], list[bytes | float | None]]
@@ -48,7 +52,7 @@
 
 @asynccontextmanager
 async def scripted(script: Callable[[str], list[bytes | float | None]]):
-    """Run an endpoint; a float in its script is a pause in seconds, None resets the connection."""
+    """Run a `ScriptedEndpoint` on a free loopback port until the end of the block."""
     endpoint = ScriptedEndpoint(script)
     server = await asyncio.start_server(endpoint._serve, "127.0.0.1", 0)
     endpoint.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
--- a/tests/fakes/still_server.py
+++ b/tests/fakes/still_server.py
@@ -1,4 +1,4 @@
-"""Stand-in for a daemon's peer server: parts register with it, and nobody calls."""
+"""A stand-in for a daemon's peer server on which services register but which gets no calls."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class StillServer:
-    """The service `peer_server` without a listener."""
+    """The kernel service `peer_server` without a listener; registered handlers are ignored."""
 
     name = "peer_server"
 
--- a/tests/fakes/trainer.py
+++ b/tests/fakes/trainer.py
@@ -1,4 +1,4 @@
-"""A trainer: opens steps, fetches batches, acknowledges and publishes versions."""
+"""A fake trainer that opens steps, fetches and acknowledges batches, and publishes versions."""
 
 from __future__ import annotations
 
@@ -12,8 +12,14 @@
 
 
 class Trainer:
-    """Speaks the trainers' interface through any of several entries, the next one after a
-    failure."""
+    """
+    Client of the trainers' interface.
+
+    `entry` is an index into `entries`; `run_step` uses the next entry after a failure.
+
+    :param entries: base URLs of the entries.
+    :param idle_s: total time that `run_step` took until complete batches, in seconds.
+    """
 
     def __init__(self, name: str, key: str, entries: tuple[str, ...]) -> None:
         self.name = name
@@ -24,7 +30,7 @@
     async def ask(
         self, method: str, path: str, body: Any = None, entry: int = 0, bound_s: float = 10.0
     ) -> tuple[int, Any]:
-        """One request through one entry: status and JSON; status 0 where no answer came."""
+        """Send a request to an entry; return its status and JSON, or status 0 without an answer."""
         url = f"{self.entries[entry % len(self.entries)]}/v1/trainers/{self.name}{path}"
         headers = {"Authorization": f"Bearer {self.key}"}
         timeout = aiohttp.ClientTimeout(total=bound_s)
@@ -50,27 +56,33 @@
         return await self.ask("POST", "/versions", {"model": model, "version": version}, entry)
 
     async def run_step(self, step: int, body: Any, bound_s: float = 120.0) -> Any:
-        """Open a step and ask, through one entry after another, until its batch is there."""
-        begun = time.monotonic()
+        """
+        Open a step and fetch its batch until the batch is complete, and return it.
+
+        After an answer that is neither 200 nor 202 the step is opened at the next entry.
+
+        :raises AssertionError: if the batch is not complete within `bound_s`.
+        """
+        started_at = time.monotonic()
         entry = 0
         opened = False
-        while time.monotonic() - begun < bound_s:
+        while time.monotonic() - started_at < bound_s:
             if not opened:
                 status, _ = await self.open_step(step, body, entry)
                 opened = status == 200
             status, answer = await self.fetch(step, entry) if opened else (0, {})
             if status == 200:
-                self.idle_s += time.monotonic() - begun
+                self.idle_s += time.monotonic() - started_at
                 return answer
             if status != 202:
                 entry += 1
                 opened = False
             await asyncio.sleep(0.05)
-        raise AssertionError(f"step {step} was not whole within {bound_s} s")
+        raise AssertionError(f"step {step} was not complete within {bound_s} s")
 
 
 def step_body(model: str, groups: int, group_size: int, max_tokens: int, scorer: str = "") -> Any:
-    """A step's request with numbered prompts."""
+    """Return the body of a request to open a step, with numbered prompts."""
     return {
         "model": model,
         "group_size": group_size,
@@ -81,7 +93,7 @@
 
 
 async def train(trainer: Trainer, model: str, steps: int, body: Any) -> None:
-    """Run steps one after the other, each followed by a new version, and print what came."""
+    """Run steps in sequence, publish a version after each and print a summary of each batch."""
     for step in range(1, steps + 1):
         batch = await trainer.run_step(step, body)
         await trainer.acknowledge(step, batch["digest"])
@@ -93,8 +105,8 @@
 
 @click.command()
 @click.option("--entry", "entries", multiple=True, required=True, help="Base URL of an entry.")
-@click.option("--name", required=True, help="The trainer's name.")
-@click.option("--key", required=True, help="Key of its client account.")
+@click.option("--name", required=True, help="Name of the trainer.")
+@click.option("--key", required=True, help="API key of the trainer's client account.")
 @click.option("--model", required=True)
 @click.option("--steps", default=3)
 @click.option("--groups", default=4)
@@ -112,7 +124,7 @@
     max_tokens: int,
     scorer: str,
 ) -> None:
-    """Run the trainer."""
+    """Run a fake trainer for a number of steps."""
     body = step_body(model, groups, group_size, max_tokens, scorer)
     asyncio.run(train(Trainer(name, key, entries), model, steps, body))
 
--- a/tests/fakes/usage.py
+++ b/tests/fakes/usage.py
@@ -1,8 +1,8 @@
 """
-A stand-in for the usage interface; `python -m fakes.usage --listen IP:PORT`.
+A fake of the usage interface; run `python -m fakes.usage --listen IP:PORT`.
 
-It keeps each window's first figures, refuses others with 409, records every report that arrived,
-and can be told to delay, refuse and drop answers.
+It stores the first figures that are reported for each window, answers 409 to a report of the same
+window with other figures, and records every report. Faults delay, refuse or drop answers.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass
 class Faults:
-    """What goes wrong; set by `POST /fault` with these fields."""
+    """The faults, which `POST /fault` sets by these field names."""
 
     delay_s: float = 0.0
     answer_late_s: float = 0.0
@@ -27,7 +27,7 @@
 
 
 class UsageInterface:
-    """The record of reports."""
+    """The received reports, and the stored lines by window."""
 
     def __init__(self) -> None:
         self.faults = Faults()
@@ -47,12 +47,14 @@
         await asyncio.sleep(self.faults.delay_s)
         if self.faults.status:
             return web.json_response({}, status=self.faults.status)
-        taken = self.lines_by_window.setdefault(window, report["lines"])
+        stored_lines = self.lines_by_window.setdefault(window, report["lines"])
         await asyncio.sleep(self.faults.answer_late_s)
         if self.faults.drop_answer:
             request.transport.abort()
-        if taken != report["lines"]:
-            return web.json_response({"detail": "reported with other figures"}, status=409)
+        if stored_lines != report["lines"]:
+            return web.json_response(
+                {"detail": "window already reported with other figures"}, status=409
+            )
         return web.json_response({"window": report["window"]})
 
     async def log(self, request: web.Request) -> web.Response:
@@ -67,7 +69,7 @@
     """
     Build the HTTP application.
 
-    :param usage: its state.
+    :param usage: the state that the handlers use.
     :return: the application.
     """
     app = web.Application(client_max_size=16 * 1024 * 1024)
@@ -80,7 +82,7 @@
 @click.command()
 @click.option("--listen", required=True, help="IP:port.")
 def main(listen: str) -> None:
-    """Run the stand-in until it is ended."""
+    """Run the fake usage interface until it receives SIGTERM."""
     host, _, port = listen.rpartition(":")
     web.run_app(build_app(UsageInterface()), host=host, port=int(port), print=None)
 
--- a/tests/fakes/weight_store.py
+++ b/tests/fakes/weight_store.py
@@ -1,4 +1,4 @@
-"""A weight store that serves few loads at a time and refuses the rest."""
+"""A fake weight store that limits concurrent loads and answers 429 to those above the limit."""
 
 from __future__ import annotations
 
@@ -10,10 +10,17 @@
 
 
 class WeightStore:
-    """Counts who loads what; `POST /fault` sets `refuse` (all loads) and `seconds` (of a load)."""
+    """
+    Records all loads.
 
-    def __init__(self, places: int, seconds: float) -> None:
-        self.places = places
+    `POST /fault` sets `refuse` (whether all loads are answered 429) and `seconds`.
+
+    :param max_loads: number of loads that may run at a time; more are answered 429.
+    :param seconds: how long a load takes.
+    """
+
+    def __init__(self, max_loads: int, seconds: float) -> None:
+        self.max_loads = max_loads
         self.seconds = seconds
         self.refuse = False
         self.loading = 0
@@ -22,7 +29,7 @@
 
     async def load(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
-        if self.refuse or self.loading >= self.places:
+        if self.refuse or self.loading >= self.max_loads:
             self.log.append({"name": name, "status": 429})
             return web.Response(status=429, headers={"Retry-After": "1"})
         self.loading += 1
@@ -53,8 +60,8 @@
 
 @click.command()
 @click.option("--listen", required=True, help="IP:port.")
-@click.option("--places", default=2, help="Loads at a time.")
-@click.option("--seconds", default=0.05, help="Seconds that a load takes.")
+@click.option("--places", default=2, help="Number of concurrent loads.")
+@click.option("--seconds", default=0.05, help="Duration of a load in seconds.")
 def main(listen: str, places: int, seconds: float) -> None:
     """Run the weight store."""
     host, port = listen.split(":")
