--- a/tests/replay/test_traces.py
+++ b/tests/replay/test_traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces of both deployments, replayed against their stated outcomes."""
+"""Replays the recorded traces of both deployments and compares their outcomes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(path.name for path in TRACES.iterdir()))
-async def test_a_trace_ends_as_stated(name: str, tmp_path: Path) -> None:
+async def test_trace_has_the_expected_outcome(name: str, tmp_path: Path) -> None:
     folder = TRACES / name
     system = TrainingSystem.lay_out(tmp_path, load_timeout_s=2.0)
     try:
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,10 +1,12 @@
 """
-Random faults on a system of real processes: `make soak`, or one seed again by `--seed`.
-
-Faults come in two series at once, so that they overlap: daemons are killed, frozen, stopped, wiped,
-kept from opening descriptors and started again while jobs and lookups go on; no more disks are away
-at once than the system bears. What was accepted must be there afterwards, what was read must not
-change, and no daemon may end by itself. Seeds that showed a fault stand in `tests/soak/seeds.txt`.
+Injects random faults into a system of real processes: `make soak`, or `--seed` for one seed.
+
+Two series of faults run concurrently, so that faults overlap. Daemons are killed, frozen, stopped,
+wiped, kept from opening descriptors and restarted while jobs and lookups run. Disks are wiped one
+at a time, each after the other daemons with disks have caught up, so that the system never loses
+more disks at once than it tolerates. Accepted jobs and configurations must exist afterwards,
+results that were read must not change, and no daemon may end except by a fault. Seeds that showed a
+defect are listed in `tests/soak/seeds.txt`.
 """
 
 from __future__ import annotations
@@ -35,82 +37,85 @@
 from integration.processes import wait_until
 
 ENTRIES = 3
-FAULT_LANES = 2
-LOOKUP_LANES = 3
+FAULT_SERIES = 2
+LOOKUP_SERIES = 3
 PAUSE_S = (0.3, 2.0)
-AWAY_S = (0.3, 4.0)
+FAULT_DURATION_S = (0.3, 4.0)
 SETTLE_S = 8.0
 POLL_S = 0.05
-STOP_WITHIN_S = 9.0
+STOP_TIMEOUT_S = 9.0
 FAULTS = ("kill", "freeze", "stop", "wipe", "descriptors", "kill_all", "engine", "table")
 SPARE_DESCRIPTORS = (0, 4)
-MOST_DESCRIPTORS = 4096
+MAX_DESCRIPTORS = 4096
 SEEDS = Path(__file__).parent / "seeds.txt"
 
 
 @dataclass
 class Soak:
     """
-    One run.
-
-    :param read_by_job: results that were read, by job; they must come again.
-    :param version: newest configuration that was acknowledged.
-    :param sent_version: newest configuration that was sent.
-    :param taken: daemons under a fault; no other fault begins there.
-    :param down: daemons that a fault ends.
-    :param short: daemons that are kept from opening descriptors.
-    :param log_size_by_name: size of a daemon's log when it was last started again, in bytes.
-    :param disk_away_at: when a daemon with a disk was last under a fault.
+    State of one run.
+
+    :param end_s: monotonic time after which no new work and no new fault starts.
+    :param results_by_job: results that were read, by job; later reads must return them again.
+    :param version: newest configuration version that was acknowledged.
+    :param sent_version: newest configuration version that was sent.
+    :param findings: descriptions of the defects that were found.
+    :param faulted: daemons with an active fault, on which no other fault starts.
+    :param ending: daemons that an active fault ends.
+    :param without_descriptors: daemons that are kept from opening descriptors.
+    :param log_size_by_name: size of a daemon's log at its last restart, in bytes.
+    :param disk_fault_end_s: monotonic time at which the last fault on a daemon with a disk ended.
+    :param wiping: held during a wipe, so that only one disk is wiped at a time.
     """
 
     system: PlatformSystem
-    source: random.Random
-    until_s: float
-    read_by_job: dict[str, list] = field(default_factory=dict)
+    random_source: random.Random
+    end_s: float
+    results_by_job: dict[str, list] = field(default_factory=dict)
     version: int = 1
     sent_version: int = 1
     findings: list[str] = field(default_factory=list)
-    taken: set[str] = field(default_factory=set)
-    down: set[str] = field(default_factory=set)
-    short: set[str] = field(default_factory=set)
+    faulted: set[str] = field(default_factory=set)
+    ending: set[str] = field(default_factory=set)
+    without_descriptors: set[str] = field(default_factory=set)
     log_size_by_name: dict[str, int] = field(default_factory=dict)
-    disk_away_at: float = 0.0
+    disk_fault_end_s: float = 0.0
     wiping: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     def running(self) -> bool:
-        return time.monotonic() < self.until_s
+        return time.monotonic() < self.end_s
 
     async def faults(self) -> None:
-        """One fault after the other; the next begins once the one before is over."""
+        """Inject faults one after the other; the next starts after the previous one has ended."""
         while self.running():
-            await asyncio.sleep(self.source.uniform(*PAUSE_S))
-            fault = self.source.choice(FAULTS)
-            free = sorted(set(self.system.process_by_name) - self.taken)
-            away_s = self.source.uniform(*AWAY_S)
+            await asyncio.sleep(self.random_source.uniform(*PAUSE_S))
+            fault = self.random_source.choice(FAULTS)
+            free = sorted(set(self.system.process_by_name) - self.faulted)
+            duration_s = self.random_source.uniform(*FAULT_DURATION_S)
             if not free:
                 continue
-            name = self.source.choice(free)
-            print(f"{fault} {name} for {away_s:.1f} s", flush=True)
+            name = self.random_source.choice(free)
+            print(f"{fault} {name} for {duration_s:.1f} s", flush=True)
             if fault == "kill_all":
                 await self._kill_all()
             elif fault == "wipe":
                 async with self.wiping:
-                    await self._settled()
-                    await self._on_daemon(fault, name, away_s)
+                    await self._wait_for_replicas()
+                    await self._apply_to_daemon(fault, name, duration_s)
             elif fault in ("engine", "table"):
-                await self._on_system(fault, away_s)
+                await self._apply_to_system(fault, duration_s)
             else:
-                await self._on_daemon(fault, name, away_s)
+                await self._apply_to_daemon(fault, name, duration_s)
 
-    async def _settled(self) -> None:
-        """Wait until the daemons with disks were left alone for long enough to catch up."""
-        while time.monotonic() < self.disk_away_at + SETTLE_S:
+    async def _wait_for_replicas(self) -> None:
+        """Wait until no daemon with a disk had a fault for `SETTLE_S`, so that it can catch up."""
+        while time.monotonic() < self.disk_fault_end_s + SETTLE_S:
             await asyncio.sleep(POLL_S)
 
-    async def _on_system(self, fault: str, away_s: float) -> None:
+    async def _apply_to_system(self, fault: str, duration_s: float) -> None:
         if fault == "engine":
             engine = await self.system.add_engine("scorer", models={"m": 1})
-            await asyncio.sleep(away_s)
+            await asyncio.sleep(duration_s)
             await engine.stop()
             return
         self.sent_version += 1
@@ -119,63 +124,63 @@
             self.version = max(self.version, version)
 
     async def _kill_all(self) -> None:
-        while self.taken:
+        while self.faulted:
             await asyncio.sleep(POLL_S)
         names = set(self.system.process_by_name)
-        self.taken |= names
+        self.faulted |= names
         self.system.stop()
         for name in names:
             self._restart(name)
-        self.taken -= names
-        self.disk_away_at = time.monotonic()
+        self.faulted -= names
+        self.disk_fault_end_s = time.monotonic()
 
-    async def _on_daemon(self, fault: str, name: str, away_s: float) -> None:
-        if name in self.taken:
+    async def _apply_to_daemon(self, fault: str, name: str, duration_s: float) -> None:
+        if name in self.faulted:
             return
-        self.taken.add(name)
+        self.faulted.add(name)
         try:
             if fault == "freeze":
-                await self._freeze(name, away_s)
+                await self._freeze(name, duration_s)
             elif fault == "descriptors":
-                await self._no_descriptors(name, away_s)
+                await self._limit_descriptors(name, duration_s)
             else:
-                self.down.add(name)
-                await self._end(fault, name, away_s)
+                self.ending.add(name)
+                await self._end_process(fault, name, duration_s)
         finally:
-            self.down.discard(name)
-            self.taken.discard(name)
+            self.ending.discard(name)
+            self.faulted.discard(name)
             if not name.startswith("entry"):
-                self.disk_away_at = time.monotonic()
+                self.disk_fault_end_s = time.monotonic()
 
-    async def _freeze(self, name: str, away_s: float) -> None:
+    async def _freeze(self, name: str, duration_s: float) -> None:
         process = self.system.process_by_name[name]
         process.freeze()
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(duration_s)
         process.thaw()
 
-    async def _no_descriptors(self, name: str, away_s: float) -> None:
+    async def _limit_descriptors(self, name: str, duration_s: float) -> None:
         process = self.system.process_by_name[name]
         pid = process.popen.pid
         opened = len(list(Path(f"/proc/{pid}/fd").iterdir()))
-        limit = opened + self.source.randint(*SPARE_DESCRIPTORS)
-        resource.prlimit(pid, resource.RLIMIT_NOFILE, (limit, MOST_DESCRIPTORS))
-        self.short.add(name)
-        await asyncio.sleep(away_s)
-        self.short.discard(name)
+        limit = opened + self.random_source.randint(*SPARE_DESCRIPTORS)
+        resource.prlimit(pid, resource.RLIMIT_NOFILE, (limit, MAX_DESCRIPTORS))
+        self.without_descriptors.add(name)
+        await asyncio.sleep(duration_s)
+        self.without_descriptors.discard(name)
         if process.alive() and process.popen.pid == pid:
-            resource.prlimit(pid, resource.RLIMIT_NOFILE, (MOST_DESCRIPTORS, MOST_DESCRIPTORS))
+            resource.prlimit(pid, resource.RLIMIT_NOFILE, (MAX_DESCRIPTORS, MAX_DESCRIPTORS))
 
-    async def _end(self, fault: str, name: str, away_s: float) -> None:
+    async def _end_process(self, fault: str, name: str, duration_s: float) -> None:
         process = self.system.process_by_name[name]
         if fault == "stop":
             started = self._started(name)
-            code = await process.terminate(STOP_WITHIN_S)
-            # Before its first line a program is ended by the signal itself.
+            code = await process.terminate(STOP_TIMEOUT_S)
+            # Before the daemon has logged its start, SIGTERM itself may end the process.
             if code != 0 and (started or code != -signal.SIGTERM):
                 self.findings.append(f"{name}: stopped with code {code}")
         else:
             process.kill()
-            await asyncio.sleep(away_s)
+            await asyncio.sleep(duration_s)
         self._restart(name, wipe=fault == "wipe" and not name.startswith("entry"))
 
     def _restart(self, name: str, wipe: bool = False) -> None:
@@ -187,52 +192,54 @@
         return b'"daemon:started"' in log[self.log_size_by_name.get(name, 0) :]
 
     async def watch(self) -> None:
-        """No daemon ends but by a fault."""
+        """Record a finding for each daemon that ends without a fault."""
         ended: set[str] = set()
         while self.running():
             for name, process in self.system.process_by_name.items():
-                if process.alive() or name in self.down or name in ended:
+                if process.alive() or name in self.ending or name in ended:
                     continue
                 code = process.popen.poll()
-                # The interpreter can't go on where it finds no descriptor for what it imports.
-                if name in self.short and code == 1 and not self._started(name):
+                # Without a free descriptor the interpreter can't import modules and exits with 1.
+                if name in self.without_descriptors and code == 1 and not self._started(name):
                     self._restart(name)
                     continue
                 ended.add(name)
                 self.findings.append(f"{name}: ended by itself with code {code}")
             await asyncio.sleep(POLL_S)
 
-    async def jobs(self, lane: int) -> None:
-        """Submit jobs and read their results until all are listed."""
+    async def jobs(self, series: int) -> None:
+        """Submit one job after the other and read the results of each until all are listed."""
         number = 0
         while self.running():
             number += 1
-            name = f"lot-{lane}-{number}"
+            name = f"lot-{series}-{number}"
             await self.system.submit(name, job(8, prefix=f"{name}-"), entry=self._entry())
-            await wait_until(lambda name=name: self._whole(name), f"all results of {name}", 90.0)
+            await wait_until(
+                lambda name=name: self._read_to_end(name), f"all results of {name}", 90.0
+            )
 
     def _entry(self) -> int:
-        return self.source.randint(1, ENTRIES)
+        return self.random_source.randint(1, ENTRIES)
 
-    async def _whole(self, name: str) -> bool:
+    async def _read_to_end(self, name: str) -> bool:
         read = await self.system.results(name, self._entry())
         if read is None:
             return False
-        before = self.read_by_job.get(name, [])
-        if read["results"][: len(before)] != before[: len(read["results"])]:
-            self.findings.append(f"{name}: a position changed")
-        if len(read["results"]) > len(before):
-            self.read_by_job[name] = read["results"]
+        earlier = self.results_by_job.get(name, [])
+        if read["results"][: len(earlier)] != earlier[: len(read["results"])]:
+            self.findings.append(f"{name}: a result that was read before changed")
+        if len(read["results"]) > len(earlier):
+            self.results_by_job[name] = read["results"]
         return len(read["results"]) == read["total"]
 
-    async def lookups(self, lane: int) -> None:
-        """Each lookup gets its own answer or none; connections are used until they break."""
+    async def lookups(self, series: int) -> None:
+        """Make lookups over persistent connections; each must get its own answer or none."""
         number = 0
         timeout = aiohttp.ClientTimeout(total=5.0)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while self.running():
                 number += 1
-                await self._lookup(session, f"l{lane}-{number}")
+                await self._lookup(session, f"l{series}-{number}")
                 await asyncio.sleep(POLL_S)
 
     async def _lookup(self, session: aiohttp.ClientSession, attempt: str) -> None:
@@ -246,60 +253,64 @@
         if answer.status == 200 and body != path.encode():
             self.findings.append(f"{path}: got {body!r}")
         if answer.status in (401, 404):
-            self.findings.append(f"{path}: {answer.status} though it is allowed")
+            self.findings.append(f"{path}: answered {answer.status} although the lookup is allowed")
 
     async def check(self) -> None:
-        """Read again all that was accepted."""
+        """Check that the configuration and the job results that were read are still available."""
         status, document = await self.system.control("GET", "/v1/Config.Read")
         if status != 200 or json.loads(document)["version"] < self.version:
             self.findings.append(f"the configuration is older than {self.version}")
-        for name, before in self.read_by_job.items():
+        for name, earlier in self.results_by_job.items():
             read = await wait_until(lambda name=name: self.system.results(name), name)
-            if read["results"][: len(before)] != before:
-                self.findings.append(f"{name}: what was read does not come again")
+            if read["results"][: len(earlier)] != earlier:
+                self.findings.append(
+                    f"{name}: results that were read before are missing or changed"
+                )
             ids = [result["id"] for result in read["results"]]
             if len(ids) != len(set(ids)):
-                self.findings.append(f"{name}: an item stands twice")
+                self.findings.append(f"{name}: an item is listed twice")
             for result in read["results"]:
-                whole = "\n".join(f"{result['id']}-{n}" for n in range(1, 6))
-                if result["state"] == "completed" and result["output"] != whole:
+                expected_output = "\n".join(f"{result['id']}-{n}" for n in range(1, 6))
+                if result["state"] == "completed" and result["output"] != expected_output:
                     self.findings.append(f"{name}: {result['id']} is {result['output']!r}")
 
 
 async def soak(seed: int, seconds: float) -> list[str]:
     """
-    Run one seed.
+    Run the faults of one seed.
 
-    :param seconds: how long faults go on.
-    :return: what was found.
+    :param seconds: how long new faults are injected.
+    :return: descriptions of the defects that were found.
     """
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     async with platform_system(folder, ENTRIES) as system:
         run = Soak(system, random.Random(seed), time.monotonic() + seconds)
-        work = [run.faults() for _ in range(FAULT_LANES)]
-        work += [run.lookups(lane) for lane in range(LOOKUP_LANES)]
-        work += [run.jobs(lane) for lane in range(2)]
+        work = [run.faults() for _ in range(FAULT_SERIES)]
+        work += [run.lookups(series) for series in range(LOOKUP_SERIES)]
+        work += [run.jobs(series) for series in range(2)]
         ended = await asyncio.gather(run.watch(), *work, return_exceptions=True)
         run.findings.extend(repr(one) for one in ended if isinstance(one, Exception))
         if not run.findings:
             await run.check()
-    print(f"seed {seed}: {len(run.read_by_job)} jobs read, version {run.version}")
+    print(f"seed {seed}: {len(run.results_by_job)} jobs read, version {run.version}")
     if run.findings:
-        print(f"seed {seed}: the lines of all daemons are in {folder}")
+        print(f"seed {seed}: the logs of all daemons are in {folder}")
     else:
         shutil.rmtree(folder)
     return run.findings
 
 
 @click.command()
-@click.option("--seed", type=int, help="One seed; without it those of seeds.txt and a new one.")
-@click.option("--seconds", default=40.0, show_default=True, help="How long faults go on.")
+@click.option("--seed", type=int, help="Seed to run; by default those in seeds.txt and a new one.")
+@click.option("--seconds", default=40.0, show_default=True, help="How long faults are injected.")
 def main(seed: int | None, seconds: float) -> None:
-    """Run random faults; exit code 1 where something was found."""
-    # A run that its entry breaks off is no error of the stand-in engine.
+    """Run random faults; the exit code is 1 if a defect was found."""
+    # Hides the errors that aiohttp logs in the fake engines when an entry aborts a run.
     logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
-    kept = [int(line.split()[0]) for line in SEEDS.read_text().splitlines() if line[:1].isdigit()]
-    seeds = [seed] if seed is not None else [*kept, random.randrange(1 << 30)]
+    listed_seeds = [
+        int(line.split()[0]) for line in SEEDS.read_text().splitlines() if line[:1].isdigit()
+    ]
+    seeds = [seed] if seed is not None else [*listed_seeds, random.randrange(1 << 30)]
     failed = False
     for one in seeds:
         findings = asyncio.run(soak(one, seconds))
