--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,8 @@
 """
-Settings of all tests, and KNOWN-RED.txt: its tests run, their failures are passed over and printed.
+Settings that apply to all tests.
+
+Tests listed in KNOWN-RED.txt run, but their failures don't fail the test run: they are marked as
+expected failures (xfail) with their line of the file as the reason that pytest prints.
 """
 
 from __future__ import annotations
@@ -9,13 +12,13 @@
 import pytest
 from hypothesis import HealthCheck, settings
 
-# The first draw of each process reads all loaded modules for constants, for seconds on a busy
-# machine, which the health check takes for a strategy that is too slow.
+# The first example that Hypothesis generates in a process scans all loaded modules for constants.
+# On a busy machine this takes seconds, and the health check reports the strategy as too slow.
 settings.register_profile("ibisspring", suppress_health_check=[HealthCheck.too_slow])
 settings.load_profile("ibisspring")
 
 KNOWN_RED = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
-MOST_LINES = 3
+MAX_LINES = 3
 
 
 def _known_red_lines() -> list[str]:
@@ -24,10 +27,16 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark just the listed tests; a line that names no test of a whole run is an error."""
+    """
+    Mark the tests that KNOWN-RED.txt lists as expected failures that may also pass.
+
+    Lines that match no collected test are ignored here.
+
+    :raises pytest.UsageError: if the file has more than `MAX_LINES` entries.
+    """
     lines = _known_red_lines()
-    if len(lines) > MOST_LINES:
-        raise pytest.UsageError(f"KNOWN-RED.txt has {len(lines)} lines; {MOST_LINES} at most")
+    if len(lines) > MAX_LINES:
+        raise pytest.UsageError(f"KNOWN-RED.txt has {len(lines)} lines; {MAX_LINES} at most")
     for line in lines:
         test = line.split("|")[0].strip()
         for item in items:
--- a/tests/integration/__init__.py
+++ b/tests/integration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests with real processes."""
+"""Integration tests, which run the daemons as separate processes."""
--- a/tests/integration/cluster.py
+++ b/tests/integration/cluster.py
@@ -1,4 +1,4 @@
-"""A small system of real daemons, settings included, for the tests."""
+"""Starts a cluster of real daemons on loopback addresses, each with its own settings file."""
 
 from __future__ import annotations
 
@@ -15,8 +15,10 @@
 
 class Cluster:
     """
-    Daemons by id; every address stands in `settings_by_daemon`, so a test may put a proxy in
-    between.
+    Settings and processes of a cluster's daemons, by daemon id.
+
+    All addresses are in `settings_by_daemon`, so that a test can replace an address by that of a
+    proxy before it starts the daemon.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -27,10 +29,10 @@
     @classmethod
     def from_counts(cls, folder: Path, controls: int, entries: int, **control: Any) -> Cluster:
         """
-        Lay out a system without starting it.
+        Create the settings of a cluster without starting its daemons.
 
-        :param controls: control daemons `c1`…
-        :param entries: entry daemons `e1`…
+        :param controls: number of control daemons, whose ids are `c1`, `c2` and so on.
+        :param entries: number of entry daemons, whose ids are `e1`, `e2` and so on.
         :param control: settings of the control section that differ from the defaults.
         """
         cluster = cls(folder)
@@ -66,11 +68,11 @@
         return self.folder / daemon / "settings.yaml"
 
     def url(self, daemon: str) -> str:
-        """HTTP base URL of an entry."""
+        """Return the base URL of an entry's HTTP interface."""
         return f"http://{self.settings_by_daemon[daemon]['entry']['listen_http']}"
 
     def start(self, daemon: str) -> Process:
-        """Write the settings and start the daemon's process."""
+        """Write the daemon's settings file and start its process."""
         path = self.settings_path(daemon)
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(yaml.safe_dump(self.settings_by_daemon[daemon], sort_keys=False))
@@ -86,14 +88,14 @@
             self.start(daemon)
 
     def start_other(self, name: str, arguments: list[str]) -> Process:
-        """Start a fake or another process that ends with the cluster."""
+        """Start a fake or another process, which `stop_all` kills together with the daemons."""
         process = Process(name, arguments, self.folder / f"{name}.txt")
         process.start()
         self.process_by_name[name] = process
         return process
 
     async def wait_ready(self, daemon: str) -> None:
-        """Wait until an entry holds a lease and serves."""
+        """Wait until an entry's `/readyz` answers 200: it holds a lease and serves callers."""
         await wait_until(
             lambda: http_answers(f"{self.url(daemon)}/readyz"), f"{daemon} to be ready"
         )
--- a/tests/integration/duties_system.py
+++ b/tests/integration/duties_system.py
@@ -1,4 +1,8 @@
-"""Real daemons with the platform and the usage interface, a fault proxy on each path of control."""
+"""
+Real daemons with a fake platform and a fake usage interface.
+
+A fault proxy is on each path to a control daemon and on each path from a control daemon to a fake.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +15,13 @@
 from integration.rules_system import RulesSystem, rules_text
 
 CONTROLS = ("c1", "c2", "c3")
-PLACED = "place scorer-lm in birmingham, derby, stoke count {count} cheap at-most 40% # asked: t, 9"
+PLACEMENT_RULE = (
+    "place scorer-lm in birmingham, derby, stoke count {count} cheap at-most 40% # asked: t, 9"
+)
 
 
 class DutiesSystem(Fakes):
-    """Three control daemons, one entry, the fakes, and proxies by (source, target)."""
+    """Three control daemons, one entry, the fakes, and fault proxies by (source, target)."""
 
     def __init__(self, rules: RulesSystem) -> None:
         super().__init__(rules.cluster.start_other)
@@ -25,7 +31,7 @@
 
     @classmethod
     async def found(cls, folder: Path, **control: Any) -> DutiesSystem:
-        """Start everything and found the control cluster."""
+        """Start all processes and bootstrap the control cluster."""
         system = cls(RulesSystem.from_counts(folder, controls=3, entries=1, **control))
         for name in ("platform", "usage"):
             await system._start_fake(name)
@@ -39,7 +45,7 @@
         process = self.cluster.start_other(name, arguments)
         url = f"http://{self.address_by_name[name]}/log"
         await wait_until(lambda: http_answers(url), f"{name} to answer")
-        # Another process may have taken the port in between and answer in its place.
+        # Another process may have bound the port before the fake did and given the answer.
         assert process.alive(), process.tail()
 
     async def _add_proxies(self) -> None:
@@ -62,11 +68,16 @@
         return proxy
 
     def paths_of(self, daemon: str) -> list[FaultProxy]:
-        """All paths from and to a control daemon."""
+        """Return the proxies on all paths from and to a control daemon."""
         return [proxy for path, proxy in self.proxy_by_path.items() if daemon in path]
 
     async def cut_off(self, daemon: str) -> None:
-        """A partition around a control daemon: bytes are held as a TCP would that retransmits."""
+        """
+        Partition a control daemon from all other processes.
+
+        The proxies hold the bytes and deliver them when the partition heals, as TCP does by
+        retransmission.
+        """
         for proxy in self.paths_of(daemon):
             await proxy.set_modes(Mode.HOLD, Mode.HOLD)
 
@@ -75,25 +86,25 @@
             await proxy.heal()
 
     async def place(self, count: int) -> None:
-        """Apply rules that want so many endpoints; the leader orders them one by one."""
-        applied = await self.rules.apply(rules_text(PLACED.format(count=count)), 0)
+        """Apply rules that place `count` endpoints; the leader orders them one by one."""
+        applied = await self.rules.apply(rules_text(PLACEMENT_RULE.format(count=count)), 0)
         assert applied.returncode == 0, applied.stderr
 
     async def sent(self) -> list[dict[str, Any]]:
-        """The orders that the platform received, in the order of their arrival."""
+        """Return the orders that the platform received, in the order of their arrival."""
         return (await self.log("platform"))["sent"]
 
     async def wait_sent(self, count: int, but: str = "") -> list[dict[str, Any]]:
-        """Wait until the platform received so many orders from others than `but`."""
+        """Wait until the platform has received `count` orders from daemons other than `but`."""
 
         async def arrived() -> list[dict[str, Any]]:
-            sent = [order for order in await self.sent() if not _is_of(order, but)]
+            sent = [order for order in await self.sent() if not _sent_by(order, but)]
             return sent if len(sent) >= count else []
 
-        return await wait_until(arrived, f"{count} orders from others than {but!r}", 120.0)
+        return await wait_until(arrived, f"{count} orders from daemons other than {but!r}", 120.0)
 
     async def wait_no_open_orders(self) -> None:
-        """Wait until each committed order has its end."""
+        """Wait until no committed order is unresolved."""
 
         async def resolved() -> bool:
             result = await self.rules.run("status", "--json")
@@ -107,12 +118,16 @@
             await proxy.stop()
 
 
-def _is_of(order: dict[str, Any], daemon: str) -> bool:
+def _sent_by(order: dict[str, Any], daemon: str) -> bool:
     return bool(daemon) and order["sender"].startswith(f"{daemon}/")
 
 
 def senders_in_order(sent: list[dict[str, Any]]) -> list[str]:
-    """Each sender once for every unbroken run of its orders: a name twice is an overlap."""
+    """
+    Return the sender of each run of consecutive orders of one sender.
+
+    A sender that occurs twice sent orders before and after those of another sender.
+    """
     senders: list[str] = []
     for order in sent:
         if not senders or senders[-1] != order["sender"]:
@@ -121,7 +136,7 @@
 
 
 def digests_by_order(sent: list[dict[str, Any]]) -> dict[str, set[str]]:
-    """Digests of the bodies that arrived under each order id."""
+    """Return the digests of the bodies that were received under each order id."""
     digests: dict[str, set[str]] = {}
     for order in sent:
         digests.setdefault(order["order_id"], set()).add(order["digest"])
@@ -129,10 +144,10 @@
 
 
 def check_orders(sent: list[dict[str, Any]]) -> None:
-    """No two senders in charge at a time, and one content for each order id."""
+    """Check that senders don't overlap, an order id has one content and fencing never decreases."""
     senders = senders_in_order(sent)
-    assert len(senders) == len(set(senders)), f"two senders in charge at a time: {senders}"
+    assert len(senders) == len(set(senders)), f"orders of two senders overlap: {senders}"
     for order_id, digests in digests_by_order(sent).items():
-        assert len(digests) == 1, f"{order_id} was sent with different contents"
+        assert len(digests) == 1, f"order {order_id} was sent with different contents"
     fencing = [order["fencing"] for order in sent]
-    assert fencing == sorted(fencing), f"fencing numbers fell: {fencing}"
+    assert fencing == sorted(fencing), f"fencing numbers decreased: {fencing}"
--- a/tests/integration/lone_caller.py
+++ b/tests/integration/lone_caller.py
@@ -1,4 +1,4 @@
-"""A process that calls a silent daemon and says how each call ended; see test_frozen_calls."""
+"""Calls a daemon that never answers and prints how each call ended; see test_frozen_calls."""
 
 from __future__ import annotations
 
@@ -12,21 +12,27 @@
 from ibisspring_core.peer_rpc import STOP_GRACE_S, PeerClient
 
 RENEW = Renew("10.0.0.1:1", "e1", "derby", "i", "entry")
-SHORT_S = 0.1
+SHORT_TIMEOUT_S = 0.1
 FREEZE_ME = "freeze me"
 
 
 async def main(address: str, rounds: int) -> None:
-    """Leave a channel under a call, ask to be frozen until both are due, and say how it ended."""
+    """
+    Print in each round how a call ended whose deadline and channel both expired during a freeze.
+
+    A second call over the same channel times out first, so that the client replaces the channel and
+    closes it `STOP_GRACE_S` later. The process then prints `FREEZE_ME`: the test freezes it until
+    the first call's deadline and the closing of the channel have both passed.
+    """
     client = PeerClient(PEER_MESSAGES, Counters.from_config(None))
     for _ in range(rounds):
         call = asyncio.create_task(client.call(address, RENEW, STOP_GRACE_S))
-        await asyncio.sleep(SHORT_S / 2)
-        await client.call(address, RENEW, SHORT_S)
+        await asyncio.sleep(SHORT_TIMEOUT_S / 2)
+        await client.call(address, RENEW, SHORT_TIMEOUT_S)
         print(FREEZE_ME, flush=True)
         await asyncio.wait([call])
         print("cancelled" if call.cancelled() else type(call.result()).__name__, flush=True)
-    # What is still open ends with the process.
+    # Calls and channels that are still open end with the process.
     os._exit(0)
 
 
--- a/tests/integration/lone_entry.py
+++ b/tests/integration/lone_entry.py
@@ -1,6 +1,7 @@
 """
-An entry without control: the real entry services, with stand-ins for the lease and the control
-client, in a process of its own.
+Runs an entry without control daemons.
+
+The process runs the real entry services with stand-ins for the lease and the control client.
 """
 
 from __future__ import annotations
@@ -28,8 +29,8 @@
 from ibisspring_entry.registry import Registry
 
 
-class OpenRules:
-    """Rules that allow the services given, in place of a parsed rules file."""
+class PermissiveRules:
+    """Stand-in for parsed rules that allows every client account the given services."""
 
     client_account_by_name = {
         "stoke-foundry": ClientAccount("stoke-foundry", (), 100_000.0, 1.0, 100_000.0)
@@ -48,13 +49,13 @@
 
 
 class StandInLease:
-    """A lease that never lapses; a key is the name of its client account with `key-` before it."""
+    """A lease that never lapses; the key of a client account is `key-` followed by its name."""
 
     name = "lease"
     incarnation = 1
 
     def __init__(self, services: list[str]) -> None:
-        self._rules = OpenRules(services)
+        self._rules = PermissiveRules(services)
 
     async def start(self, kernel: Kernel) -> None:
         pass
@@ -76,7 +77,7 @@
 
 
 class StandInControl:
-    """Claims of one entry, kept in memory."""
+    """Stand-in for the control client that keeps the claims of one entry in memory."""
 
     name = "control_client"
 
@@ -91,25 +92,25 @@
         pass
 
     async def propose(self, command: Any, request_id: str) -> Any:
-        place = (command.client_account, command.key)
+        claim_id = (command.client_account, command.key)
         if isinstance(command, ClaimKey):
-            return self._claim(place, command)
+            return self._claim(claim_id, command)
         if isinstance(command, SettleClaim):
-            return self._settle(place, command)
+            return self._settle(claim_id, command)
         return Refusal(Reason.BAD_REQUEST, True)
 
-    def _claim(self, place: tuple[str, str], command: ClaimKey) -> ClaimState:
-        if place not in self.claim_by_key:
-            self.claim_by_key[place] = ClaimState("running", command.request_id)
-            self.digest_by_key[place] = command.digest
+    def _claim(self, claim_id: tuple[str, str], command: ClaimKey) -> ClaimState:
+        if claim_id not in self.claim_by_key:
+            self.claim_by_key[claim_id] = ClaimState("running", command.request_id)
+            self.digest_by_key[claim_id] = command.digest
             return ClaimState("granted", command.request_id)
-        if self.digest_by_key[place] != command.digest:
+        if self.digest_by_key[claim_id] != command.digest:
             return ClaimState("conflict", command.request_id)
-        return self.claim_by_key[place]
+        return self.claim_by_key[claim_id]
 
-    def _settle(self, place: tuple[str, str], command: SettleClaim) -> ClaimState | Done:
+    def _settle(self, claim_id: tuple[str, str], command: SettleClaim) -> ClaimState | Done:
         if command.outcome == "not_run":
-            del self.claim_by_key[place]
+            del self.claim_by_key[claim_id]
             return Done()
         state = ClaimState(
             command.outcome,
@@ -120,7 +121,7 @@
             command.content_type,
             command.stored,
         )
-        self.claim_by_key[place] = state
+        self.claim_by_key[claim_id] = state
         return state
 
 
--- a/tests/integration/lone_system.py
+++ b/tests/integration/lone_system.py
@@ -1,4 +1,4 @@
-"""One lone entry with fake endpoints, all real processes, and what callers ask of it."""
+"""An entry without control daemons and fake endpoints, each a process, and calls to the entry."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got."""
+    """The answer to a caller's request; `lines` are those of a streamed generation."""
 
     status: int
     headers: Mapping[str, str]
@@ -48,12 +48,12 @@
 
 
 def expected_tokens(prompt: str, count: int) -> list[int]:
-    """The answer that every fake engine gives."""
+    """Return the tokens that every fake engine generates for the prompt."""
     return [token_at(prompt, offset) for offset in range(count)]
 
 
 class LoneSystem(Fakes):
-    """The processes by name."""
+    """The processes of the entry and the fake endpoints by name."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(self._start)
@@ -94,7 +94,7 @@
         return process
 
     async def generate(self, prompt: str, max_tokens: int, **body: Any) -> Answer:
-        """A generation, streamed where not said otherwise."""
+        """Request a generation, which is streamed unless `body` has `stream=False`."""
         body = {"model": MODEL, "prompt": prompt, "max_tokens": max_tokens, "stream": True, **body}
         answer = await self.ask("POST", "/v1/generate", json=body)
         if answer.status == 200 and body["stream"]:
@@ -102,12 +102,12 @@
         return answer
 
     async def ask(
-        self, method: str, path: str, headers: dict[str, str] | None = None, **rest: Any
+        self, method: str, path: str, headers: dict[str, str] | None = None, **request_options: Any
     ) -> Answer:
         headers = {"Authorization": f"Bearer {KEY}", **(headers or {})}
         async with aiohttp.ClientSession() as session:
             async with session.request(
-                method, self.url + path, headers=headers, **rest
+                method, self.url + path, headers=headers, **request_options
             ) as response:
                 body = await response.read()
                 return Answer(response.status, response.headers, body)
--- a/tests/integration/platform_system.py
+++ b/tests/integration/platform_system.py
@@ -1,4 +1,4 @@
-"""A system as the users' platform starts it, from their settings files, on loopback addresses."""
+"""Starts a system on loopback addresses as the users' platform does, from its settings files."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from ibisspring_core.pb import consensus_pb2, consensus_pb2_grpc
 from integration.processes import REPOSITORY, Process, free_port, wait_until
 
-CENTRES = ("derby", "stoke", "walsall")
+DATA_CENTRES = ("derby", "stoke", "walsall")
 NETWORK_BY_ROLE = {"control": 1, "store": 2, "entry": 3, "engine": 4}
 SERVED_BY_ROLE = {"control": "control_plane", "store": "storage", "entry": "edge"}
 HOST = "archive.example"
@@ -33,7 +33,7 @@
 
 
 def configuration(version: int, **changes: Any) -> dict:
-    """An operator's configuration with one plain route and one for jobs."""
+    """Return an operator's configuration with a route for lookups and a route for batch jobs."""
     routes = [
         {
             "name": "lookup",
@@ -73,7 +73,7 @@
 
 
 def job(items: int, min_version: int = 1, prefix: str = "i", scored: bool = False) -> dict:
-    """A batch job of groups of two; `scored` gives each item a reward call to the plain route."""
+    """Return a batch job in groups of two; `scored` adds a reward call by the lookup route."""
     return {
         "step": 0,
         "model": "m",
@@ -95,14 +95,19 @@
 
 
 def scorer(item: str) -> dict:
-    """The reward call of an item."""
+    """Return the reward call of an item."""
     body = base64.b64encode(f"note of {item}".encode()).decode()
     return {"id": f"r-{item}", "host": HOST, "path": f"{LOOKUP}{item}", "body": body}
 
 
 @dataclass
 class PlatformSystem:
-    """The daemons by name, and the engines."""
+    """
+    The daemons by name, and the engines.
+
+    :param usage_to: IP:port that receives usage reports; empty for none.
+    :param boot_by_name: contents of the daemons' settings files.
+    """
 
     folder: Path
     usage_to: str = ""
@@ -113,11 +118,15 @@
     def __post_init__(self) -> None:
         self.ports = {name: free_port() for name in ("peer", "control", "callers", "ready")}
         self.seeds = [f"127.1.1.{n}:{self.ports['control']}" for n in (1, 2, 3)]
-        # A block of its own, since all daemons share the machine's loopback addresses.
+        # Engines get ports of their own, as all processes share the machine's loopback addresses.
         self.engine_ports = iter([free_port() for _ in range(8)])
 
     def add(self, role: str, number: int, found: bool = True) -> Process:
-        """Write a daemon's settings file and prepare its process."""
+        """
+        Write a daemon's settings file and create its process without starting it.
+
+        :param found: whether the daemon may bootstrap its cluster.
+        """
         name = f"{role}-{number}"
         ip = f"127.1.{NETWORK_BY_ROLE[role]}.{number}"
         listen = {
@@ -137,7 +146,7 @@
             "role": role,
             "serves": [SERVED_BY_ROLE[role]],
             "ip": ip,
-            "zone": CENTRES[number % len(CENTRES)],
+            "zone": DATA_CENTRES[number % len(DATA_CENTRES)],
             "listen": listen,
             "internal_ports": [self.ports["peer"], self.ports["peer"]],
             "seeds": self.seeds,
@@ -150,7 +159,7 @@
                 {"address": self.usage_to, "duties": ["metering"]} if self.usage_to else None
             ),
         }
-        # `env` sets the variable; the process that is signalled is the daemon itself.
+        # `env` sets the variable and then executes the daemon, so that signals reach the daemon.
         variable = f"IBISSPRING_CONFIG={self.folder / name / 'boot.json'}"
         start = str(REPOSITORY / "platform" / "start.py")
         arguments = ["/usr/bin/env", variable, sys.executable, "-OO", start, role]
@@ -160,7 +169,7 @@
         return process
 
     def write_boot(self, name: str, **changes: Any) -> None:
-        """Write a daemon's settings file as it is now."""
+        """Apply changes to a daemon's settings and write the settings file."""
         self.boot_by_name[name].update(changes)
         path = self.folder / name / "boot.json"
         path.write_text(json.dumps(self.boot_by_name[name]))
@@ -171,7 +180,11 @@
             process.start()
 
     def restart(self, name: str, wipe: bool = False) -> None:
-        """Start a daemon that ended; after the first start nothing founds any more."""
+        """
+        Start a daemon that ended, without permission to bootstrap its cluster again.
+
+        :param wipe: whether its data directory is emptied first.
+        """
         if wipe:
             data = Path(self.boot_by_name[name]["data_dir"])
             shutil.rmtree(data)
@@ -185,7 +198,7 @@
             process.kill()
 
     async def add_engine(self, service: str, **fields: Any) -> PlatformEngine:
-        """Start an engine."""
+        """Start an engine of a service; `fields` are those of `PlatformEngine`."""
         number = len(self.engines) + 1
         address = f"127.1.{NETWORK_BY_ROLE['engine']}.{number}:{next(self.engine_ports)}"
         engine = PlatformEngine(f"i-{number}", service, address, self.seeds, **fields)
@@ -194,23 +207,27 @@
         return engine
 
     def peer_seeds(self) -> list[str]:
-        """Peer addresses of the control daemons."""
+        """Return the peer addresses of the control daemons."""
         network = NETWORK_BY_ROLE["control"]
         return [f"127.1.{network}.{number}:{self.ports['peer']}" for number in (1, 2, 3)]
 
     async def running_by_entry(self) -> dict[int, int]:
-        """Items that run at each entry, as the jobs' leader knows; empty while none answers."""
+        """
+        Return the number of running items by entry, as the jobs' leader reports it.
+
+        The result is empty if no control daemon or no jobs' leader answers.
+        """
         code, output = await status(self.peer_seeds(), "--json")
         jobs = json.loads(output)["jobs"] if code == 0 else None
         runners = jobs["runners"] if jobs is not None else []
-        # An entry's number is the last one of its address.
+        # The last number of an entry's IP address is the entry's number.
         return {
             int(one["address"].partition(":")[0].rpartition(".")[2]): one["running"]
             for one in runners
         }
 
     async def replica_status(self, name: str) -> dict | None:
-        """What a daemon's replica says of itself; None where it does not answer."""
+        """Return the status that a daemon's replica reports, or None if the call fails."""
         offset = 1 if name.startswith("store") else 0
         address = f"{self.boot_by_name[name]['ip']}:{self.ports['peer'] + offset}"
         async with grpc.aio.insecure_channel(address) as channel:
@@ -222,7 +239,7 @@
         return json.loads(reply.answer)
 
     def leaders(self, log: str) -> list[str]:
-        """Daemons that said that they lead `directory` or `jobs`, the newest term last."""
+        """Return the daemons that logged `directory:leads` or `jobs:leads`, by ascending term."""
         found = []
         for name, process in self.process_by_name.items():
             for line in process.log.read_text(errors="replace").splitlines():
@@ -231,15 +248,15 @@
         return [name for _, name in sorted(found)]
 
     def entry_url(self, number: int) -> str:
-        """Callers' address of an entry."""
+        """Return the base URL at which an entry serves callers."""
         return f"http://127.1.{NETWORK_BY_ROLE['entry']}.{number}:{self.ports['callers']}"
 
     async def control(self, method: str, path: str, body: Any = None) -> tuple[int, bytes]:
-        """Make an operator's call until a control daemon answers clearly."""
+        """Repeat an operator's call until a control daemon answers with a status below 500."""
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         answer: tuple[int, bytes] = (0, b"")
 
-        async def clear() -> bool:
+        async def answered() -> bool:
             nonlocal answer
             for seed in self.seeds:
                 answer = await request(method, f"http://{seed}{path}", data)
@@ -247,11 +264,11 @@
                     return True
             return False
 
-        await wait_until(clear, f"a clear answer to {method} {path}")
+        await wait_until(answered, f"an answer below 500 to {method} {path}")
         return answer
 
     async def put(self, version: int, **changes: Any) -> int:
-        """Put a configuration."""
+        """Replace the configuration and return the HTTP status."""
         status, _ = await self.control(
             "POST", "/v1/Config.Replace", configuration(version, **changes)
         )
@@ -269,17 +286,17 @@
     async def call(
         self, method: str, path: str, attempt: str, body: Any = None, entry: int = 1, key: str = KEY
     ) -> tuple[int, bytes]:
-        """Make a caller's call."""
+        """Make a caller's call and return its HTTP status and body."""
         data = json.dumps(body).encode() if body is not None else b""
         return await request(method, self.entry_url(entry) + path, data, headers_of(attempt, key))
 
     async def results(self, name: str, entry: int = 1) -> dict | None:
-        """Read all results of a job; None where they cannot be read now."""
+        """Read all results of a job; None if the entry does not answer 200."""
         status, body = await self.call("GET", f"/v1/lots/{name}?after=0", "x", None, entry)
         return json.loads(body) if status == 200 else None
 
     async def whole(self, name: str, total: int, entry: int = 1) -> dict:
-        """Wait until a job's results are all listed."""
+        """Wait until `total` results of a job are listed, and return them."""
 
         async def listed() -> dict | None:
             read = await self.results(name, entry)
@@ -288,8 +305,8 @@
         return await wait_until(listed, f"{total} results of {name}")
 
 
-async def status(seeds: list[str], *more: str) -> tuple[int, str]:
-    """Run `ibisspring status --seeds`; its exit code and output."""
+async def status(seeds: list[str], *options: str) -> tuple[int, str]:
+    """Run `ibisspring status --seeds` and return its exit code and output."""
     arguments = [
         "-c",
         STATUS_PROGRAM,
@@ -298,7 +315,7 @@
         "status",
         "--seeds",
         ",".join(seeds),
-        *more,
+        *options,
     ]
     child = await asyncio.create_subprocess_exec(
         sys.executable, *arguments, stdout=asyncio.subprocess.PIPE
@@ -308,7 +325,7 @@
 
 
 def headers_of(attempt: str, key: str = KEY) -> dict[str, str]:
-    """Headers of a caller's call."""
+    """Return the headers of a caller's call."""
     return {
         "Host": HOST,
         "Attempt-Id": attempt,
@@ -320,7 +337,12 @@
 async def request(
     method: str, url: str, data: bytes, headers: dict[str, str] | None = None
 ) -> tuple[int, bytes]:
-    """One HTTP call; status NO_ANSWER where none came, NOBODY_LISTENS where nothing was sent."""
+    """
+    Make an HTTP call and return its status and body.
+
+    The status is `NOBODY_LISTENS` if the connection failed, so that nothing was sent, and
+    `NO_ANSWER` if the call failed after that or timed out.
+    """
     timeout = aiohttp.ClientTimeout(total=5.0)
     try:
         async with (
@@ -337,9 +359,9 @@
 @asynccontextmanager
 async def platform_system(folder: Path, entries: int = 2, usage_to: str = ""):
     """
-    Start three control daemons, three stores, entries, an archive and two engines.
+    Start three control daemons, three stores, entries, an archive endpoint and two engines.
 
-    :param usage_to: IP:port that takes usage reports; empty for none.
+    :param usage_to: IP:port that receives usage reports; empty for none.
     """
     system = PlatformSystem(folder, usage_to)
     for number in (1, 2, 3):
@@ -365,7 +387,7 @@
 
 
 async def wait_served(system: PlatformSystem, entries: int) -> None:
-    """Wait until each entry serves lookups."""
+    """Wait until each entry answers a lookup with 200."""
     for entry in range(1, entries + 1):
 
         async def served(entry: int = entry) -> bool:
@@ -374,4 +396,4 @@
             )
             return status == 200
 
-        await wait_until(served, f"entry {entry} to serve")
+        await wait_until(served, f"entry {entry} to serve lookups")
--- a/tests/integration/processes.py
+++ b/tests/integration/processes.py
@@ -1,4 +1,4 @@
-"""Starts real processes for a test and ends them by id."""
+"""Starts processes for a test, signals them and ends them by process id."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 import aiohttp
 
-START_S = 60.0
-# Below the range that outgoing connections draw from, so that none of them takes a listener's port.
+DEFAULT_WAIT_LIMIT_S = 60.0
+# Below the ephemeral port range, so that no outgoing connection takes the port of a listener.
 FIRST_PORT = 12_000
-WORKERS = 8
-PORTS_OF_WORKER = 2_400
-_handed_out: set[int] = set()
+MAX_WORKERS = 8
+PORTS_PER_WORKER = 2_400
+_allocated_ports: set[int] = set()
 REPOSITORY = Path(__file__).resolve().parents[2]
 
 
 def _own_ports() -> range:
-    """A range of this test worker alone, so that parallel workers never race for a port."""
+    """Return this test worker's own port range, so that parallel workers never race for a port."""
     worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
-    start = FIRST_PORT + worker % WORKERS * PORTS_OF_WORKER
-    return range(start, start + PORTS_OF_WORKER)
+    start = FIRST_PORT + worker % MAX_WORKERS * PORTS_PER_WORKER
+    return range(start, start + PORTS_PER_WORKER)
 
 
 def free_port() -> int:
-    """A TCP port that is free now and was not handed out before in this process."""
-    candidates = [port for port in _own_ports() if port not in _handed_out]
+    """Return a TCP port that is free now and was not returned before in this process."""
+    candidates = [port for port in _own_ports() if port not in _allocated_ports]
     random.shuffle(candidates)
     for port in candidates:
         with socket.socket() as probe:
@@ -43,18 +43,18 @@
                 probe.bind(("127.0.0.1", port))
             except OSError:
                 continue
-            _handed_out.add(port)
+            _allocated_ports.add(port)
             return port
-    raise RuntimeError("no free port")
+    raise RuntimeError("no free port in the range of this test worker")
 
 
 def free_address() -> str:
-    """A free loopback address as IP:port."""
+    """Return a loopback address with a free port, as IP:port."""
     return f"127.0.0.1:{free_port()}"
 
 
 class Process:
-    """One child process of a test."""
+    """A child process of a test, whose output is appended to `log`."""
 
     def __init__(self, name: str, arguments: list[str], log: Path) -> None:
         self.name = name
@@ -73,7 +73,7 @@
         self.popen.send_signal(signal_number)
 
     def kill(self) -> None:
-        """kill -9, also of a frozen process."""
+        """Send SIGKILL (kill -9), which ends even a frozen process, and wait for the end."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.kill()
             self.popen.wait()
@@ -85,7 +85,7 @@
         self.send(signal.SIGCONT)
 
     async def terminate(self, bound_s: float = 60.0) -> int:
-        """SIGTERM and wait; returns the exit code."""
+        """Send SIGTERM, wait up to `bound_s` for the process to end and return its exit code."""
         self.send(signal.SIGTERM)
         await wait_until(lambda: self.popen.poll() is not None, f"{self.name} to stop", bound_s)
         return self.popen.returncode
@@ -98,23 +98,31 @@
 
 
 async def wait_until(
-    condition: Callable[[], Any] | Callable[[], Awaitable[Any]], what: str, bound_s: float = START_S
+    condition: Callable[[], Any] | Callable[[], Awaitable[Any]],
+    description: str,
+    bound_s: float = DEFAULT_WAIT_LIMIT_S,
 ) -> Any:
-    """Wait for a state, not for a time; fails after a generous bound."""
-    end = time.monotonic() + bound_s
+    """
+    Poll a condition until its value is true, and return the value.
+
+    :param description: what the condition waits for, for the error message.
+    :param bound_s: longest wait in seconds, far longer than the state takes on a busy machine.
+    :raises AssertionError: if the condition is still false after `bound_s`.
+    """
+    deadline = time.monotonic() + bound_s
     while True:
         value = condition()
         if asyncio.iscoroutine(value):
             value = await value
         if value:
             return value
-        if time.monotonic() > end:
-            raise AssertionError(f"waited {bound_s} s in vain for {what}")
+        if time.monotonic() > deadline:
+            raise AssertionError(f"timed out after {bound_s} s waiting for {description}")
         await asyncio.sleep(0.05)
 
 
 async def http_answers(url: str) -> bool:
-    """Whether an HTTP server answers 200 there."""
+    """Return whether a GET request to the URL is answered 200 within 2 s."""
     try:
         async with (
             aiohttp.ClientSession() as session,
@@ -126,18 +134,18 @@
 
 
 async def get_json(url: str) -> Any:
-    """GET a fake's record."""
+    """Send a GET request and return the decoded JSON body."""
     async with aiohttp.ClientSession() as session, session.get(url) as response:
         return json.loads(await response.read())
 
 
 def python_module(module: str, *arguments: str) -> list[str]:
-    """Command line of a module under the tests' own interpreter."""
+    """Return the command line that runs a module with the Python interpreter of the tests."""
     return [sys.executable, "-m", module, *arguments]
 
 
 def command_line(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the operators' command line and return what it printed."""
+    """Run `ibisspring` with the arguments and return its exit code and output."""
     binary = Path(sys.executable).parent / "ibisspring"
     return subprocess.run(
         [str(binary), *arguments], capture_output=True, text=True, timeout=120, check=False
--- a/tests/integration/proxy.py
+++ b/tests/integration/proxy.py
@@ -1,4 +1,4 @@
-"""A small TCP proxy that injects faults between real processes."""
+"""A TCP proxy that injects network faults between processes."""
 
 from __future__ import annotations
 
@@ -9,24 +9,25 @@
 
 from integration.processes import free_port
 
-CHUNK = 65_536
+CHUNK_BYTES = 65_536
+# SO_LINGER switched on with 0 s: closing the socket sends RST.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Mode(enum.Enum):
-    """What happens to bytes in one direction of a connection."""
+    """How the proxy treats the bytes of one direction of a connection."""
 
     PASS = "pass"
-    # Bytes are taken and thrown away, the connection stays open: a flow that the network has lost
-    # track of.
+    # Bytes are read and discarded while the connection stays open, as when a device in the network
+    # has dropped the state of the flow.
     SILENT = "silent"
-    # Bytes are taken and delivered when the mode changes back: TCP that retransmits after a
+    # Bytes are read and delivered when the mode changes back, as by TCP retransmission after a
     # partition heals.
     HOLD = "hold"
 
 
 class Link:
-    """One proxied connection."""
+    """A proxied connection."""
 
     def __init__(
         self,
@@ -39,20 +40,20 @@
         self.target = target
         self.mode_by_direction = {"to_target": to_target, "to_client": to_client}
         self.changed = asyncio.Condition()
-        # Whether bytes are held in one direction.
+        # Whether the direction that last read bytes holds them back.
         self.holds = False
 
     async def set_modes(self, to_target: Mode, to_client: Mode) -> None:
-        """Change both directions; what was held goes on if its direction passes again."""
+        """Set the mode of both directions; held bytes are delivered if the new mode is PASS."""
         async with self.changed:
             self.mode_by_direction = {"to_target": to_target, "to_client": to_client}
             self.changed.notify_all()
 
     async def pump(self, direction: str, delay_s: float) -> None:
-        """Carry one direction until its end."""
+        """Forward the bytes of one direction until its end, each read delayed by `delay_s`."""
         reader = self.client[0] if direction == "to_target" else self.target[0]
         writer = self.target[1] if direction == "to_target" else self.client[1]
-        while data := await reader.read(CHUNK):
+        while data := await reader.read(CHUNK_BYTES):
             if delay_s:
                 await asyncio.sleep(delay_s)
             async with self.changed:
@@ -60,8 +61,8 @@
                 await self.changed.wait_for(
                     lambda: self.mode_by_direction[direction] is not Mode.HOLD
                 )
-            # A sender that reset its connection has thrown its bytes away: its TCP has nothing to
-            # retransmit when the partition heals.
+            # A reset connection discards the sender's unacknowledged bytes, so they are not
+            # retransmitted when the partition heals.
             if reader.exception() is not None:
                 raise reader.exception()
             if self.mode_by_direction[direction] is Mode.SILENT:
@@ -72,7 +73,7 @@
             writer.write_eof()
 
     def reset(self) -> None:
-        """End both sides with RST."""
+        """Close the connections to the client and the target with RST."""
         for _, writer in (self.client, self.target):
             connection = writer.get_extra_info("socket")
             if connection is not None and connection.fileno() >= 0:
@@ -81,7 +82,7 @@
 
 
 class FaultProxy:
-    """Listens on a free loopback port and carries connections to one target."""
+    """Listens on a free loopback port and forwards connections to one target."""
 
     def __init__(self, target: str) -> None:
         self.target = target
@@ -96,9 +97,9 @@
     @classmethod
     async def before(cls, target: str) -> FaultProxy:
         """
-        Start a proxy.
+        Start a proxy in front of a process.
 
-        :param target: IP:port that the proxied process listens on; it may start later.
+        :param target: IP:port of the proxied process, which may start later.
         """
         proxy = cls(target)
         host, port = proxy.address.split(":")
@@ -130,39 +131,46 @@
             target[1].close()
 
     async def shut(self) -> None:
-        """Let new connections hang: their SYN is dropped until `reopen`, then sent again by TCP."""
+        """
+        Leave new connections unanswered until `reopen`.
+
+        The kernel drops their SYN since the accept queue is full; TCP retransmits it until then.
+        """
         self._server.close()
         host, port = self.address.split(":")
-        self._shut = socket.socket()
-        self._shut.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._shut.bind((host, int(port)))
-        self._shut.listen(0)
-        # A queue of length 0 holds one connection.
-        self._filler = socket.create_connection((host, int(port)))
+        self._blocked_socket = socket.socket()
+        self._blocked_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._blocked_socket.bind((host, int(port)))
+        self._blocked_socket.listen(0)
+        # An accept queue of length 0 holds one connection, so this connection fills it.
+        self._queue_filler = socket.create_connection((host, int(port)))
 
     async def reopen(self) -> None:
-        """Take the connections that hang."""
-        self._filler.close()
-        self._shut.setblocking(False)
-        self._server = await asyncio.start_server(self._serve, sock=self._shut)
+        """Accept connections again, including those left unanswered since `shut`."""
+        self._queue_filler.close()
+        self._blocked_socket.setblocking(False)
+        self._server = await asyncio.start_server(self._serve, sock=self._blocked_socket)
 
     async def set_modes(self, to_target: Mode, to_client: Mode) -> None:
-        """Change what happens to all connections, open ones and those to come."""
+        """Set the modes of all connections, both open and future ones."""
         self._modes = (to_target, to_client)
         await self.set_modes_of_open(to_target, to_client)
 
     async def set_modes_of_open(self, to_target: Mode, to_client: Mode) -> None:
-        """Change what happens to the connections open now; new ones are not touched."""
+        """Set the modes of the connections open now, but not of future ones."""
         for link in list(self.links):
             await link.set_modes(to_target, to_client)
 
     async def silence(self) -> None:
-        """A partition both ways: everything stays open and nothing arrives."""
+        """Partition both directions: connections stay open and all bytes are discarded."""
         await self.set_modes(Mode.SILENT, Mode.SILENT)
 
     async def heal(self) -> None:
         """
-        End a partition: links that lost bytes are reset, as their TCP would be, and new ones pass.
+        End a partition.
+
+        Links in mode SILENT are reset, since TCP can't recover bytes that the proxy discarded; all
+        other links and new ones pass bytes again.
         """
         self._modes = (Mode.PASS, Mode.PASS)
         for link in list(self.links):
@@ -173,13 +181,13 @@
         self.refuse_new = False
 
     def cut(self) -> None:
-        """Reset all connections and refuse new ones."""
+        """Reset all connections and abort new ones."""
         self.refuse_new = True
         for link in list(self.links):
             link.reset()
 
     async def stop(self) -> None:
-        """End the proxy."""
+        """Stop listening and reset all connections."""
         self._server.close()
         for link in list(self.links):
             link.reset()
--- a/tests/integration/replicas.py
+++ b/tests/integration/replicas.py
@@ -1,4 +1,4 @@
-"""A cluster of test replicas (`fakes.replica`) with a fault proxy before each direction."""
+"""A cluster of test replicas (`fakes.replica`), optionally with a fault proxy on each path."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 )
 from integration.proxy import FaultProxy
 
-REQUEST_S = 10.0
+REQUEST_TIMEOUT_S = 10.0
 
 
 class Replicas:
-    """Replica processes by daemon id."""
+    """The processes, HTTP addresses and proxies of the replicas by daemon id."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -37,11 +37,11 @@
 
     @classmethod
     def from_count(cls, folder: Path, count: int, **control: Any) -> Replicas:
-        """Lay out replicas `c1`… without starting them."""
+        """Create the settings of replicas `c1`, `c2` and so on without starting them."""
         return cls(Cluster.from_counts(folder, count, 0, **control))
 
     async def add_proxies(self) -> None:
-        """Put a proxy on each path from one replica to another."""
+        """Start a proxy on each path from one replica to another and put it into the settings."""
         for source, settings in self.cluster.settings_by_daemon.items():
             for target, address in self.listen_by_daemon.items():
                 if target == source:
@@ -51,7 +51,7 @@
                 settings["control_addresses"][target] = proxy.address
 
     def paths_of(self, daemon: str, inward: bool, outward: bool) -> tuple[FaultProxy, ...]:
-        """Proxies on the paths to and from a replica."""
+        """Return the proxies on the paths to a replica, from it, or both."""
         return tuple(
             proxy
             for (source, target), proxy in self.proxy_by_path.items()
@@ -59,7 +59,7 @@
         )
 
     def start(self, daemon: str) -> Process:
-        """Write the settings and start a replica's process."""
+        """Write a replica's settings file and start its process."""
         path = self.cluster.settings_path(daemon)
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(yaml.safe_dump(self.cluster.settings_by_daemon[daemon]))
@@ -77,7 +77,7 @@
         await wait_until(lambda: self.local(daemon), f"{daemon} to answer")
 
     async def control(self, *arguments: str) -> Any:
-        """Run `ibisspring control` against all replicas, while the proxies go on."""
+        """Run `ibisspring control` in a thread, so that this process's proxies keep running."""
         addresses = ",".join(self.listen_by_daemon.values())
         command = ("control", "--control", addresses, *arguments)
         return await asyncio.to_thread(command_line, *command)
@@ -86,14 +86,14 @@
         return self.cluster.process_by_name[daemon]
 
     async def found(self) -> None:
-        """Start all replicas and bootstrap them."""
+        """Start all replicas, bootstrap them and wait for a leader."""
         await self.start_all()
         result = await self.control("bootstrap")
         assert result.returncode == 0, result.stderr
         await self.leader()
 
     async def _http(self, daemon: str, method: str, path: str, data: bytes | None = None) -> Any:
-        timeout = aiohttp.ClientTimeout(total=REQUEST_S)
+        timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         url = f"http://{self.http_by_daemon[daemon]}{path}"
         try:
             async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -103,13 +103,13 @@
             return None
 
     async def local(self, daemon: str) -> Any:
-        """What a replica itself knows; None where it does not answer."""
+        """Return a replica's own state without a confirmed read, or None if it does not answer."""
         return await self._http(daemon, "GET", "/local")
 
     async def leader(self, but: str = "") -> str:
-        """Wait for a leader that holds its lease."""
+        """Wait for a leader other than `but` that holds its lease, and return its daemon id."""
 
-        async def find() -> str:
+        async def find_leader() -> str:
             for daemon, process in self.cluster.process_by_name.items():
                 if daemon == but or not process.alive():
                     continue
@@ -118,33 +118,37 @@
                     return daemon
             return ""
 
-        return await wait_until(find, "a leader")
+        return await wait_until(find_leader, "a leader")
 
     async def propose(self, daemon: str, line: str) -> Any:
-        """Propose once; None where no answer came."""
+        """Propose a line once and return the answer, or None if there is none."""
         return await self._http(daemon, "POST", "/propose", line.encode())
 
     async def accept(self, line: str, but: str = "") -> int:
-        """Propose to the leader until the line is accepted; it may stand in the log twice."""
+        """
+        Propose a line to the leader until it is accepted, and return its index.
 
-        async def once() -> int:
+        The log may contain the line twice, if an earlier proposal was committed but not answered.
+        """
+
+        async def accepted() -> int:
             answer = await self.propose(await self.leader(but), line)
             return answer["index"] if answer and "index" in answer else 0
 
-        return await wait_until(once, f"{line!r} to be accepted")
+        return await wait_until(accepted, f"{line!r} to be accepted")
 
     async def read(self, daemon: str) -> Any:
-        """A confirmed read; None where no answer came."""
+        """Return the answer to a confirmed read, or None if there is none."""
         return await self._http(daemon, "GET", "/read")
 
     async def wait_lines(self, daemon: str, lines: list[str]) -> None:
-        """Wait until a replica has applied all these lines."""
+        """Wait until a replica has applied all given lines."""
 
-        async def holds() -> bool:
+        async def applied() -> bool:
             local = await self.local(daemon)
             return local is not None and set(lines) <= set(local["lines"])
 
-        await wait_until(holds, f"{daemon} to hold {len(lines)} lines")
+        await wait_until(applied, f"{daemon} to apply {len(lines)} lines")
 
     def stop_all(self) -> None:
         self.cluster.stop_all()
--- a/tests/integration/requests_system.py
+++ b/tests/integration/requests_system.py
@@ -1,4 +1,4 @@
-"""A ruled system of real daemons with fake endpoints, and callers that ask any entry."""
+"""Real daemons with rules in force and fake endpoints, and callers that can use any entry."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RequestsSystem(Fakes):
-    """Entries with their callers, over a `RulesSystem`."""
+    """Calls to the entries of a `RulesSystem` and the fake endpoints behind them."""
 
     def __init__(self, folder: Path, rules: RulesSystem) -> None:
         super().__init__(rules.cluster.start_other)
@@ -26,8 +26,9 @@
         cls, folder: Path, controls: int, entries: int, text: str = "", **entry: Any
     ) -> RequestsSystem:
         """
-        Found the system and put rules in force.
+        Start and bootstrap a system and apply rules to it.
 
+        :param text: the rules file; the default of `rules_text` if empty.
         :param entry: settings of the entry section that differ from the defaults.
         """
         rules = RulesSystem.from_counts(folder, controls, entries)
@@ -46,30 +47,37 @@
 
     async def start_endpoint(self, kind: str, name: str, **options: Any) -> None:
         """
-        Start a fake and wait until every entry knows it.
+        Start a fake endpoint and wait until every entry has accepted its announcement.
 
-        :param kind: `engine` or `plain`.
+        :param kind: name of a module of `fakes`: `engine` or `plain`.
         """
         entries = [self.url(entry) for entry in self.entries()]
         await self.announce_fake(f"fakes.{kind}", name, entries, **options)
 
     async def ask(
-        self, url: str, method: str, path: str, headers: dict[str, str] | None = None, **rest: Any
+        self,
+        url: str,
+        method: str,
+        path: str,
+        headers: dict[str, str] | None = None,
+        **request_options: Any,
     ) -> Answer:
-        """Ask an entry, or a proxy before it, by its base URL."""
+        """Make a caller's request to the base URL of an entry, or of a proxy in front of one."""
         headers = {"Authorization": f"Bearer {KEY}", **(headers or {})}
         async with aiohttp.ClientSession() as session:
-            async with session.request(method, url + path, headers=headers, **rest) as response:
+            async with session.request(
+                method, url + path, headers=headers, **request_options
+            ) as response:
                 return Answer(response.status, response.headers, await response.read())
 
     async def usage(self) -> dict[str, tuple[int, int]]:
-        """Tokens and calls by service, over all usage windows."""
-        total: dict[str, tuple[int, int]] = {}
+        """Return the tokens and calls by service, summed over all usage windows."""
+        usage_by_service: dict[str, tuple[int, int]] = {}
         for window in (await self.rules.ask("usage", "show"))["windows"]:
             for line in window["lines"]:
-                tokens, calls = total.get(line["service"], (0, 0))
-                total[line["service"]] = (tokens + line["tokens"], calls + line["calls"])
-        return total
+                tokens, calls = usage_by_service.get(line["service"], (0, 0))
+                usage_by_service[line["service"]] = (tokens + line["tokens"], calls + line["calls"])
+        return usage_by_service
 
     def stop_all(self) -> None:
         self.cluster.stop_all()
--- a/tests/integration/rules_system.py
+++ b/tests/integration/rules_system.py
@@ -1,4 +1,4 @@
-"""A system of real daemons that is founded and ruled through the operators' command line."""
+"""Real daemons that are bootstrapped and given rules through the operators' command line."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def rules_text(*extra: str, keys: tuple[str, ...] = (KEY,)) -> str:
-    """A rules file with one client account and the given lines."""
+    """Return a rules file with one client account and the given lines after it."""
     granted = " ".join(f"key sha256:{key_digest(key)}" for key in keys)
     lines = [
         f"client_account forge {granted} rate 1000/s weight 1 {ASKED}",
@@ -28,12 +28,12 @@
 
 
 class RulesSystem:
-    """Control daemons `c1`…, entries `e1`…, and the command line pointed at them."""
+    """A cluster and the command line with the addresses of its control daemons."""
 
     def __init__(self, folder: Path, cluster: Cluster) -> None:
         self.folder = folder
         self.cluster = cluster
-        self.files = 0
+        self.file_count = 0
 
     @classmethod
     def from_counts(cls, folder: Path, controls: int, entries: int, **control: Any) -> RulesSystem:
@@ -41,28 +41,28 @@
 
     @property
     def options(self) -> list[str]:
-        """The command line's `--control` options."""
+        """The `--control` options of the command line."""
         sections = self.cluster.settings_by_daemon.values()
-        listens = [section["control"]["listen"] for section in sections if "control" in section]
-        return [f"--control={listen}" for listen in listens]
+        addresses = [section["control"]["listen"] for section in sections if "control" in section]
+        return [f"--control={listen}" for listen in addresses]
 
     async def run(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command line beside the event loop."""
+        """Run the command line in a thread, so that it does not block the event loop."""
         return await asyncio.to_thread(command_line, *self.options, *arguments)
 
     @staticmethod
     def command(*arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command line with other `--control` options than the system's."""
+        """Run the command line without the system's `--control` options."""
         return command_line(*arguments)
 
     async def found(self) -> None:
-        """Start all daemons, found the cluster and wait until every entry is ready."""
+        """Start all daemons, bootstrap the cluster and wait until every entry is ready."""
         self.cluster.start_all()
 
-        async def founded() -> bool:
+        async def bootstrapped() -> bool:
             return (await self.run("control", "bootstrap")).returncode == 0
 
-        await wait_until(founded, "the bootstrap")
+        await wait_until(bootstrapped, "the bootstrap")
         for daemon in self.entries():
             await self.cluster.wait_ready(daemon)
 
@@ -72,20 +72,20 @@
     async def apply(
         self, text: str, base: int, *arguments: str
     ) -> subprocess.CompletedProcess[str]:
-        """Apply a rules file."""
-        self.files += 1
-        path = self.folder / f"rules-{self.files}.txt"
+        """Write `text` to a new rules file and apply it on the version `base`."""
+        self.file_count += 1
+        path = self.folder / f"rules-{self.file_count}.txt"
         path.write_text(text)
         return await self.run("rules", "apply", str(path), "--base", str(base), *arguments)
 
     async def ask(self, *arguments: str) -> dict[str, Any]:
-        """Run a command with --json that must succeed."""
+        """Run a command with `--json`, check that it succeeds and return its decoded output."""
         result = await self.run(*arguments, "--json")
         assert result.returncode == 0, result.stderr + result.stdout
         return json.loads(result.stdout)
 
     async def leader(self, but: str = "") -> str:
-        """The leader's daemon id, once there is one other than `but`."""
+        """Wait for a leader other than `but` and return its daemon id."""
 
         async def found() -> str:
             result = await self.run("status", "--json")
--- a/tests/integration/training_system.py
+++ b/tests/integration/training_system.py
@@ -1,4 +1,4 @@
-"""Control, entries, fakes and one trainer, all real processes, for the tests of rollouts."""
+"""Control daemons, entries and fakes, each a process, and a trainer, for the rollout tests."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class TrainingSystem(Fakes):
-    """The processes, and what a test asks of them."""
+    """The processes of a training system, and a trainer that calls its entries."""
 
     def __init__(self, cluster: Cluster) -> None:
         super().__init__(cluster.start_other)
@@ -52,7 +52,7 @@
     def lay_out(
         cls, folder: Path, controls: int = 1, entries: int = 2, **control: Any
     ) -> TrainingSystem:
-        """A system whose settings a test may still change."""
+        """Create a system without starting it, so that a test can change its settings."""
         weights = free_address()
         control = {"weight_store_url": f"http://{weights}", **control}
         system = cls(Cluster.from_counts(folder, controls, entries, **control))
@@ -60,36 +60,36 @@
         return system
 
     async def start(self, rules: str = RULES) -> None:
-        """Start the daemons and the weight store, and put the rules in force."""
+        """Start the weight store and the daemons, bootstrap the cluster and apply the rules."""
         listen = self.address_by_name["weight_store"]
         self.cluster.start_other(
             "weight_store", python_module("fakes.weight_store", "--listen", listen)
         )
         self.cluster.start_all()
-        await self.until_done("control", "bootstrap")
+        await self.run_until_success("control", "bootstrap")
         path = self.cluster.folder / "rules.txt"
         path.write_text(rules)
         for entry in self.entries:
             await self.cluster.wait_ready(entry)
-        await self.until_done("rules", "apply", str(path), "--base", "0")
+        await self.run_until_success("rules", "apply", str(path), "--base", "0")
 
-    async def until_done(self, *arguments: str) -> None:
-        """Run the command line until it succeeds."""
-        said = ""
+    async def run_until_success(self, *arguments: str) -> None:
+        """Repeat a command until it succeeds; its last output is in the error if it never does."""
+        output = ""
 
-        async def done() -> bool:
-            nonlocal said
+        async def succeeded() -> bool:
+            nonlocal output
             result = command_line(*self.control_options, *arguments)
-            said = result.stdout + result.stderr
+            output = result.stdout + result.stderr
             return result.returncode == 0
 
         try:
-            await wait_until(done, " ".join(arguments))
+            await wait_until(succeeded, " ".join(arguments))
         except AssertionError as error:
-            raise AssertionError(f"{error}: {said}") from error
+            raise AssertionError(f"{error}: {output}") from error
 
     async def start_endpoint(self, module: str, name: str, **options: Any) -> None:
-        """Start a fake endpoint and wait until each entry knows it."""
+        """Start a fake endpoint and wait until every entry has accepted its announcement."""
         entries = [self.cluster.url(entry) for entry in self.entries]
         await self.announce_fake(module, name, entries, **options)
 
@@ -97,34 +97,34 @@
         await self.start_endpoint("fakes.engine", name, service=MODEL, **options)
 
     async def fetch_until_whole(self, step: int, entry: int = 0) -> Any:
-        """Ask through one entry until the batch is there."""
-        found: list[Any] = []
+        """Fetch the batch of a step through one entry until it is complete, and return it."""
+        batches: list[Any] = []
 
-        async def whole() -> bool:
+        async def complete() -> bool:
             status, answer = await self.trainer.fetch(step, entry)
             if status == 200:
-                found.append(answer)
+                batches.append(answer)
             return status == 200
 
-        await wait_until(whole, f"the batch of step {step}")
-        return found[0]
+        await wait_until(complete, f"the batch of step {step}")
+        return batches[0]
 
     async def true_versions(self, *engines: str) -> dict[str, list[int]]:
-        """By sample id, the version that truly made each token, from the engines' own records."""
+        """Return the version that generated each token, by sample id, from the engines' records."""
         versions_by_sample: dict[str, list[int]] = {}
         for name in engines:
             for request in (await self.log(name))["requests"]:
                 sample = request["request_id"].rpartition(".")[0]
-                made = versions_by_sample.setdefault(sample, [])
-                made[request["resumed_at"] :] = request["versions"]
+                versions = versions_by_sample.setdefault(sample, [])
+                versions[request["resumed_at"] :] = request["versions"]
         return versions_by_sample
 
     async def ready(self, step: int, body: Any, entry: int = 0) -> int:
-        """How many samples of a step are there, asked without fetching."""
+        """Return how many samples of a step are ready, without fetching the batch."""
         return (await self.trainer.open_step(step, body, entry))[1].get("ready", 0)
 
     async def announced(self, name: str) -> dict[str, int]:
-        """What an engine says that it uses, by adapter."""
+        """Return the weight versions that an engine announces, by adapter."""
         status = await get_json(f"http://{self.address_by_name[name]}/status")
         return status["version_by_adapter"]
 
@@ -133,7 +133,7 @@
 
 
 def told_versions(sample: Any) -> list[int]:
-    """The version of each token as the sample's label runs tell it."""
+    """Return the version of each token according to the label runs of the sample."""
     versions: list[int] = []
     for run in sample["runs"]:
         versions += [run["version"]] * (run["to"] - run["from"])
@@ -141,18 +141,18 @@
 
 
 def versions_of(batch: Any) -> set[int]:
-    """All weight versions in a batch."""
+    """Return all weight versions that occur in a batch."""
     return {run["version"] for sample in batch["samples"] for run in sample["runs"]}
 
 
 def ids_of(batch: Any) -> set[str]:
-    """The sample ids of a batch."""
+    """Return the sample ids of a batch."""
     return {sample["sample"] for sample in batch["samples"]}
 
 
 @asynccontextmanager
 async def training_system(folder: Path, **control: Any) -> AsyncIterator[TrainingSystem]:
-    """A running system that ends with the block."""
+    """Run a system until the end of the `async with` block."""
     system = TrainingSystem.lay_out(folder, **control)
     try:
         await system.start()
--- a/tests/replay/player.py
+++ b/tests/replay/player.py
@@ -1,8 +1,9 @@
 """
-Replays a recorded trace against real processes and checks its stated outcome.
+Replays a recorded trace against real processes and collects its outcome.
 
-A trace is a folder: `rules.txt`, `trace.jsonl` (one event a line, in order) and `outcome.json`. An
-event names what somebody did; the player does it and goes on when the system has taken it.
+A trace is a folder with `rules.txt`, `trace.jsonl` (one event per line, in order) and
+`outcome.json`, the expected outcome. An event is an action of a caller, trainer, endpoint or
+operator, or a fault. The player performs it and continues once the system has accepted it.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class Player:
-    """Plays one trace; what callers and trainers received is kept for the outcome."""
+    """Plays a trace and keeps the answers that callers and trainers received."""
 
     def __init__(self, system: TrainingSystem, folder: Path) -> None:
         self.system = system
@@ -101,11 +102,15 @@
         await wait_until(enough, f"{event}")
 
     async def fetch(self, event: Event) -> None:
-        """As a trainer does: ask until the batch is whole, resend the request where it was lost."""
+        """
+        Fetch a batch until it is complete, then acknowledge it.
+
+        After a 409 the request that opened the step was lost, so it is sent again.
+        """
         trainer = self.trainer(event)
         name = f"{event['trainer']}/{event['step']}"
 
-        async def whole() -> bool:
+        async def complete() -> bool:
             status, answer = await trainer.fetch(event["step"], event["entry"])
             if status == 409:
                 await trainer.open_step(event["step"], self.body_by_step[name], event["entry"])
@@ -113,13 +118,13 @@
                 self.batch_by_step[name] = answer
             return status == 200
 
-        await wait_until(whole, f"{event}")
+        await wait_until(complete, f"{event}")
         digest = self.batch_by_step[name]["digest"]
         status, answer = await trainer.acknowledge(event["step"], digest, event["entry"])
         assert status == 200, answer
 
     async def call(self, event: Event) -> None:
-        """One or more calls at once; `wait_for` repeats the event until it has that status."""
+        """Make calls concurrently; with `wait_for`, repeat them until all have that HTTP status."""
 
         async def done() -> bool:
             await asyncio.gather(*(self._call(one) for one in event["calls"]))
@@ -154,16 +159,16 @@
         await self.system.cluster.wait_ready(event["process"])
 
     async def rules(self, event: Event) -> None:
-        """An operator edits the file: a word is replaced, the version it was based on named."""
+        """Apply the trace's rules with one text replaced, based on the current rules version."""
         path = self.system.cluster.folder / "edited.txt"
         text = (self.folder / "rules.txt").read_text()
         path.write_text(text.replace(event["replace"], event["with"]))
         base = str(self.rules_version)
-        await self.system.until_done("rules", "apply", str(path), "--base", base)
+        await self.system.run_until_success("rules", "apply", str(path), "--base", base)
         self.rules_version += 1
 
     async def outcome(self) -> dict[str, Any]:
-        """What callers and trainers received and what the endpoints ran."""
+        """Return a summary of what callers and trainers received and what the endpoints ran."""
         true_by_sample = await self.system.true_versions(*self.engines)
         steps = {}
         delivered: list[str] = []
