--- a/tests/integration/test_consensus_apply.py
+++ b/tests/integration/test_consensus_apply.py
@@ -1,4 +1,4 @@
-"""Real control daemons whose leader is killed while it takes an operator's change."""
+"""Real control daemons whose leader is killed while it commits an operator's change."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 
 SEED = 4
 ROUNDS = 6
-LONGEST_DELAY_S = 0.06
-LONG_S = 60.0
+MAX_KILL_DELAY_S = 0.06
+PROPOSAL_TIMEOUT_S = 60.0
 
 
 async def test_leader_killed_in_the_middle_of_an_apply(tmp_path) -> None:
     """
-    An operator is told of a conflict with himself, or his accepted rules are gone.
+    Guards against a resent command that conflicts with itself, and against lost accepted rules.
 
-    The leader is killed with kill -9 at a drawn moment while it commits a rules file; the command
-    is sent again under its request id to the next leader. Cause: a command that was committed once
-    and is applied again, or an answer given before a majority had it.
+    The leader is killed with SIGKILL at a random moment while it commits a rules file; the client
+    resends the command under the same request id to the next leader. The first failure occurs if a
+    committed command is applied a second time, the second if the leader answers before a majority
+    has stored the command.
     """
     system = RulesSystem.from_counts(tmp_path, 3, 1, snapshot_every=5)
-    listens = [option.removeprefix("--control=") for option in system.options]
-    client = ControlClient({listen: listen for listen in listens})
+    control_addresses = [option.removeprefix("--control=") for option in system.options]
+    client = ControlClient({listen: listen for listen in control_addresses})
     delays = random.Random(SEED)
     try:
         await system.found()
@@ -34,9 +35,9 @@
             leader = await system.leader()
             text = rules_text(f"timeout archive-app {version} s {ASKED}")
             command = ApplyRules(version - 1, text, "ana")
-            proposal = client.propose(command, new_request_id(), total_s=LONG_S)
+            proposal = client.propose(command, new_request_id(), total_s=PROPOSAL_TIMEOUT_S)
             applying = asyncio.create_task(proposal)
-            await asyncio.sleep(delays.random() * LONGEST_DELAY_S)
+            await asyncio.sleep(delays.random() * MAX_KILL_DELAY_S)
             system.cluster.process_by_name[leader].kill()
             applied = await applying
             assert applied == RulesApplied(version), f"seed {SEED}, round {version}"
--- a/tests/integration/test_consensus_basics.py
+++ b/tests/integration/test_consensus_basics.py
@@ -1,4 +1,4 @@
-"""Replicas as real processes: found, write, restart."""
+"""Control replicas as real processes: bootstrap, writes, restart and planned stop."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 3])
-async def test_accepted_lines_outlast_a_restart_of_all(tmp_path, count) -> None:
+async def test_accepted_lines_survive_a_restart_of_all_replicas(tmp_path, count) -> None:
     replicas = Replicas.from_count(tmp_path, count)
     try:
         await replicas.found()
@@ -26,7 +26,7 @@
         replicas.stop_all()
 
 
-async def test_graceful_stop_hands_leadership_over(tmp_path) -> None:
+async def test_graceful_stop_transfers_leadership(tmp_path) -> None:
     replicas = Replicas.from_count(tmp_path, 3)
     try:
         await replicas.found()
@@ -50,9 +50,9 @@
         replicas.start("c3")
         await replicas.wait_up("c3")
         assert (await replicas.control("bootstrap")).returncode == 0
-        again = await replicas.control("bootstrap")
-        assert again.returncode == 1
-        assert "already holds state" in again.stderr
-        await wait_until(replicas.leader, "the founded cluster to go on")
+        second = await replicas.control("bootstrap")
+        assert second.returncode == 1
+        assert "already holds state" in second.stderr
+        await wait_until(replicas.leader, "a leader of the bootstrapped cluster")
     finally:
         replicas.stop_all()
--- a/tests/integration/test_consensus_disks.py
+++ b/tests/integration/test_consensus_disks.py
@@ -1,4 +1,4 @@
-"""Control replicas as real processes whose disks are wiped, torn, damaged and restarted."""
+"""Control replicas as real processes whose disks are wiped, damaged or full, and restarts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from integration.processes import wait_until
 from integration.replicas import Replicas
-from integration.test_consensus_faults import assert_all_hold, followers, founded
+from integration.test_consensus_faults import assert_all_hold, bootstrapped, followers
 
 
 def data_folder(replicas: Replicas, daemon: str) -> Path:
@@ -18,19 +18,19 @@
 
 
 def wipe(replicas: Replicas, daemon: str) -> None:
-    """Kill a replica and lose its disk."""
+    """Kill a replica and delete its data folder."""
     replicas.process(daemon).kill()
     shutil.rmtree(data_folder(replicas, daemon))
 
 
 async def status(replicas: Replicas) -> dict:
-    """What each reachable replica says of itself, by daemon."""
+    """Return the status that each reachable replica reports, by daemon."""
     described = json.loads((await replicas.control("--json", "status")).stdout)
     return {replica["daemon"]: replica for replica in described if "daemon" in replica}
 
 
 async def wait_repaired(replicas: Replicas, daemon: str) -> None:
-    """Wait until the daemon's present disk is the only one of its own among the voters."""
+    """Wait until the daemon's current disk is a voter and none of its earlier disks is."""
 
     async def repaired() -> bool:
         replica_by_daemon = await status(replicas)
@@ -38,21 +38,22 @@
         leader = replica_by_daemon.get(replica_by_daemon[daemon]["leader"])
         if leader is None or leader["outgoing"]:
             return False
-        own = [voter for voter in leader["voters"] if voter["daemon"] == daemon]
-        return [voter["disk_id"] for voter in own] == [disk_id]
+        own_voters = [voter for voter in leader["voters"] if voter["daemon"] == daemon]
+        return [voter["disk_id"] for voter in own_voters] == [disk_id]
 
-    await wait_until(repaired, f"{daemon} to count again")
+    await wait_until(repaired, f"the new disk of {daemon} to be a voter")
 
 
 async def test_second_vm_lost_right_after_a_repair(tmp_path) -> None:
     """
-    An accepted rules change is gone after two VMs were replaced one after the other.
+    Guards against losing accepted changes when two VMs lose their disks one after the other.
 
-    A control VM loses its disk and is repaired; right after, another one is lost for good with its
-    disk, then the third is restarted. Cause: the repaired VM counted before it held what is
-    committed, or voted as its old self.
+    A control VM loses its disk and is repaired; right after that another one is permanently lost
+    with its disk, and later rejoins with an empty one. The loss occurs if the repaired VM counts
+    towards a majority before it holds all committed entries, or votes under the identity of its
+    old disk.
     """
-    async with founded(tmp_path) as replicas:
+    async with bootstrapped(tmp_path) as replicas:
         lines = [f"line {number}" for number in range(30)]
         for line in lines:
             await replicas.accept(line)
@@ -74,8 +75,8 @@
 
 
 async def test_leaders_disk_lost_and_a_second_loss_after_the_repair(tmp_path) -> None:
-    """As above, where it is the leader that is lost each time."""
-    async with founded(tmp_path) as replicas:
+    """Guards against the same loss when each VM that loses its disk is the current leader."""
+    async with bootstrapped(tmp_path) as replicas:
         lines = []
         for number in range(3):
             lines.append(f"line {number}")
@@ -90,13 +91,13 @@
 
 async def test_empty_disks_never_found_a_second_cluster(tmp_path) -> None:
     """
-    Two clusters give orders after a bad night: one founded on two new disks, one from the VM that
-    was away.
+    Guards against two clusters that both give orders: one bootstrapped on two new disks, the other
+    on the VM that was down.
 
-    Two of three disks are lost while the third VM is down. An operator runs bootstrap. Cause: a
-    bootstrap that is content with a majority of empty disks.
+    Two of three disks are lost while the third VM is down, and an operator runs bootstrap. The
+    second cluster arises if bootstrap requires only a majority of empty disks.
     """
-    async with founded(tmp_path) as replicas:
+    async with bootstrapped(tmp_path) as replicas:
         await replicas.accept("accepted")
         for daemon in ("c1", "c2"):
             wipe(replicas, daemon)
@@ -116,13 +117,14 @@
 
 async def test_restart_of_all_after_hundreds_of_changes(tmp_path) -> None:
     """
-    Rules that were in force an hour ago come back after all control VMs were restarted.
+    Guards against old rules that return after a restart of all control VMs.
 
-    500 changes with several snapshots; all are killed and started, one of them while it stores
-    snapshots. Cause: a snapshot and log that together give another state than the one that was
-    accepted.
+    500 changes are accepted, with several snapshots; then all replicas are killed and restarted
+    right after another snapshot was ordered, so that one can be killed while it stores the
+    snapshot. The failure occurs if the state restored from snapshot and log differs from the
+    accepted state.
     """
-    async with founded(tmp_path, snapshot_every=60) as replicas:
+    async with bootstrapped(tmp_path, snapshot_every=60) as replicas:
         lines = [f"line {number}" for number in range(500)]
         leader = await replicas.leader()
         for start in range(0, 500, 50):
@@ -147,14 +149,14 @@
 
 async def test_follower_behind_the_log_gets_a_snapshot(tmp_path) -> None:
     """
-    A control VM that was away for long never comes back, although it runs.
+    Guards against a restarted control VM that never catches up with the leader.
 
-    The leader compacted its log meanwhile. Cause: entries that the follower lacks are gone, and
-    nothing else is sent.
+    While the follower was down, the leader compacted its log. The follower stays behind if the
+    entries that it lacks are no longer in the log and the leader sends no snapshot instead.
     """
-    async with founded(tmp_path, snapshot_every=100) as replicas:
-        away = (await followers(replicas))[0]
-        replicas.process(away).kill()
+    async with bootstrapped(tmp_path, snapshot_every=100) as replicas:
+        stopped = (await followers(replicas))[0]
+        replicas.process(stopped).kill()
         lines = [f"line {number}" for number in range(700)]
         leader = await replicas.leader()
         for start in range(0, 700, 100):
@@ -163,55 +165,57 @@
         for line in lines:
             if line not in (await replicas.local(leader))["lines"]:
                 await replicas.accept(line)
-        replicas.start(away)
-        await replicas.wait_up(away)
+        replicas.start(stopped)
+        await replicas.wait_up(stopped)
         await assert_all_hold(replicas, lines)
-        assert (await status(replicas))[away]["snapshot_index"] > 100
+        assert (await status(replicas))[stopped]["snapshot_index"] > 100
 
 
 async def test_damaged_log_refuses_to_start_and_says_where(tmp_path) -> None:
     """
-    A disk returns a wrong byte in the middle of the log after a restart.
+    Guards against a replica that starts with a damaged log.
 
-    The daemon must end, and its output must name the file and the offset; with the disk emptied it
-    is taken in again. Cause, were it to start: it would forget what it acknowledged.
+    After a restart the disk returns a wrong byte in the middle of the log. The daemon must exit and
+    its output must name the file and the offset; with an empty disk it rejoins the cluster. If it
+    started with the damaged log, it would lose entries that it had acknowledged.
     """
-    async with founded(tmp_path) as replicas:
+    async with bootstrapped(tmp_path) as replicas:
         for number in range(10):
             await replicas.accept(f"line {number}")
-        broken = (await followers(replicas))[0]
-        await replicas.wait_lines(broken, ["line 9"])
-        replicas.process(broken).kill()
-        segment = sorted((data_folder(replicas, broken) / "consensus").glob("log-*"))[-1]
+        damaged_daemon = (await followers(replicas))[0]
+        await replicas.wait_lines(damaged_daemon, ["line 9"])
+        replicas.process(damaged_daemon).kill()
+        segment = sorted((data_folder(replicas, damaged_daemon) / "consensus").glob("log-*"))[-1]
         data = bytearray(segment.read_bytes())
         data[data.index(b"line 3")] ^= 0x01
         segment.write_bytes(bytes(data))
-        process = replicas.start(broken)
-        await wait_until(lambda: not process.alive(), f"{broken} to refuse")
+        process = replicas.start(damaged_daemon)
+        await wait_until(lambda: not process.alive(), f"{damaged_daemon} to exit")
         assert process.popen.returncode != 0
         assert f"refusing to start: {segment}: offset " in process.tail()
-        shutil.rmtree(data_folder(replicas, broken))
-        replicas.start(broken)
-        await replicas.wait_up(broken)
-        await wait_repaired(replicas, broken)
+        shutil.rmtree(data_folder(replicas, damaged_daemon))
+        replicas.start(damaged_daemon)
+        await replicas.wait_up(damaged_daemon)
+        await wait_repaired(replicas, damaged_daemon)
 
 
 async def test_leader_whose_disk_is_full_ends_and_loses_nothing(tmp_path) -> None:
     """
-    Accepted writes are gone after a control VM's disk was full for a while.
+    Guards against losing accepted writes when a control VM's disk is full for some time.
 
-    The leader's log cannot grow any more. Cause: going on after a failed write, with a log that
-    holds half of it, or ending as after a planned stop, so that nobody looks.
+    The leader's log cannot grow any further. Writes are lost if the leader continues after a failed
+    write with a log that holds only a part of it. The daemon must also not exit with success as
+    after a planned stop, because then no operator would notice the fault.
     """
-    async with founded(tmp_path) as replicas:
+    async with bootstrapped(tmp_path) as replicas:
         lines = [f"line {number}" for number in range(20)]
         for line in lines:
             await replicas.accept(line)
         full = await replicas.leader()
         segment = sorted((data_folder(replicas, full) / "consensus").glob("log-*"))[-1]
         process = replicas.process(full)
-        limit = segment.stat().st_size + 30
-        resource.prlimit(process.popen.pid, resource.RLIMIT_FSIZE, (limit, limit))
+        size_limit = segment.stat().st_size + 30
+        resource.prlimit(process.popen.pid, resource.RLIMIT_FSIZE, (size_limit, size_limit))
         lines.append("on the full disk " + "x" * 100)
         await replicas.accept(lines[-1])
         await wait_until(lambda: not process.alive(), f"{full} to end")
--- a/tests/integration/test_consensus_faults.py
+++ b/tests/integration/test_consensus_faults.py
@@ -1,4 +1,4 @@
-"""Control replicas as real processes under kills, freezes and cuts."""
+"""Control replicas as real processes under kills, freezes and network partitions."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from integration.proxy import Mode
 from integration.replicas import Replicas
 
-# Slow elections, so that a busy machine does not elect by itself where a test asserts that none is
-# held.
-SLOW = {
+# Long election timeouts for tests that assert that no election is held, so that scheduling delays
+# on a busy machine do not cause one.
+SLOW_ELECTIONS = {
     "heartbeat_s": 0.3,
     "election_timeout_s": 3.0,
     "leader_lease_s": 2.0,
     "entry_lease_s": 8.0,
 }
-PATH_DELAY_S = 0.03
-LONG_CUT_S = 3 * SLOW["election_timeout_s"]
+PEER_DELAY_S = 0.03
+PARTITION_S = 3 * SLOW_ELECTIONS["election_timeout_s"]
 
 
 @asynccontextmanager
-async def founded(folder, proxies=False, delay_s=0.0, **control):
-    """Three replicas that lead and follow; all are killed at the end."""
+async def bootstrapped(folder, proxies=False, delay_s=0.0, **control):
+    """Yield a bootstrapped cluster of three replicas and kill all of them at the end."""
     replicas = Replicas.from_count(folder, 3, **control)
     try:
         if proxies:
@@ -39,7 +39,7 @@
 
 
 class Writers:
-    """Lines written by tasks until they are stopped; `accepted` are those that got their answer."""
+    """Tasks that write lines until they are stopped; `accepted` holds the acknowledged lines."""
 
     def __init__(self, replicas: Replicas) -> None:
         self.replicas = replicas
@@ -58,10 +58,10 @@
             await self.replicas.accept(line)
             self.accepted.append(line)
 
-    async def more(self, count: int) -> None:
-        """Wait until this many more lines were accepted."""
-        goal = len(self.accepted) + count
-        await wait_until(lambda: len(self.accepted) >= goal, f"{goal} accepted lines")
+    async def wait_accepted(self, count: int) -> None:
+        """Wait until `count` more lines were accepted."""
+        target = len(self.accepted) + count
+        await wait_until(lambda: len(self.accepted) >= target, f"{target} accepted lines")
 
     async def stop(self) -> None:
         self.stopping = True
@@ -78,7 +78,10 @@
 
 
 async def assert_all_hold(replicas: Replicas, lines: list[str]) -> None:
-    """Every replica comes to hold all lines, each index applied once and in the same place."""
+    """
+    Wait until every replica holds all lines, then check that the order is the same on all replicas
+    and that each log index was applied once.
+    """
     for daemon in replicas.http_by_daemon:
         await replicas.wait_lines(daemon, lines)
     states = [await replicas.local(daemon) for daemon in replicas.http_by_daemon]
@@ -90,20 +93,21 @@
 
 async def test_leader_killed_amid_writes_loses_nothing_accepted(tmp_path) -> None:
     """
-    An operator's command was answered "accepted" and is gone after the control leader's VM crashed.
+    Guards against losing a command that was answered "accepted" when the leader's VM crashes.
 
-    Eight writers keep writing; the leader is killed with kill -9 and starts again, three times.
-    Cause: an answer that was given before a majority had synced the entry.
+    While eight writers keep writing, the leader is killed with SIGKILL and restarted, three times.
+    The loss occurs if the leader answers before a majority has synced the entry.
     """
-    # Slow paths: what was answered too early is still on its way when the leader dies.
-    async with founded(tmp_path, proxies=True, delay_s=PATH_DELAY_S) as replicas:
+    # Delayed paths between replicas, so that an entry that was acknowledged too early is still in
+    # transit when the leader is killed.
+    async with bootstrapped(tmp_path, proxies=True, delay_s=PEER_DELAY_S) as replicas:
         writers = Writers(replicas)
         writers.start(8)
         for _ in range(3):
-            await writers.more(40)
+            await writers.wait_accepted(40)
             leader = await replicas.leader()
             replicas.process(leader).kill()
-            await writers.more(20)
+            await writers.wait_accepted(20)
             replicas.start(leader)
             await replicas.wait_up(leader)
         await writers.stop()
@@ -112,20 +116,21 @@
 
 async def test_frozen_leader_believes_nothing_old_after_it_thaws(tmp_path) -> None:
     """
-    A key that was withdrawn is confirmed as good by a control VM that had been suspended.
+    Guards against a control VM that reports a withdrawn key as valid after it was suspended.
 
-    The leader is stopped with SIGSTOP, another is elected and accepts a line, the old one goes on.
-    Cause: a read answered from the state of before the stop, under a lease that is over.
+    The leader is stopped with SIGSTOP, another is elected and accepts a line, then the old leader
+    continues. The failure occurs if the old leader answers a read from its state before the stop,
+    although its lease has expired.
     """
-    async with founded(tmp_path) as replicas:
+    async with bootstrapped(tmp_path) as replicas:
         await replicas.accept("before")
         old = await replicas.leader()
         replicas.process(old).freeze()
-        asked = asyncio.create_task(replicas.read(old))
+        reading = asyncio.create_task(replicas.read(old))
         new = await replicas.leader(but=old)
         await replicas.accept("after", but=old)
         replicas.process(old).thaw()
-        answer = await asked
+        answer = await reading
         assert answer is None or "after" in answer.get("lines", ["after"])
         local = await replicas.local(old)
         assert local["lease_left_s"] == 0 or local["term"] > 1
@@ -136,36 +141,37 @@
 @pytest.mark.parametrize(("inward", "outward"), [(True, True), (True, False), (False, True)])
 async def test_long_cut_follower_rejoins_without_disturbing(tmp_path, inward, outward) -> None:
     """
-    A control VM comes back from a long partition, and every order and rules change stalls for an
-    election.
+    Guards against an election, which delays every order and rules change, when a control VM returns
+    from a long partition.
 
-    One follower hears nothing, or is not heard, or both, for several election timeouts. Cause: it
-    raises its term with each vain candidacy, and the healthy leader has to step down for it.
+    One follower receives no messages, or none of its messages arrive, or both, for several election
+    timeouts. The election occurs if the follower raises its term with each failed candidacy, so
+    that the healthy leader has to step down when it sees that term.
     """
-    async with founded(tmp_path, proxies=True, **SLOW) as replicas:
+    async with bootstrapped(tmp_path, proxies=True, **SLOW_ELECTIONS) as replicas:
         leader = await replicas.leader()
-        cut = (await followers(replicas))[0]
+        isolated = (await followers(replicas))[0]
         before = await terms(replicas, replicas.http_by_daemon)
-        for proxy in replicas.paths_of(cut, inward, outward):
+        for proxy in replicas.paths_of(isolated, inward, outward):
             await proxy.silence()
-        await asyncio.sleep(LONG_CUT_S)
+        await asyncio.sleep(PARTITION_S)
         await replicas.accept("during the cut")
-        for proxy in replicas.paths_of(cut, inward, outward):
+        for proxy in replicas.paths_of(isolated, inward, outward):
             await proxy.heal()
-        await replicas.wait_lines(cut, ["during the cut"])
-        await asyncio.sleep(SLOW["election_timeout_s"])
+        await replicas.wait_lines(isolated, ["during the cut"])
+        await asyncio.sleep(SLOW_ELECTIONS["election_timeout_s"])
         assert await terms(replicas, replicas.http_by_daemon) == before
         assert await replicas.leader() == leader
 
 
 async def test_leader_that_hears_nobody_gives_up(tmp_path) -> None:
     """
-    Nothing is accepted for as long as a one-way cut lasts.
+    Guards against a cluster that accepts no command for as long as a one-way partition lasts.
 
-    The leader's heartbeats arrive, so no follower campaigns, but no answer reaches the leader.
-    Cause: a leader that stays although no quorum answers.
+    The leader's heartbeats arrive, so no follower campaigns, but no answer reaches the leader. The
+    cluster stalls if the leader does not step down although no quorum answers it.
     """
-    async with founded(tmp_path, proxies=True) as replicas:
+    async with bootstrapped(tmp_path, proxies=True) as replicas:
         old = await replicas.leader()
         for proxy in replicas.paths_of(old, inward=True, outward=False):
             await proxy.silence()
@@ -178,12 +184,12 @@
 
 async def test_open_connections_gone_silent_are_left(tmp_path) -> None:
     """
-    Writes hang for ever although every new connection between the control VMs works.
+    Guards against writes that hang forever although new connections between control VMs work.
 
-    All open connections go silent for good at the same moment. Cause: a channel that waits on its
-    one connection, which accepts bytes and returns nothing.
+    All open connections stop delivering bytes at the same moment and never recover. The writes hang
+    if a channel keeps waiting on its single connection, which accepts bytes and returns none.
     """
-    async with founded(tmp_path, proxies=True) as replicas:
+    async with bootstrapped(tmp_path, proxies=True) as replicas:
         await replicas.accept("before")
         for proxy in replicas.proxy_by_path.values():
             await proxy.set_modes_of_open(Mode.SILENT, Mode.SILENT)
