--- a/tests/integration/test_duties_drain.py
+++ b/tests/integration/test_duties_drain.py
@@ -1,4 +1,4 @@
-"""Planned stops of endpoints: drained first, the platform's stop order last."""
+"""Planned stops of endpoints: the stop order is sent to the platform only after the drain."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
         self.process = process
         self.address = address
 
-    async def ends(self) -> list[str]:
-        """How each request that it took ended; empty for one that runs."""
+    async def request_ends(self) -> list[str]:
+        """Return how each received request ended; an empty text stands for a running request."""
         log = await get_json(f"http://{self.address}/log")
         return [request["ended"] for request in log["requests"]]
 
-    async def ran(self) -> int:
-        """How many requests it took."""
-        return len(await self.ends())
+    async def request_count(self) -> int:
+        """Return the number of requests that the engine has received."""
+        return len(await self.request_ends())
 
 
 async def _start_engine(system: DutiesSystem, name: str) -> _Engine:
@@ -57,47 +57,50 @@
 
 
 async def test_a_drained_engine_is_stopped_only_when_its_streams_have_ended(tmp_path) -> None:
-    # An operator drains an engine while a long stream runs on it. Stopped at once, the stream
-    # would break; drained without telling entries, new requests would come in for ever. The stream
-    # ends whole, new requests go elsewhere, then the platform gets one stop order.
+    # An operator drains an engine while a long stream runs on it. If the engine were stopped at
+    # once, the stream would break; if entries were not notified of the drain, they would keep
+    # sending new requests to the engine. The stream must complete, new requests must go to another
+    # engine, and only then does the platform receive a single stop order.
     system = await DutiesSystem.found(tmp_path, drain_settle_s=2.0, drain_deadline_s=100.0)
     try:
         await system.rules.apply(rules_text(), 0)
         first = await _start_engine(system, "engine-1")
-        stream = asyncio.create_task(_first_stream(system))
-        await wait_until(first.ran, "the stream to begin")
+        stream = asyncio.create_task(_stream_from_first_engine(system))
+        await wait_until(first.request_count, "the stream to begin")
         second = await _start_engine(system, "engine-2")
-        await wait_until(lambda: _known(system, "engine-2"), "engine-2 to be known")
+        await wait_until(lambda: _is_listed(system, "engine-2"), "engine-2 to be listed")
 
         drained = await system.rules.run("endpoint", "drain", "engine-1")
         assert drained.returncode == 0, drained.stderr
         for _ in range(3):
             assert (await _generate(system, 4))[-1]["done"]
-        assert await second.ran() == 3
+        assert await second.request_count() == 3
         (order,) = await system.wait_sent(1)
-        assert await first.ends() == ["done"], "the stop order went out before the stream's end"
+        assert await first.request_ends() == [
+            "done"
+        ], "the stop order went out before the stream's end"
         lines = await stream
 
         assert lines[-1]["done"]
         assert sum(len(line.get("tokens", ())) for line in lines) == TOKENS
         assert (order["order"]["action"], order["order"]["endpoint"]) == ("stop", "engine-1")
-        assert await first.ran() == 1
+        assert await first.request_count() == 1
         assert await first.process.terminate() == 0
-        await wait_until(lambda: _lifted(system), "the drain to be lifted")
+        await wait_until(lambda: _no_drains(system), "the drain to be removed")
         assert len(await system.sent()) == 1
     finally:
         await system.stop()
 
 
-async def _first_stream(system: DutiesSystem) -> list[dict]:
-    await wait_until(lambda: _known(system, "engine-1"), "engine-1 to be known")
+async def _stream_from_first_engine(system: DutiesSystem) -> list[dict]:
+    await wait_until(lambda: _is_listed(system, "engine-1"), "engine-1 to be listed")
     return await _generate(system, TOKENS)
 
 
-async def _known(system: DutiesSystem, endpoint: str) -> bool:
+async def _is_listed(system: DutiesSystem, endpoint: str) -> bool:
     status = await system.rules.ask("status")
     return endpoint in [record["endpoint"] for record in status["endpoints"]]
 
 
-async def _lifted(system: DutiesSystem) -> bool:
+async def _no_drains(system: DutiesSystem) -> bool:
     return (await system.rules.ask("status"))["draining"] == []
--- a/tests/integration/test_frozen_calls.py
+++ b/tests/integration/test_frozen_calls.py
@@ -1,12 +1,13 @@
 """
-A VM that stood still goes on calling the other daemons.
-
-An entry is frozen shortly after one of its calls to the leading store got no answer. That call left
-its channel, which is closed 1 s later, and the call for work that was open on it has a deadline of
-1 s: when the VM wakes, both are due at once. Where the closing came first, gRPC cancelled the call
-and the entry's loop that takes work ended with it, silently and for good. Seen with real processes:
-in one of 20 freezes the entry was gone from the runners and was still gone 13 s later, alive and
-refusing with `no_leader`. Of 20 calls that were frozen like this, 13 raised CancelledError.
+A VM that was frozen continues to call the other daemons.
+
+An entry is frozen shortly after one of its calls to the leader store timed out. The entry abandons
+the channel of such a call and closes it 1 s later; the call for work that is open on that channel
+has a deadline of 1 s. When the VM continues, both are due at once. If the channel was closed before
+the deadline was handled, gRPC cancelled the call, and the cancellation ended the entry's loop that
+fetches work, without a log line and permanently. With real processes, one of 20 freezes removed the
+entry from the runners; 13 s later it was still missing, although its process ran and refused
+requests with `no_leader`. Of 20 calls that were frozen in this way, 13 raised CancelledError.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 
 
 async def silent_server(address: str) -> PeerServer:
-    """Listen and answer no renewal."""
+    """Start a peer server that never answers a renewal."""
 
-    async def never(renew: Renew) -> Renew:
+    async def never_answer(renew: Renew) -> Renew:
         return await asyncio.get_running_loop().create_future()
 
     server = PeerServer(address, PEER_MESSAGES)
-    server.answer(Renew, never)
+    server.answer(Renew, never_answer)
     await server.start(None)
     return server
 
@@ -44,11 +45,11 @@
     caller = await asyncio.create_subprocess_exec(
         *arguments, stdout=asyncio.subprocess.PIPE, env=environment
     )
-    ends = []
+    outcomes = []
     try:
         while line := (await caller.stdout.readline()).decode().strip():
             if line != FREEZE_ME:
-                ends.append(line)
+                outcomes.append(line)
                 continue
             caller.send_signal(signal.SIGSTOP)
             await asyncio.sleep(1.5 * STOP_GRACE_S)
@@ -59,4 +60,4 @@
         await caller.wait()
         await server.stop()
 
-    assert ends == ["Refusal"] * FREEZES
+    assert outcomes == ["Refusal"] * FREEZES
