--- a/tests/integration/test_platform_crash.py
+++ b/tests/integration/test_platform_crash.py
@@ -1,10 +1,10 @@
 """
 Callers lose nothing when a daemon crashes under load.
 
-An entry ended once by itself with signal 11 in a hunt; what brought it is not known. Whatever it
-was, callers must come through it: a lookup on the entry that ends is broken off and its repetition
-at another entry is answered, no answer is cut short or another's, jobs go on, and nothing that was
-accepted is lost or made twice.
+In a fault search an entry once crashed with signal 11 for an unknown cause. Whatever the cause of a
+crash, callers must be able to recover: a lookup on the crashed entry is broken off and its retry at
+another entry is answered, no answer is truncated or belongs to another request, jobs continue, and
+no accepted work is lost or done twice.
 """
 
 from __future__ import annotations
@@ -25,33 +25,33 @@
 ITEMS = 24
 CRASHES = 4
 LOAD_BETWEEN_S = (0.2, 1.2)
-BROKEN_OFF = 0
+CONNECTION_BROKEN = 0
 
 
 class Lookups:
-    """Callers with connections that they keep, each with one repetition, as clerks have."""
+    """Callers that keep their connections open and retry each failed lookup once, as clerks do."""
 
     def __init__(self, system) -> None:
         self._system = system
         self._ended = asyncio.Event()
-        self.first: Counter[int] = Counter()
-        self.final: Counter[int] = Counter()
-        self.wrong: list[str] = []
+        self.first_statuses: Counter[int] = Counter()
+        self.final_statuses: Counter[int] = Counter()
+        self.wrong_answers: list[str] = []
 
     async def call(self, caller: int) -> None:
-        """Look up one after the other until the end."""
+        """Make one lookup after the other until `end` is called."""
         number = 0
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=5.0)) as session:
             while not self._ended.is_set():
                 number += 1
                 entry = caller % ENTRIES + 1
                 status = await self._once(session, entry, f"c{caller}-{number}")
-                self.first[status] += 1
+                self.first_statuses[status] += 1
                 if status != 200:
                     await asyncio.sleep(0.1)
-                    other = entry % ENTRIES + 1
-                    status = await self._once(session, other, f"c{caller}-{number}-again")
-                self.final[status] += 1
+                    other_entry = entry % ENTRIES + 1
+                    status = await self._once(session, other_entry, f"c{caller}-{number}-again")
+                self.final_statuses[status] += 1
                 await asyncio.sleep(0.01)
 
     async def _once(self, session: aiohttp.ClientSession, entry: int, attempt: str) -> int:
@@ -61,9 +61,9 @@
             async with session.post(url, headers=headers_of(attempt)) as answer:
                 body = await answer.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
-            return BROKEN_OFF
+            return CONNECTION_BROKEN
         if answer.status == 200 and body != path.encode():
-            self.wrong.append(f"{attempt}: {body!r}")
+            self.wrong_answers.append(f"{attempt}: {body!r}")
         return answer.status
 
     def end(self) -> None:
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("role", VICTIM_BY_ROLE)
 async def test_callers_lose_nothing_when_a_daemon_crashes(tmp_path, role) -> None:
-    moments = random.Random(role)
+    crash_times = random.Random(role)
     async with platform_system(tmp_path, ENTRIES) as system:
         for engine in system.engines:
             engine.event_s = 0.05
@@ -89,7 +89,7 @@
         names = [f"lot{crash}" for crash in range(CRASHES)]
         for name in names:
             await system.submit(name, job(ITEMS, prefix=f"{name}-"), entry=2)
-            await asyncio.sleep(moments.uniform(*LOAD_BETWEEN_S))
+            await asyncio.sleep(crash_times.uniform(*LOAD_BETWEEN_S))
             victim = VICTIM_BY_ROLE[role](system)
             process = system.process_by_name[victim]
             process.send(signal.SIGSEGV)
@@ -100,14 +100,16 @@
         lookups.end()
         await asyncio.gather(*callers)
 
-        print(role, "first", dict(lookups.first), "final", dict(lookups.final))
-        assert not lookups.wrong
-        assert set(lookups.final) == {200}
+        print(role, "first", dict(lookups.first_statuses), "final", dict(lookups.final_statuses))
+        assert not lookups.wrong_answers
+        assert set(lookups.final_statuses) == {200}
         if role != "entry":
-            assert set(lookups.first) == {200}
+            assert set(lookups.first_statuses) == {200}
         for name, read in read_by_name.items():
-            assert {one["id"] for one in read["results"]} == {f"{name}-{n}" for n in range(ITEMS)}
-            for one in read["results"]:
-                whole = [f"{one['id']}-{number}" for number in range(1, 21)]
-                assert one["output"].split("\n") == whole
+            assert {result["id"] for result in read["results"]} == {
+                f"{name}-{n}" for n in range(ITEMS)
+            }
+            for result in read["results"]:
+                expected = [f"{result['id']}-{number}" for number in range(1, 21)]
+                assert result["output"].split("\n") == expected
             assert await system.results(name, entry=3) == read
--- a/tests/integration/test_platform_explained.py
+++ b/tests/integration/test_platform_explained.py
@@ -1,4 +1,4 @@
-"""From the id of a failed request to its cause, out of the daemons' log lines alone."""
+"""`explain` finds the cause of a failed request from its id and the daemons' logs alone."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
         yield system
 
 
-async def explain(system, wanted: str, line: str) -> dict:
-    """Run the command on the logs of all daemons, once one of them holds a line."""
+async def explain(system, request_or_job_id: str, line: str) -> dict:
+    """Run `explain` on the logs of all daemons after one of them contains `line`."""
     logs = [process.log for process in system.process_by_name.values()]
     await wait_until(
-        lambda: any(line in log.read_text(errors="replace") for log in logs), f"a line {line}"
+        lambda: any(line in log.read_text(errors="replace") for log in logs),
+        f"a log line with {line}",
     )
     program = "from ibisspring_cli.main import main; main()"
-    arguments = ["-c", program, "explain", wanted, "--json", *map(str, logs)]
+    arguments = ["-c", program, "explain", request_or_job_id, "--json", *map(str, logs)]
     child = await asyncio.create_subprocess_exec(
         sys.executable, *arguments, stdout=asyncio.subprocess.PIPE
     )
@@ -42,16 +43,16 @@
     ]
 
 
-async def test_a_refusal_leads_to_the_endpoint_that_went_silent(system) -> None:
-    # The only archive crashes. A caller is refused; the cause is what control heard, or rather did
-    # not hear, of that endpoint.
+async def test_a_refusal_is_explained_by_the_endpoint_that_went_silent(system) -> None:
+    # The only archive endpoint crashes and a caller is refused. The cause is that control received
+    # no more heartbeats of that endpoint.
     await system.engines[0].stop()
 
-    async def refused_unrun() -> bool:
+    async def refused_not_run() -> bool:
         status, body = await system.call("POST", f"{LOOKUP}4711", "refused-1")
         return status == 503 and b"no_endpoint" in body
 
-    await wait_until(refused_unrun, "a refusal for want of an endpoint")
+    await wait_until(refused_not_run, "a refusal with the reason no_endpoint")
 
     explanation = await explain(system, "refused-1", '"no_endpoint"')
 
@@ -61,8 +62,8 @@
     assert any(one.startswith("no_endpoint: ") for one in explanation["meanings"])
 
 
-async def test_a_late_answer_leads_to_the_endpoint_that_kept_it(system) -> None:
-    # The archive takes a request and does not answer; the caller's time runs out.
+async def test_a_timeout_is_explained_by_the_endpoint_that_did_not_answer(system) -> None:
+    # The archive receives a request and does not answer before the caller's time limit.
     system.engines[0].answer_s = 60.0
 
     status, _ = await system.call("POST", f"{LOOKUP}4711", "late-1")
@@ -76,20 +77,25 @@
     assert any(one.startswith("timeout: ") for one in explanation["meanings"])
 
 
-async def test_a_result_that_took_two_runs_leads_to_the_engine_that_broke_one(system) -> None:
-    # One engine's streams break after two events; its items end elsewhere, later than others.
-    bad = system.engines[1]
-    bad.break_after = 2
+async def test_a_result_of_two_runs_is_explained_by_the_engine_that_broke_one(system) -> None:
+    # The streams of one engine break after two events; its items are completed by another engine,
+    # later than other items.
+    faulty = system.engines[1]
+    faulty.break_after = 2
     await system.submit("lot1", job(8))
     await system.whole("lot1", 8)
-    item = next(run for run in bad.runs)
+    item = next(run for run in faulty.runs)
 
     of_item = await explain(system, item, f'"item":"{item}"')
     of_job = await explain(system, "lot1", '"jobs:accepted"')
 
     runs = fields_of(of_item, "runner:ended")
-    assert (runs[0]["endpoint"], runs[0]["reason"], runs[0]["events"]) == (bad.engine, "broken", 2)
+    assert (runs[0]["endpoint"], runs[0]["reason"], runs[0]["events"]) == (
+        faulty.engine,
+        "broken",
+        2,
+    )
     assert (runs[-1]["kind"], runs[-1]["resume_after"]) == ("done", 2)
     assert fields_of(of_item, "jobs:accepted", direct=False)[0]["job"] == "lot1"
     broken = {one["endpoint"] for one in fields_of(of_job, "runner:ended") if one["reason"]}
-    assert broken == {bad.engine}
+    assert broken == {faulty.engine}
--- a/tests/integration/test_platform_faults.py
+++ b/tests/integration/test_platform_faults.py
@@ -1,3 +1,5 @@
+"""A complete platform whose daemons are killed, frozen, restarted or lose their disks."""
+
 from __future__ import annotations
 
 import asyncio
@@ -16,13 +18,14 @@
 )
 from integration.processes import wait_until
 
-# Where the platform's bounds are: an operator's call is answered, and a change is in force.
+# The platform's limits within which an operator's call is answered and a change is in force.
 ACKNOWLEDGED_S = 4.0
 IN_FORCE_S = 2.0
-# After the acknowledgement of a job's end none of its items runs for longer than this.
+# Limit after the acknowledgement of a job's end within which all of its items have stopped.
 CANCELLED_S = 3.0
-# Changes reach entries within some tens of milliseconds.
-MOMENT_S = 0.008
+# Step between the delays after which the entry is frozen. Changes reach entries within some tens of
+# milliseconds, which the delays of the test's rounds cover.
+FREEZE_STEP_S = 0.008
 
 
 @pytest.fixture
@@ -32,17 +35,17 @@
 
 
 async def test_a_job_outlives_the_store_that_led(system) -> None:
-    # The store that hands out a job's items is killed in the middle: the trainer still gets each
-    # item once, at positions that do not change.
+    # The leader store, which assigns a job's items, is killed while the job runs. The trainer must
+    # still receive each item once, at a position that does not change.
     for engine in system.engines:
         engine.event_s = 0.1
     await system.submit("lot1", job(30))
 
-    async def begun() -> dict | None:
+    async def first_results() -> dict | None:
         read = await system.results("lot1")
         return read if read is not None and read["results"] else None
 
-    before = await wait_until(begun, "the first results")
+    before = await wait_until(first_results, "the first results")
     system.process_by_name[system.leaders("jobs")[-1]].kill()
 
     read = await system.whole("lot1", 30)
@@ -51,7 +54,7 @@
 
 
 async def test_what_was_accepted_outlives_the_end_of_all_processes(system) -> None:
-    # All VMs lose power right after a job and a configuration were accepted.
+    # All VMs lose power right after a job and a configuration were accepted; both must survive.
     await system.submit("lot1", job(4))
     done = await system.whole("lot1", 4)
     assert await system.put(5) == 200
@@ -69,17 +72,20 @@
 
 
 async def test_half_written_texts_outlive_the_end_of_all_processes(system) -> None:
-    # All VMs lose power while a step's texts are half written. Begun anew, each would take its
-    # whole time again, the step would come late and the trainer would ask for one step less.
+    # All VMs lose power while a step's texts are partly generated. If each text were generated
+    # again from its beginning, it would take its full time again, the step would complete late and
+    # the trainer would request one step less.
     for engine in system.engines:
         engine.event_s = 0.1
         engine.events = 50
     await system.submit("lot1", job(4))
-    stores = [one for name, one in system.process_by_name.items() if name.startswith("store")]
+    stores = [store for name, store in system.process_by_name.items() if name.startswith("store")]
 
     await wait_until(
-        lambda: any('"jobs:texts_kept"' in one.log.read_text(errors="replace") for one in stores),
-        "parts of texts to be kept",
+        lambda: any(
+            '"jobs:texts_kept"' in store.log.read_text(errors="replace") for store in stores
+        ),
+        "parts of texts to be stored",
     )
     system.stop()
     for name in system.process_by_name:
@@ -96,8 +102,8 @@
 
 
 async def test_a_lost_disk_is_taken_in_again_and_the_next_one_may_go(system) -> None:
-    # A store loses its disk and comes back empty; right after its repair the next one is lost. What
-    # was accepted before both must still be there.
+    # A store loses its disk and restarts with an empty one; right after its repair the next store
+    # loses its disk. Results that were accepted before both losses must still be readable.
     await system.submit("lot1", job(4))
     done = await system.whole("lot1", 4)
 
@@ -106,15 +112,15 @@
         process.kill()
         system.restart(name, wipe=True)
 
-        async def taken_in(name: str = name) -> bool:
+        async def rejoined(name: str = name) -> bool:
             return await is_voter(system, name)
 
-        await wait_until(taken_in, f"{name} to be taken in")
+        await wait_until(rejoined, f"the new disk of {name} to be a voter")
     assert await system.whole("lot1", 4) == done
 
 
 async def is_voter(system, name: str) -> bool:
-    """Whether the present disk of a store is a voter and no change of the members is under way."""
+    """Return whether a store's current disk is a voter and no membership change is in progress."""
     own = await system.replica_status(name)
     for other in ("store-1", "store-2", "store-3"):
         status = await system.replica_status(other)
@@ -127,56 +133,57 @@
 
 
 async def test_an_entry_frozen_as_it_takes_a_change_goes_on_with_the_change(system) -> None:
-    # An entry stands still in the moment in which a change reaches it. The operator is answered
-    # without it, and once it wakes it obeys the change and never again what was before.
+    # An entry is frozen at about the moment at which a change of keys reaches it. The operator must
+    # be answered without that entry, and after it continues the entry must apply the change and
+    # never again the configuration before it.
     entry = system.process_by_name["entry-1"]
     for version in range(2, 8):
         key = f"k-{version}"
         tenants = [{"name": "forge", "api_keys": [KEY, key]}]
         change = asyncio.create_task(system.put(version, tenants=tenants))
-        await asyncio.sleep(MOMENT_S * (version - 2))
+        await asyncio.sleep(FREEZE_STEP_S * (version - 2))
         entry.freeze()
         began = time.monotonic()
         assert await change == 200
         assert time.monotonic() - began <= ACKNOWLEDGED_S
         entry.thaw()
 
-        async def obeyed(key: str = key) -> bool:
+        async def new_key_accepted(key: str = key) -> bool:
             return (await system.call("POST", f"{LOOKUP}7", "x", None, entry=1, key=key))[0] == 200
 
-        await wait_until(obeyed, "the change to be in force at the entry", IN_FORCE_S)
+        await wait_until(new_key_accepted, "the change to be in force at the entry", IN_FORCE_S)
         before = f"k-{version - 1}"
         for _ in range(10):
             status, _ = await system.call("POST", f"{LOOKUP}7", "x", None, entry=1, key=before)
             assert status == 401
 
 
-async def test_an_end_amid_a_change_of_leader_stops_the_runs(system) -> None:
-    # A trainer ends its job while the store that leads is killed. Once the end is acknowledged,
-    # nothing of the job may run any more, though the new leader has just taken it over.
+async def test_a_job_that_ends_during_a_change_of_leader_stops_its_runs(system) -> None:
+    # A trainer ends its job while the leader store is killed. After the end is acknowledged, no
+    # item of the job may run or be started, although the new leader has just taken the job over.
     for engine in system.engines:
         engine.event_s = 0.1
         engine.events = 200
-    for turn in range(3):
-        name = f"lot{turn}"
+    for round_number in range(3):
+        name = f"lot{round_number}"
         await system.submit(name, job(6, prefix=f"{name}-"))
-        await wait_until(lambda name=name: running_of(system, name), f"runs of {name}")
+        await wait_until(lambda name=name: running_items(system, name), f"runs of {name}")
         leader = system.leaders("jobs")[-1]
         system.process_by_name[leader].kill()
 
-        async def ended(name: str = name, entry: int = turn % 2 + 1) -> bool:
+        async def ended(name: str = name, entry: int = round_number % 2 + 1) -> bool:
             return (await system.call("DELETE", f"/v1/lots/{name}", "x", None, entry))[0] == 200
 
         await wait_until(ended, f"the end of {name} to be acknowledged")
         await asyncio.sleep(CANCELLED_S)
-        assert not running_of(system, name)
-        begun = sum(len(engine.runs) for engine in system.engines)
+        assert not running_items(system, name)
+        started_runs = sum(len(engine.runs) for engine in system.engines)
         system.restart(leader)
         await asyncio.sleep(CANCELLED_S)
-        assert sum(len(engine.runs) for engine in system.engines) == begun
+        assert sum(len(engine.runs) for engine in system.engines) == started_runs
 
 
-def running_of(system, name: str) -> list[str]:
-    """Items of a job that run at an engine now."""
+def running_items(system, name: str) -> list[str]:
+    """Return the items of a job that currently run on any engine."""
     running = [item for engine in system.engines for item in engine.running]
     return [item for item in running if item.startswith(f"{name}-")]
--- a/tests/integration/test_platform_logs.py
+++ b/tests/integration/test_platform_logs.py
@@ -1,4 +1,4 @@
-"""Log lines of real daemons whose reader has stopped."""
+"""Daemons whose log collector no longer reads their output."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 REQUESTS = 300
 
 
-class _Unread(Process):
-    """A process whose standard output is a pipe that is full and that nobody reads."""
+class _FullPipeProcess(Process):
+    """A process whose standard output is a full pipe without a reader."""
 
-    reading: int
+    read_end: int
 
     def start(self) -> None:
-        self.reading, writing = os.pipe()
-        os.set_blocking(writing, False)
+        self.read_end, write_end = os.pipe()
+        os.set_blocking(write_end, False)
         try:
             while True:
-                os.write(writing, b"x" * 4096)
+                os.write(write_end, b"x" * 4096)
         except BlockingIOError:
-            os.set_blocking(writing, True)
+            os.set_blocking(write_end, True)
         self.popen = subprocess.Popen(
-            self.arguments, stdout=writing, stderr=subprocess.DEVNULL, cwd=REPOSITORY
+            self.arguments, stdout=write_end, stderr=subprocess.DEVNULL, cwd=REPOSITORY
         )
-        os.close(writing)
+        os.close(write_end)
 
 
 @pytest.fixture
@@ -39,16 +39,16 @@
         yield system
 
 
-async def test_a_reader_that_has_stopped_delays_no_request(system) -> None:
+async def test_a_log_collector_that_hangs_delays_no_request(system) -> None:
     """
-    The log collector of an entry's VM hangs. Callers of that entry must notice nothing.
+    Guards against an entry that blocks when the log collector of its VM hangs.
 
-    A write to a full pipe returns only when somebody reads: from the event loop, the first line
-    would be the last thing that the entry does.
+    A write to a full pipe blocks until the pipe is read. If the event loop wrote log lines itself,
+    the entry would stop serving at the first line.
     """
-    served = system.process_by_name["entry-1"]
-    served.kill()
-    unread = _Unread("entry-1", served.arguments, served.log)
+    entry = system.process_by_name["entry-1"]
+    entry.kill()
+    unread = _FullPipeProcess("entry-1", entry.arguments, entry.log)
     system.process_by_name["entry-1"] = unread
     system.restart("entry-1")
     try:
@@ -62,4 +62,4 @@
         assert unread.alive()
     finally:
         unread.kill()
-        os.close(unread.reading)
+        os.close(unread.read_end)
--- a/tests/integration/test_platform_path.py
+++ b/tests/integration/test_platform_path.py
@@ -1,3 +1,5 @@
+"""Requests, jobs and configurations on a complete platform, mostly without faults."""
+
 from __future__ import annotations
 
 import asyncio
@@ -26,7 +28,7 @@
 
 
 async def test_the_whole_path(system) -> None:
-    # What a calm day needs, with every process a real one: a system that founds itself, a
+    # The complete path without faults and with real processes: a system that bootstraps itself, a
     # configuration, lookups under a key, a job with its results, and a new version of its weights.
     status, document = await system.control("GET", "/v1/Config.Read")
     assert (status, json.loads(document)) == (200, configuration(1))
@@ -49,8 +51,8 @@
     assert (await system.call("DELETE", "/v1/lots/lot1", "x"))[0] == 200
     assert await system.results("lot1") == read
 
-    named = {"model": "m", "version": 2}
-    assert (await system.control("POST", "/v1/version-put", named))[0] == 200
+    published = {"model": "m", "version": 2}
+    assert (await system.control("POST", "/v1/version-put", published))[0] == 200
     await system.submit("lot2", job(4, min_version=2, prefix="j"))
     read = await system.whole("lot2", 4)
     assert all(result["versions"] == [2] for result in read["results"])
@@ -59,8 +61,8 @@
 
 
 async def test_long_results_are_the_same_through_every_entry(system) -> None:
-    # Long texts come from a store near the entry: one that is frozen, or lacks the newest of them,
-    # must neither keep results from a trainer nor change their order.
+    # An entry reads long texts from a store near it. A store that is frozen or lacks the newest
+    # texts must neither withhold results from a trainer nor change their order.
     for engine in system.engines:
         engine.events = 400
         engine.event_s = 0.001
@@ -79,7 +81,8 @@
 
 
 async def test_a_withdrawn_key_and_a_moved_route_are_in_force_once_answered(system) -> None:
-    # An operator withdraws a key; a moment after the answer one entry still lets it in.
+    # Guards against an entry that still accepts a withdrawn key, or serves a removed route, after
+    # the operator's call was answered.
     changed = configuration(2)
     changed["tenants"] = [{"name": "forge", "api_keys": ["k2"]}]
     changed["routes"] = changed["routes"][1:]
@@ -94,12 +97,12 @@
 
 
 async def test_an_endpoint_that_leaves_gets_no_new_work(system) -> None:
-    # An engine says that it drains and is acknowledged; a lookup that reaches it seconds later is
-    # lost with it.
+    # An engine announces that it is draining and the announcement is acknowledged. A lookup that an
+    # entry sends to it later would be lost when the engine stops.
     other = await system.add_engine("archive")
 
     async def used() -> bool:
-        # One at a time they would all go where a connection is idle.
+        # Concurrent calls, because single calls would all use the endpoint of an idle connection.
         calls = (system.call("POST", f"{LOOKUP}7", f"x{number}") for number in range(12))
         await asyncio.gather(*calls)
         return bool(other.runs)
@@ -109,21 +112,21 @@
 
     await wait_until(lambda: "draining" in other.acknowledged, "the drain to be acknowledged")
 
-    async def left() -> bool:
+    async def unused() -> bool:
         before = len(other.runs)
         for number in range(20):
             await system.call("POST", f"{LOOKUP}7", f"y{number}", entry=1 + number % 2)
         return len(other.runs) == before
 
-    await wait_until(left, "the second archive to be left")
+    await wait_until(unused, "the second archive to receive no more requests")
     for number in range(12):
         assert (await system.call("POST", f"{LOOKUP}7", f"z{number}"))[0] == 200
     assert not [run for run in other.runs if run.startswith("z")]
 
 
 async def test_bodies_that_nest_deeply_are_refused(system) -> None:
-    # An operator whose configuration cannot be read is told so, and does not send it again; neither
-    # does a trainer, and an engine that says nonsense harms nobody.
+    # A configuration or job that nests too deeply to be decoded must be refused with 400, so that
+    # an operator or trainer does not resend it; the same holds for an engine's heartbeat.
     nested = b'{"unknown":' + b"[" * 5_000 + b"]" * 5_000 + b"}"
 
     control = f"http://{system.seeds[0]}"
--- a/tests/integration/test_platform_rewards.py
+++ b/tests/integration/test_platform_rewards.py
@@ -1,3 +1,5 @@
+"""Reward calls, which score the texts of a job, while endpoints fail and daemons end."""
+
 from __future__ import annotations
 
 import pytest
@@ -5,7 +7,7 @@
 from integration.platform_system import HOST, LOOKUP, job, platform_system, wait_served
 from integration.processes import wait_until
 
-HELD_S = 3.0
+REWARD_DELAY_S = 3.0
 
 
 @pytest.fixture
@@ -18,23 +20,23 @@
     return next(one for one in system.engines if one.service == "archive")
 
 
-def texts_run(system) -> list[str]:
-    """Ids of the texts that engines made, in no order; twice where one was made twice."""
+def generated_texts(system) -> list[str]:
+    """Return the sorted ids of the texts that engines generated; a repeated run repeats its id."""
     return sorted(run for one in system.engines if one.service == "scorer" for run in one.runs)
 
 
-async def calls_held(system, count: int) -> None:
-    """Wait until the archive holds that many reward calls."""
+async def wait_reward_calls(system, count: int) -> None:
+    """Wait until the archive has received `count` reward calls."""
     await wait_until(
         lambda: len([run for run in archive(system).runs if run.startswith("r-")]) >= count,
-        f"{count} reward calls to be under way",
+        f"{count} reward calls to be in progress",
     )
 
 
-async def whole_texts_kept(system, count: int) -> None:
-    """Wait until a store told that it keeps that many items' texts."""
+async def wait_texts_stored(system, count: int) -> None:
+    """Wait until the stores have logged that they store the texts of `count` items."""
 
-    def kept() -> bool:
+    def stored() -> bool:
         lines = [
             line
             for name, process in system.process_by_name.items()
@@ -44,20 +46,20 @@
         ]
         return sum(int(line.partition('"items":')[2].partition(",")[0]) for line in lines) >= count
 
-    await wait_until(kept, f"{count} texts to be kept")
+    await wait_until(stored, f"{count} texts to be stored")
 
 
-async def whole_texts_wait(system) -> None:
-    """Submit four items and wait until their texts are kept and their reward calls held up."""
-    archive(system).answer_s = HELD_S
+async def submit_and_delay_rewards(system) -> None:
+    """Submit four items and wait until their texts are stored and their reward calls delayed."""
+    archive(system).answer_s = REWARD_DELAY_S
     await system.submit("lot1", job(4, scored=True))
-    await calls_held(system, 4)
-    await whole_texts_kept(system, 4)
+    await wait_reward_calls(system, 4)
+    await wait_texts_stored(system, 4)
 
 
 async def test_results_are_listed_with_their_scores(system) -> None:
-    # A trainer's step: each text is scored by the plain service once it is whole, without a key
-    # and without a client account.
+    # A trainer's step: each complete text is scored by the plain service. The reward call carries
+    # neither a key nor a client account.
     await system.submit("lot1", job(6, scored=True))
 
     read = await system.whole("lot1", 6)
@@ -75,8 +77,8 @@
 
 
 async def test_a_call_that_always_fails_ends_as_abandoned(system) -> None:
-    # A few notes cannot be scored: the endpoint says so each time. Their texts are given up after
-    # as many failures as the route allows, and their neighbours are listed meanwhile.
+    # One text cannot be scored: the endpoint fails its reward call each time. The item must be
+    # listed as abandoned after as many failures as the route allows; the other items must complete.
     archive(system).failing = {"r-i1"}
     await system.submit("lot1", job(4, scored=True))
     read = await system.whole("lot1", 4)
@@ -85,13 +87,13 @@
     assert state_by_item.pop("i1") == "abandoned"
     assert set(state_by_item.values()) == {"completed"}
     assert archive(system).runs.count("r-i1") == 3
-    assert texts_run(system) == [f"i{number}" for number in range(4)]
+    assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
 
 async def test_a_whole_text_outlives_the_entry_that_read_it(system) -> None:
-    # Both entries' texts are whole and their reward calls under way when one entry is killed. The
-    # text must not be made again: only the call goes on, from the other entry.
-    await whole_texts_wait(system)
+    # The texts of both entries are complete and their reward calls in progress when one entry is
+    # killed. No text may be generated again: the other entry must repeat only the reward calls.
+    await submit_and_delay_rewards(system)
     running = await system.running_by_entry()
     killed = max(running, key=running.get)
 
@@ -100,12 +102,13 @@
 
     read = await system.whole("lot1", 4, entry=3 - killed)
     assert all(one["score"] for one in read["results"])
-    assert texts_run(system) == [f"i{number}" for number in range(4)]
+    assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
 
 async def test_a_whole_text_outlives_the_end_of_all_processes(system) -> None:
-    # All VMs lose power between text and score: what the stores acknowledged holds the texts.
-    await whole_texts_wait(system)
+    # All VMs lose power when texts are complete but not scored. The texts are part of the state
+    # that the stores acknowledged, so they must not be generated again.
+    await submit_and_delay_rewards(system)
 
     system.stop()
     for name in system.process_by_name:
@@ -115,15 +118,15 @@
 
     read = await system.whole("lot1", 4)
     assert all(one["score"] for one in read["results"])
-    assert texts_run(system) == [f"i{number}" for number in range(4)]
+    assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
 
 async def test_a_planned_stop_hands_reward_calls_on(system) -> None:
-    # An entry is stopped for a new version while its reward calls are held up; it ends in time
-    # and the other entry makes the calls.
+    # An entry is stopped for an update while its reward calls are delayed. It must exit within the
+    # limit of a planned stop, and the other entry must make the calls.
     archive(system).answer_s = 30.0
     await system.submit("lot1", job(4, scored=True))
-    await calls_held(system, 4)
+    await wait_reward_calls(system, 4)
     running = await system.running_by_entry()
     stopped = max(running, key=running.get)
 
@@ -132,10 +135,10 @@
 
     read = await system.whole("lot1", 4, entry=3 - stopped)
     assert all(one["score"] for one in read["results"])
-    assert texts_run(system) == [f"i{number}" for number in range(4)]
+    assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
 
-async def test_a_bad_reward_call_refuses_its_job_and_names_the_place(system) -> None:
+async def test_a_job_with_an_invalid_reward_call_is_refused_with_its_field(system) -> None:
     bad = job(2, scored=True)
     bad["items"][1]["scorer"]["path"] = "no-slash"
 
--- a/tests/integration/test_platform_seeds.py
+++ b/tests/integration/test_platform_seeds.py
@@ -1,12 +1,12 @@
 """
-A daemon finds control again by the seeds that its settings file names now.
-
-While an entry, a store and a control daemon stand still, all control VMs that they know are
-replaced at other addresses, one after the other, and their settings files name the new ones. The
-file was read at the start alone, and SIGHUP was logged (`daemon:reload_ignored`) and passed over,
-so that they went on calling the addresses that were gone: `directory_view:no_leader` every 3 s,
-without end. The entry refused all callers 20 s after it was last told, and a configuration that the
-operator changed never came into force there.
+A daemon finds control again through the seeds that its settings file currently lists.
+
+While an entry, a store and a control daemon are frozen, all control VMs that they know are replaced
+one after the other by VMs at other addresses, and the settings files list the new addresses. The
+file used to be read only at the start, and SIGHUP was logged (`daemon:reload_ignored`) and ignored,
+so that the three daemons kept calling addresses that no longer existed and logged
+`directory_view:no_leader` every 3 s without end. The entry refused all callers 20 s after its last
+update, and a changed configuration never came into force there.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 async def voters(system) -> set[str]:
-    """Addresses of the voters as the leader of control says; empty while none does."""
+    """Return the addresses of control's voters; empty without a leader or during a change."""
     for name, process in system.process_by_name.items():
         if not name.startswith("control") or not process.alive():
             continue
@@ -44,36 +44,36 @@
 
 
 async def replace_control(system, old: str, number: int) -> None:
-    """Lose a control VM for good; an empty one comes at another address."""
+    """Kill a control VM permanently and start an empty one at another address."""
     system.process_by_name[old].kill()
     name = f"control-{number}"
     system.add("control", number, found=False).start()
-    await wait_in(system, name, old)
+    await wait_replaced(system, name, old)
 
 
-async def wait_in(system, name: str, old: str) -> None:
-    """Wait until one control daemon has taken another's place."""
-    own, gone = (system.boot_by_name[one]["ip"] for one in (name, old))
+async def wait_replaced(system, name: str, old: str) -> None:
+    """Wait until control daemon `name` is a voter and `old` no longer is."""
+    new_ip, old_ip = (system.boot_by_name[one]["ip"] for one in (name, old))
 
     async def replaced() -> bool:
         ips = {address.partition(":")[0] for address in await voters(system)}
-        return own in ips and gone not in ips
+        return new_ip in ips and old_ip not in ips
 
-    await wait_until(replaced, f"{name} to take the place of {old}")
+    await wait_until(replaced, f"{name} to replace {old} as a voter")
 
 
 @pytest.mark.parametrize("signalled", [True, False])
 async def test_a_daemon_finds_control_by_its_present_seeds(system, signalled) -> None:
-    asleep = [system.process_by_name[name] for name in ("entry-1", "store-1", "control-3")]
-    for process in asleep:
+    frozen = [system.process_by_name[name] for name in ("entry-1", "store-1", "control-3")]
+    for process in frozen:
         process.freeze()
     system.add("control", 4, found=False).start()
-    await wait_in(system, "control-4", "control-3")
+    await wait_replaced(system, "control-4", "control-3")
     system.seeds[:] = [f"127.1.1.{n}:{system.ports['control']}" for n in (4, 5, 6)]
     await replace_control(system, "control-1", 5)
     await replace_control(system, "control-2", 6)
 
-    for process in asleep:
+    for process in frozen:
         system.write_boot(process.name, seeds=system.seeds)
         process.thaw()
         if signalled:
@@ -88,15 +88,15 @@
 
     await wait_until(in_force, "the change to be in force at the entry", IN_FORCE_S)
 
-    async def read() -> bool:
-        own = system.boot_by_name["control-3"]["listen"]["control"]
-        status, document = await request("GET", f"http://{own}/v1/Config.Read", b"")
+    async def forwarded() -> bool:
+        address = system.boot_by_name["control-3"]["listen"]["control"]
+        status, document = await request("GET", f"http://{address}/v1/Config.Read", b"")
         return status == 200 and json.loads(document) == changed
 
-    await wait_until(read, "the daemon that was replaced to pass an operator's call on", IN_FORCE_S)
+    await wait_until(forwarded, "the replaced daemon to forward an operator's call", IN_FORCE_S)
 
-    def store_heard() -> bool:
+    def store_received() -> bool:
         log = system.process_by_name["store-1"].log.read_text(errors="replace")
         return '"version":2' in log.replace(" ", "")
 
-    await wait_until(store_heard, "the store to hear of the change", IN_FORCE_S)
+    await wait_until(store_received, "the store to receive the change", IN_FORCE_S)
--- a/tests/integration/test_platform_start.py
+++ b/tests/integration/test_platform_start.py
@@ -1,10 +1,10 @@
 """
-A daemon that is told of changed settings while it starts goes on starting.
+A daemon that receives SIGHUP or SIGTERM while it starts must not end as if it had crashed.
 
-Python ends a process that gets SIGHUP until a handler is installed, and the daemons installed
-theirs after all imports, half a second after their start and far longer on a busy VM. A daemon
-whose settings changed in that time ended with code -1 (SIGHUP), which the platform counts as an
-end of its own.
+Until a handler is installed, SIGHUP kills a Python process. The daemons used to install their
+handlers after all imports, half a second after their start and far later on a busy VM. A daemon
+whose settings changed during that time ended with code -1 (SIGHUP), which the platform counts as an
+unrequested end.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from integration.platform_system import PlatformSystem
 from integration.processes import Process, wait_until
 
-# A native library that the start imports early.
-IMPORTED = "msgspec"
+# A native library that a daemon imports early in its start.
+EARLY_LIBRARY = "msgspec"
 
 
-def imports(process: Process) -> bool:
-    """Whether a process is in the middle of its imports."""
-    return IMPORTED in Path(f"/proc/{process.popen.pid}/maps").read_text()
+def is_importing(process: Process) -> bool:
+    """Return whether a process has loaded the library and so is in the middle of its imports."""
+    return EARLY_LIBRARY in Path(f"/proc/{process.popen.pid}/maps").read_text()
 
 
 @pytest.mark.parametrize("role", ["control", "store", "entry"])
@@ -32,7 +32,7 @@
     process = system.add(role, 1)
     try:
         process.start()
-        await wait_until(lambda: imports(process), "the imports")
+        await wait_until(lambda: is_importing(process), "the imports")
         process.send(signal.SIGHUP)
 
         def started() -> bool:
@@ -46,12 +46,12 @@
 
 @pytest.mark.parametrize("role", ["control", "store", "entry"])
 async def test_a_daemon_that_is_stopped_while_it_starts_ends_with_success(tmp_path, role) -> None:
-    # A planned stop that comes early looks like a crash to whoever reads the exit code.
+    # Without a SIGTERM handler, an early planned stop would look like a crash by its exit code.
     system = PlatformSystem(tmp_path)
     process = system.add(role, 1)
     try:
         process.start()
-        await wait_until(lambda: imports(process), "the imports")
+        await wait_until(lambda: is_importing(process), "the imports")
         assert await process.terminate() == 0
     finally:
         system.stop()
--- a/tests/integration/test_platform_stops.py
+++ b/tests/integration/test_platform_stops.py
@@ -1,3 +1,5 @@
+"""Planned stops of daemons under requests and jobs: no accepted work is lost."""
+
 from __future__ import annotations
 
 import asyncio
@@ -7,8 +9,8 @@
 from integration.platform_system import LOOKUP, NO_ANSWER, NOBODY_LISTENS, job, platform_system
 from integration.processes import wait_until
 
-# Texts of fifteen seconds are half way when the stop begins, also on a busy machine, and outlast
-# the time in which a stopping entry lets its runs end.
+# With 0.5 s an event, a text takes 15 s. It is partly generated when the stop begins, also if the
+# machine is busy, and takes longer than a stopping entry waits for its runs to end.
 EVENTS = 30
 
 
@@ -20,8 +22,8 @@
 
 @pytest.mark.parametrize("name", ["entry-1", "control-1", "store-1", "control-2", "store-2"])
 async def test_a_planned_stop_ends_in_time(system, name) -> None:
-    # The platform kills what has not ended eight seconds after SIGTERM, in the middle of whatever
-    # it is at.
+    # The platform kills a process that has not ended 8 s after SIGTERM, which would break off its
+    # requests.
     process = system.process_by_name[name]
 
     assert await process.terminate(bound_s=8.0) == 0
@@ -30,8 +32,9 @@
 
 
 async def test_no_request_is_lost_around_a_planned_stop(system) -> None:
-    # A clerk's connection is open while its entry is stopped: what was read is answered whole, and
-    # the entry tells the balancer before it closes.
+    # Clerks keep calling while one of the entries is stopped. The entry must answer each request
+    # that it has read completely, and must report to the load balancer that it is not ready before
+    # it closes its port.
     status_by_call: dict[str, int] = {}
     ended = asyncio.Event()
 
@@ -55,8 +58,9 @@
 
 
 async def test_items_of_a_runner_that_stops_go_on_elsewhere(system) -> None:
-    # An entry is stopped with long texts half way: they go on after their last event on the other
-    # entry, and nothing of them is made twice. Which entry runs them follows from its address.
+    # An entry is stopped while it runs long texts. They must be resumed after their last event by
+    # the other entry, and no part may be generated twice. The entries' addresses decide which entry
+    # runs how many items, so the test stops the busiest one.
     for engine in system.engines:
         engine.event_s = 0.5
         engine.events = EVENTS
--- a/tests/integration/test_platform_usage.py
+++ b/tests/integration/test_platform_usage.py
@@ -1,11 +1,11 @@
 """
-An entry that is killed does not take its counts along.
+Usage counts of an entry that is killed are not lost.
 
-Clerks' lookups are served, then the entry that served them is killed: their client account was
-billed for fewer than it was given. Counts left an entry with its renewals alone, which the leader
-holds for up to 0.4 s, so that up to half a second of them ended with the process. With one lookup
-each 50 ms and a kill after every twentieth, the reports held 84 of 107 requests that had run; told
-as they rise, 106.
+Clerks' lookups are served, then the entry that served them is killed; their client account used to
+be billed for fewer requests than had run. An entry sent its counts only with its renewals, which
+the leader holds for up to 0.4 s, so that the counts of up to 0.5 s were lost with the process. With
+one lookup each 50 ms and a kill after every 20th, the reports held 84 of 107 requests that had run;
+when an entry sends its counts as soon as they rise, the reports hold 106.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 KILLS = 5
 LOOKUPS = 20
 LOOKUP_EVERY_S = 0.05
-# The share of a window's truth by which a report may be off.
+# Share of the requests that ran by which the reported count may be too low.
 TOLERANCE = 0.05
 
 
 @asynccontextmanager
-async def usage_receiver():
-    """Stand-in for the platform's usage interface: its address, and the newest report by window."""
+async def usage_interface():
+    """Run a fake of the platform's usage interface; yield its address and the counts by window."""
     count_by_window: dict[int, dict[str, int]] = {}
 
-    async def take(request: web.Request) -> web.Response:
+    async def receive_report(request: web.Request) -> web.Response:
         report = await request.json()
         count_by_window[report["window_id"]] = report["counts"]
         return web.Response()
 
     app = web.Application()
-    app.router.add_post("/usage", take)
+    app.router.add_post("/usage", receive_report)
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
     address = free_address()
@@ -52,7 +52,7 @@
 
 async def test_a_killed_entry_does_not_take_its_counts_along(tmp_path) -> None:
     async with (
-        usage_receiver() as (address, count_by_window),
+        usage_interface() as (address, count_by_window),
         platform_system(tmp_path, usage_to=address) as system,
     ):
         entry = system.process_by_name["entry-1"]
@@ -71,10 +71,10 @@
             await wait_until(served, "the entry to serve again")
 
         served_runs = sum(len(engine.runs) for engine in system.engines)
-        last = max(count_by_window, default=0)
+        last_window = max(count_by_window, default=0)
 
         def later_windows_are_reported() -> bool:
-            return max(count_by_window, default=0) >= last + 4
+            return max(count_by_window, default=0) >= last_window + 4
 
         await wait_until(later_windows_are_reported, "the reports")
         billed = Counter()
