--- a/tests/integration/test_requests_failures.py
+++ b/tests/integration/test_requests_failures.py
@@ -1,4 +1,4 @@
-"""Requests while engines crash, answers cross and connections go silent."""
+"""Requests while engines crash, answers are swapped and connections stop delivering bytes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 async def proxied(system: LoneSystem, kind: str, name: str, **options: object) -> FaultProxy:
-    """Start an endpoint that announces the address of a proxy before it."""
+    """Start an endpoint that announces the address of a fault-injecting proxy as its own."""
     listen = free_address()
     proxy = await FaultProxy.before(listen)
     start = system.start_engine if kind == "engine" else system.start_plain
@@ -33,19 +33,20 @@
     return proxy
 
 
-async def wait_made(system: LoneSystem, name: str, tokens: int) -> None:
-    """Wait until an engine made so many tokens in all."""
+async def wait_generated(system: LoneSystem, name: str, tokens: int) -> None:
+    """Wait until an engine has generated at least `tokens` tokens over all requests."""
 
     async def made() -> bool:
         requests = (await system.log(name))["requests"]
         return sum(request["made"] for request in requests) >= tokens
 
-    await wait_until(made, f"{name} to make {tokens} tokens")
+    await wait_until(made, f"{name} to generate {tokens} tokens")
 
 
 async def test_an_engine_that_dies_in_mid_stream_costs_its_caller_nothing(system) -> None:
-    # An engine crashes after 40 tokens of 200. The caller saw its stream end there, took it for
-    # whole or asked again and paid twice. The answer goes on elsewhere, at the next token.
+    # An engine crashes after 40 of 200 tokens. The caller's stream used to end there, so that the
+    # caller took it for complete, or repeated the request and paid twice. The stream must continue
+    # on another engine at the next token.
     await system.start_engine("scorer-1")
     await system.fault("scorer-1", crash_after=40)
     answering = asyncio.create_task(system.generate(PROMPT, 200))
@@ -62,8 +63,8 @@
 
 
 async def test_a_stream_that_no_engine_can_finish_says_so(system) -> None:
-    # The only engine stops in mid-stream for good. The caller's stream just ended, and it stored
-    # half an answer as a whole one.
+    # The only engine always ends its stream without the end mark. The caller's stream used to end
+    # without an error, and the caller stored a truncated answer as a complete one.
     await system.start_engine("scorer-1", tokens_per_s=100)
     await system.fault("scorer-1", no_end_mark=True)
 
@@ -75,8 +76,8 @@
 
 
 async def test_a_prompt_that_kills_engines_does_not_kill_them_all(system) -> None:
-    # A prompt makes every engine that works on it crash at once. Retried everywhere, it took the
-    # whole fleet down and with it all other callers' streams.
+    # A prompt crashes every engine that runs it. Retried on all engines, it crashed the complete
+    # fleet and broke all other callers' streams.
     for number in range(5):
         await system.start_engine(f"scorer-{number}")
         await system.fault(f"scorer-{number}", crash_after=0)
@@ -89,7 +90,8 @@
 
 
 async def test_crossed_answers_reach_nobody(system) -> None:
-    # Two answers are crossed at an endpoint. A caller read another mill's certificate as its own.
+    # An endpoint swaps the answers of two requests. A caller used to receive another mill's
+    # certificate as its own.
     await system.start_engine("scorer-1")
     await system.start_plain("archive-1")
     await system.fault("scorer-1", cross=1)
@@ -97,24 +99,24 @@
 
     stream = await system.generate(PROMPT, 40)
     await system.fault("scorer-1", cross_line_at=16)
-    crossed_later = await system.generate(PROMPT, 40)
-    lookup = await system.ask("GET", f"/v1/services/{SERVICE}/find")
+    swapped_mid_stream = await system.generate(PROMPT, 40)
+    lookup_answer = await system.ask("GET", f"/v1/services/{SERVICE}/find")
     await system.fault("archive-1", cross=1)
-    ticket = await system.ask("POST", f"/v1/services/{SERVICE}/tickets", data=b"bale 7")
+    ticket_answer = await system.ask("POST", f"/v1/services/{SERVICE}/tickets", data=b"bale 7")
 
     assert stream.tokens() == expected_tokens(PROMPT, 40)
-    assert crossed_later.tokens() == expected_tokens(PROMPT, 40)
-    assert lookup.status == 200
-    assert ticket.status == 502
-    assert ticket.error()["reason"] == "mismatched_answer"
-    assert ticket.error()["not_run"] is False
+    assert swapped_mid_stream.tokens() == expected_tokens(PROMPT, 40)
+    assert lookup_answer.status == 200
+    assert ticket_answer.status == 502
+    assert ticket_answer.error()["reason"] == "mismatched_answer"
+    assert ticket_answer.error()["not_run"] is False
     posted = [call for call in (await system.log("archive-1"))["calls"] if call["method"] == "POST"]
     assert len(posted) == 1
 
 
 async def test_an_answer_after_its_timeout_is_nobody_elses(system) -> None:
-    # A ticket takes longer than its caller may wait and is given up. Its answer came later, on a
-    # connection that another request had been given meanwhile.
+    # A ticket takes longer than its time limit. Its late answer used to arrive on a connection that
+    # meanwhile served another request.
     await system.start_plain("archive-1")
     await system.fault("archive-1", answer_delay_s=1.5)
     body = {"Content-Type": "text/plain"}
@@ -127,18 +129,19 @@
 
     await wait_until(arrived, "the ticket to arrive")
     await system.fault("archive-1", answer_delay_s=0)
-    own = await system.ask("POST", f"/v1/services/{SERVICE}/tickets", body, data=b"own")
+    next_answer = await system.ask("POST", f"/v1/services/{SERVICE}/tickets", body, data=b"own")
 
-    assert own.json()["echo"] == "own"
+    assert next_answer.json()["echo"] == "own"
     assert (await late).json()["echo"] == "late"
 
 
 async def test_a_stream_whose_connection_goes_silent_is_resumed(system) -> None:
-    # In mid-stream something between the ends forgets the connection: it stays open, and nothing
-    # comes. New connections work. The caller waited for ever while the engine had long finished.
+    # During a stream the network path drops the state of the connection: the connection stays open
+    # and delivers nothing, while new connections work. The caller used to wait forever although the
+    # engine had finished.
     proxy = await proxied(system, "engine", "scorer-1", tokens_per_s=100)
     answering = asyncio.create_task(system.generate(PROMPT, 100))
-    await wait_made(system, "scorer-1", 20)
+    await wait_generated(system, "scorer-1", 20)
 
     await proxy.set_modes_of_open(Mode.PASS, Mode.SILENT)
     answer = await asyncio.wait_for(answering, 60)
@@ -151,8 +154,9 @@
 
 
 async def test_a_connection_that_went_silent_at_idle_is_not_used_again(system) -> None:
-    # A connection went silent between two requests. The next ticket was sent on it: the caller
-    # waited for its timeout and was told that the ticket may have run, though new ones worked.
+    # A connection stops delivering bytes between two requests. The next ticket used to be sent on
+    # it, so that the caller waited for its timeout and received `may_have_run`, although new
+    # connections worked.
     proxy = await proxied(system, "plain", "archive-1")
     path = f"/v1/services/{SERVICE}/tickets"
     await system.ask("POST", path, data=b"first")
@@ -165,7 +169,8 @@
 
 
 async def test_a_lookup_that_hangs_is_answered_elsewhere(system) -> None:
-    # A lookup's connection goes silent while auditors wait at the gate. Others work at once.
+    # The connections to one endpoint stop delivering bytes. A lookup must be answered by another
+    # endpoint, which responds at once, because callers are waiting.
     proxy = await proxied(system, "plain", "archive-1")
     await proxy.silence()
     await system.start_plain("archive-2")
@@ -179,10 +184,11 @@
 
 
 async def test_an_engine_that_stands_still_is_left(system) -> None:
-    # An engine answers every question and makes no tokens any more. The step waits for it.
+    # An engine still answers status requests but generates no more tokens. A trainer's step
+    # used to wait for that engine; its requests must continue on another engine.
     await system.start_engine("scorer-1", tokens_per_s=100)
     answering = asyncio.create_task(system.generate(PROMPT, 100))
-    await wait_made(system, "scorer-1", 20)
+    await wait_generated(system, "scorer-1", 20)
     await system.fault("scorer-1", stall=True)
     await system.start_engine("scorer-2")
 
@@ -194,9 +200,10 @@
     assert resumed["resumed_at"] >= 16
 
 
-async def test_a_caller_that_takes_nothing_ends_the_engines_work(system) -> None:
-    # A caller's connection is forgotten on its way: it stays open and takes nothing more. The
-    # engine worked on for nobody, its slot was taken and the client account paid.
+async def test_a_caller_that_stops_reading_ends_the_engines_work(system) -> None:
+    # The network path drops the state of a caller's connection: the connection stays open and
+    # accepts no more bytes. The engine used to continue without a reader, which occupied a slot and
+    # was billed to the client account.
     await system.start_engine("scorer-1", tokens_per_s=200_000)
     proxy = await FaultProxy.before(system.url.removeprefix("http://"))
     body = {"model": MODEL, "prompt": PROMPT, "max_tokens": 1_000_000, "stream": True}
@@ -215,14 +222,15 @@
     await proxy.stop()
 
 
-async def test_a_caller_that_sends_half_a_request_is_let_go(system) -> None:
-    # Connections that send half a request and then nothing fill an entry until it takes no more.
+async def test_a_caller_that_sends_a_partial_request_is_disconnected(system) -> None:
+    # Connections that send a partial request and then nothing would use up an entry's connections
+    # until it accepts no more.
     host, port = system.url.removeprefix("http://").split(":")
     head = f"POST /v1/generate HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\n"
-    halves = (b"POST /v1/gen", f"{head}Content-Length: 50\r\n\r\n{{".encode())
-    connections = [await asyncio.open_connection(host, int(port)) for _ in halves]
-    for (_, writer), half in zip(connections, halves, strict=True):
-        writer.write(half)
+    partial_requests = (b"POST /v1/gen", f"{head}Content-Length: 50\r\n\r\n{{".encode())
+    connections = [await asyncio.open_connection(host, int(port)) for _ in partial_requests]
+    for (_, writer), partial_request in zip(connections, partial_requests, strict=True):
+        writer.write(partial_request)
 
     answers = [await asyncio.wait_for(reader.read(), 60) for reader, _ in connections]
 
@@ -233,8 +241,8 @@
 
 
 async def test_a_broken_connection_repeats_nothing(system: LoneSystem) -> None:
-    # A ticket is deleted, and the connection breaks before the answer. The client library took
-    # DELETE and PUT for repeatable and sent them again by itself: the next ticket went as well.
+    # A ticket is deleted, and the connection breaks before the answer. The HTTP client library
+    # treated DELETE and PUT as repeatable and resent them, so that the next ticket was deleted too.
     await system.start_plain("archive-1")
     await system.fault("archive-1", drop_answer=True)
     methods = ("POST", "PUT", "DELETE", "PATCH", "OPTIONS")
@@ -247,7 +255,7 @@
 
 
 async def test_not_run_is_said_only_when_it_is_true(system) -> None:
-    # Each refusal is held against what the endpoint itself logged.
+    # Compares `not_run` of each refusal with the calls that the endpoint itself logged as run.
     await system.start_plain("archive-1")
     path = f"/v1/services/{SERVICE}/tickets"
     faults = ({"refuse": True}, {"refuse": False, "drop_answer": True})
@@ -260,5 +268,5 @@
         assert answer.error()["not_run"] == (ran == 0)
         assert ran <= 1
     system.process_by_name["archive-1"].kill()
-    gone = await system.ask("POST", path, data=b"gone")
-    assert gone.error()["not_run"] is True
+    unreachable = await system.ask("POST", path, data=b"gone")
+    assert unreachable.error()["not_run"] is True
--- a/tests/integration/test_requests_keys.py
+++ b/tests/integration/test_requests_keys.py
@@ -1,4 +1,4 @@
-"""Keys that are withdrawn from callers in mid-stream, rates, and turns at full engines."""
+"""Key withdrawal during streams, rate limits, and queues of engines without a free slot."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 async def read_lines(system: RequestsSystem, **headers: str) -> tuple[int, list[dict[str, Any]]]:
-    """Stream a generation to its end, whatever that is."""
+    """Stream a generation until it ends; return the status and all lines, also an error line."""
     url = f"{system.url('e1')}/v1/generate"
     headers = {"Authorization": f"Bearer {KEY}", **headers}
     async with aiohttp.ClientSession() as session:
@@ -34,22 +34,22 @@
             return response.status, [json.loads(line) async for line in response.content]
 
 
-async def running(system: RequestsSystem, count: int) -> None:
-    async def all_there() -> bool:
+async def wait_streams(system: RequestsSystem, count: int) -> None:
+    async def all_streaming() -> bool:
         requests = (await system.log("scorer-1"))["requests"]
         return sum(request["made"] > 0 for request in requests) >= count
 
-    await wait_until(all_there, f"{count} streams to run")
+    await wait_until(all_streaming, f"{count} streams to run")
 
 
 async def test_withdrawn_key_ends_streams_and_queued_work(system: RequestsSystem) -> None:
-    # An operator withdraws a key that leaked. The thief's open streams went on to their end, and
-    # what it had waiting in line was started minutes later.
+    # An operator withdraws a leaked key. Open streams of that key used to continue to their end,
+    # and its queued requests were started minutes later.
     await system.start_endpoint("engine", "scorer-1", tokens_per_s=40, capacity=1)
     streams = [asyncio.create_task(read_lines(system)) for _ in range(4)]
     keyed = {"Idempotency-Key": "generation-1"}
     streams.append(asyncio.create_task(read_lines(system, **keyed)))
-    await running(system, 1)
+    await wait_streams(system, 1)
 
     applied = await system.rules.apply(rules_text(keys=()), 1)
     answers = await asyncio.wait_for(asyncio.gather(*streams), 60)
@@ -69,9 +69,9 @@
     assert (status, lines[0]["error"]["reason"]) == (401, "unknown_key")
 
 
-async def test_account_over_its_rate_is_told_a_time_that_holds(system: RequestsSystem) -> None:
-    # A broken client asks without a pause. It is refused early, and when it comes back as told, it
-    # is served.
+async def test_a_rate_limited_account_is_served_after_retry_after(system: RequestsSystem) -> None:
+    # A faulty client sends requests without a pause. It must be refused, and a request sent after
+    # `retry_after_s` of that refusal must be served.
     await system.start_endpoint("plain", "archive-1")
     slow = rules_text().replace("rate 1000/s", "rate 5/s")
     assert (await system.rules.apply(slow, 1)).returncode == 0
@@ -84,16 +84,19 @@
     answer = await wait_until(refused, "a refusal")
     error = answer.error()
     await asyncio.sleep(error["retry_after_s"])
-    again = await system.ask(system.url("e1"), "GET", path)
+    retried = await system.ask(system.url("e1"), "GET", path)
 
     assert (error["reason"], error["not_run"]) == ("rate_limited", True)
     assert int(answer.headers["Retry-After"]) >= 1
-    assert again.status == 200
+    assert retried.status == 200
 
 
-async def test_full_engine_gives_turns_and_refuses_in_time(system: RequestsSystem) -> None:
-    # Many more streams are asked for than the engine works on, with 3 s for each. They all waited
-    # at the engine, all came too late, and the engine worked for callers who had left.
+async def test_a_full_engine_refuses_what_cannot_finish_before_its_deadline(
+    system: RequestsSystem,
+) -> None:
+    # Many more requests arrive than the engine can run at once, each with a deadline of 3 s. They
+    # used to wait at the engine, all missed their deadlines, and the engine worked for callers that
+    # had disconnected.
     await system.start_endpoint("engine", "scorer-1", tokens_per_s=100, capacity=2)
     body = {**BODY, "max_tokens": 100, "deadline_s": 3.0, "stream": False}
 
@@ -105,20 +108,20 @@
 
     served = [answer for answer in answers if answer.status == 200]
     refused = [answer for answer in answers if answer.status != 200]
-    in_line = [answer for answer in refused if answer.error()["not_run"]]
+    refused_not_run = [answer for answer in refused if answer.error()["not_run"]]
     requests = (await system.log("scorer-1"))["requests"]
     assert len(served) >= 4
-    assert {answer.error()["reason"] for answer in in_line} == {"cannot_finish"}
-    assert len(in_line) >= len(refused) - 2
-    assert len(requests) - 1 == len(answers) - len(in_line)
+    assert {answer.error()["reason"] for answer in refused_not_run} == {"cannot_finish"}
+    assert len(refused_not_run) >= len(refused) - 2
+    assert len(requests) - 1 == len(answers) - len(refused_not_run)
 
 
 async def test_entry_without_control_ends_what_runs(system: RequestsSystem) -> None:
-    # An entry is cut off from control for long. A key is withdrawn meanwhile, which it can't hear
-    # of; its open streams went on for as long as their callers liked.
+    # An entry loses control for longer than its lease, so that it cannot receive the withdrawal of
+    # a key. Its open streams used to continue for as long as their callers read them.
     await system.start_endpoint("engine", "scorer-1", tokens_per_s=40)
     stream = asyncio.create_task(read_lines(system))
-    await running(system, 1)
+    await wait_streams(system, 1)
 
     system.cluster.process_by_name["c1"].kill()
     _, lines = await asyncio.wait_for(stream, 50)
@@ -133,8 +136,8 @@
 async def test_ticket_in_line_is_not_sent_after_its_key_was_withdrawn(
     system: RequestsSystem,
 ) -> None:
-    # A ticket under an idempotency key goes on apart from its caller. It waits in line when its key
-    # is withdrawn, and was sent when its turn came.
+    # A ticket with an idempotency key runs independently of its caller's connection. Such a ticket
+    # is queued when its API key is withdrawn; it used to be sent when a slot became free.
     await system.start_endpoint("plain", "archive-1", capacity=1)
     await system.fault("archive-1", answer_delay_s=4.0)
     path = "/v1/services/archive-app/tickets"
--- a/tests/integration/test_requests_once.py
+++ b/tests/integration/test_requests_once.py
@@ -1,4 +1,4 @@
-"""Calls that may run once at most, through entries that are killed and connections that lie."""
+"""Calls that run at most once, while entries are killed and connections hold or lose bytes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 async def resend_until_final(system: RequestsSystem, entry: str) -> Answer:
-    """Resend as a careful caller does: as long as the answer is that the call is in progress."""
+    """Resend the call while the answer is `in_progress`, and return the final answer."""
 
     async def final() -> Answer | None:
         answer = await post(system, system.url(entry))
@@ -47,26 +47,26 @@
     return await wait_until(final, "a final answer")
 
 
-async def kill_first_entry(system: RequestsSystem, asking: asyncio.Task[Answer]) -> None:
-    """Kill e1 under its caller and start it again."""
+async def kill_first_entry(system: RequestsSystem, pending: asyncio.Task[Answer]) -> None:
+    """Kill e1 while it serves a caller, and restart it."""
     system.cluster.process_by_name["e1"].kill()
     with contextlib.suppress(aiohttp.ClientError):
-        await asking
+        await pending
     system.cluster.start("e1")
     await system.cluster.wait_ready("e1")
 
 
 async def test_entry_killed_after_the_claim(system: RequestsSystem) -> None:
-    # A ticket's entry dies when the claim is committed and the bytes are on their way, but not at
-    # the service yet. The caller asks another entry; then the late bytes arrive. Had the second
-    # entry sent it too, the bale was paid twice.
+    # A ticket's entry is killed after the claim was committed and while the request's bytes are in
+    # transit to the service. The caller resends through another entry, then the late bytes arrive.
+    # If the second entry had sent the ticket too, the bale would be paid twice.
     listen = free_address()
     proxy = await FaultProxy.before(listen)
     await system.start_endpoint("plain", "tickets-1", listen=listen, advertise=proxy.address)
     await proxy.set_modes(Mode.HOLD, Mode.PASS)
-    asking = asyncio.create_task(post(system, system.url("e1")))
+    pending = asyncio.create_task(post(system, system.url("e1")))
     await wait_until(lambda: proxy.links, "the bytes to leave the entry")
-    await kill_first_entry(system, asking)
+    await kill_first_entry(system, pending)
 
     answer = await resend_until_final(system, "e2")
     await proxy.set_modes(Mode.PASS, Mode.PASS)
@@ -80,16 +80,17 @@
 
 
 async def test_entry_killed_after_the_first_byte(system: RequestsSystem) -> None:
-    # A ticket is being worked on when its entry dies; its caller resends through another entry.
+    # A ticket's entry is killed while the service runs the ticket; the caller resends through
+    # another entry.
     await system.start_endpoint("plain", "tickets-1")
     await system.fault("tickets-1", answer_delay_s=2.0)
-    asking = asyncio.create_task(post(system, system.url("e1")))
+    pending = asyncio.create_task(post(system, system.url("e1")))
 
     async def running() -> bool:
         return await runs(system) == 1
 
     await wait_until(running, "the ticket to run")
-    await kill_first_entry(system, asking)
+    await kill_first_entry(system, pending)
 
     answer = await resend_until_final(system, "e2")
 
@@ -99,11 +100,12 @@
 
 
 async def test_entry_killed_after_the_endpoints_answer(system: RequestsSystem) -> None:
-    # The ticket ran and was answered, and the entry dies before the answer reaches its caller.
+    # The service has run and answered the ticket, and the entry is killed before the answer reaches
+    # the caller.
     await system.start_endpoint("plain", "tickets-1")
     proxy = await FaultProxy.before(system.url("e1").removeprefix("http://"))
     await proxy.set_modes(Mode.PASS, Mode.SILENT)
-    asking = asyncio.create_task(post(system, f"http://{proxy.address}"))
+    pending = asyncio.create_task(post(system, f"http://{proxy.address}"))
 
     async def answered() -> bool:
         return await runs(system) == 1
@@ -111,7 +113,7 @@
     await wait_until(answered, "the ticket to run")
     answer = await resend_until_final(system, "e2")
     await proxy.stop()
-    await kill_first_entry(system, asking)
+    await kill_first_entry(system, pending)
     again = [await resend_until_final(system, entry) for entry in ("e1", "e2")]
 
     assert answer.status == 200
@@ -122,8 +124,8 @@
 async def test_service_gone_before_the_first_byte_is_truly_not_run(
     system: RequestsSystem,
 ) -> None:
-    # The service cannot be connected to. The caller is told "not run", sends the ticket again under
-    # the same key when the service is back, and it runs: the lorry does not wait for a new key.
+    # The service refuses connections. The caller receives `not_run` and resends the ticket under
+    # the same key after the service has restarted; the ticket must then run, without a new key.
     await system.start_endpoint("plain", "tickets-1")
     listen = system.address_by_name["tickets-1"]
     system.cluster.process_by_name["tickets-1"].kill()
@@ -151,7 +153,7 @@
 
 async def test_two_identical_fetches_run_once_and_are_billed_once(system: RequestsSystem) -> None:
     # A heat number is fetched twice under one idempotency key, through two entries at once. Both
-    # ran, and the foundry was billed twice; the same held for a generation.
+    # fetches used to run and the foundry was billed twice; the same happened to a generation.
     await system.start_endpoint("plain", "tickets-1")
     await system.start_endpoint("engine", "scorer-1")
     key = {"Idempotency-Key": "heat-4711"}
--- a/tests/integration/test_requests_path.py
+++ b/tests/integration/test_requests_path.py
@@ -1,4 +1,4 @@
-"""Requests on their way through one entry, with nothing failing but the callers."""
+"""Requests through one entry; the only faults are bad input and callers that disconnect."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     lone.stop_all()
 
 
-async def test_a_streamed_generation_is_whole_and_labelled(system: LoneSystem) -> None:
+async def test_a_streamed_generation_is_complete_and_labelled(system: LoneSystem) -> None:
     await system.start_engine("scorer-1", version=7)
 
     answer = await system.generate("heat 4711", 32)
@@ -33,7 +33,7 @@
     assert answer.headers["X-Request-Id"] == answer.lines[0]["request_id"]
 
 
-async def test_an_answer_that_is_not_streamed_names_its_runs(system: LoneSystem) -> None:
+async def test_an_answer_that_is_not_streamed_lists_its_runs(system: LoneSystem) -> None:
     await system.start_engine("scorer-1", version=7)
 
     answer = (await system.generate("heat 4711", 32, stream=False)).json()
@@ -57,8 +57,9 @@
     assert KEY not in json.dumps(await system.log("archive-1"))
 
 
-async def test_headers_are_the_callers_own(system: LoneSystem) -> None:
-    # A client that reads no compressed answers got one, because the entry had asked for it.
+async def test_an_entry_adds_no_accept_encoding_header(system: LoneSystem) -> None:
+    # A client that does not accept compressed answers used to receive one, because the entry added
+    # its own Accept-Encoding header.
     await system.start_plain("archive-1")
 
     await system.ask(
@@ -74,8 +75,8 @@
 
 
 async def test_no_endpoint_left_is_answered_at_once(system: LoneSystem) -> None:
-    # The only service endpoint refuses connections, then is gone. The entry spun on it and answered
-    # nobody any more.
+    # The only service endpoint refuses connections, then is killed. The entry used to retry it in a
+    # busy loop and answered no more requests.
     await system.start_plain("archive-1")
     await system.fault("archive-1", refuse=True)
     path = f"/v1/services/{SERVICE}/tickets"
@@ -83,15 +84,15 @@
     refused = await system.ask("POST", path, data=b"x")
     system.process_by_name["archive-1"].kill()
 
-    async def gone() -> bool:
+    async def removed() -> bool:
         answer = await system.ask("POST", path, data=b"x")
         return answer.error()["reason"] == "no_endpoint"
 
     assert refused.error()["reason"] == "endpoint_refused"
-    await wait_until(gone, "the endpoint's record to end")
+    await wait_until(removed, "the endpoint's record to expire")
 
 
-async def test_correlation_id_goes_on_to_the_endpoint(system: LoneSystem) -> None:
+async def test_correlation_id_is_forwarded_to_the_endpoint(system: LoneSystem) -> None:
     await system.start_plain("archive-1")
 
     await system.ask("GET", f"/v1/services/{SERVICE}/find", {"X-Correlation-Id": "gate-3"})
@@ -133,7 +134,7 @@
         assert b"400" in await reader.readline()
         writer.close()
     broken = await system.ask("POST", "/v1/announce", json={"endpoint": "", "service": "x"})
-    wrong = {
+    invalid_record = {
         "endpoint": "e",
         "incarnation": 1,
         "sequence": 1,
@@ -143,18 +144,18 @@
         "data_centre": "derby",
         "address": "here:1",
     }
-    several = await system.ask("POST", "/v1/announce", json=wrong)
+    invalid_fields = await system.ask("POST", "/v1/announce", json=invalid_record)
 
-    assert broken.status == several.status == 400
+    assert broken.status == invalid_fields.status == 400
     for field in ("role", "kind", "address"):
-        assert f"announcement.{field}" in several.error()["message"]
+        assert f"announcement.{field}" in invalid_fields.error()["message"]
     assert (await system.ask("GET", "/readyz")).status == 200
 
 
 async def test_a_caller_that_leaves_ends_the_engines_work(system: LoneSystem) -> None:
     await system.start_engine("scorer-1", tokens_per_s=40)
     body = {"model": MODEL, "prompt": "long", "max_tokens": 100_000, "stream": True}
-    # Longer than the test waits: the deadline must not be what ends the work.
+    # Longer than the test waits, so that the work cannot end because of its deadline.
     body["deadline_s"] = 110
     headers = {"Authorization": f"Bearer {KEY}"}
     url = f"{system.url}/v1/generate"
@@ -166,7 +167,7 @@
         (request,) = (await system.log("scorer-1"))["requests"]
         return request["ended"] == "cancelled"
 
-    await wait_until(ended, "the engine to be told")
+    await wait_until(ended, "the engine to cancel the request")
 
 
 async def test_planned_stop_breaks_no_stream(system: LoneSystem) -> None:
--- a/tests/integration/test_requests_peers.py
+++ b/tests/integration/test_requests_peers.py
@@ -1,4 +1,4 @@
-"""Entries that tell each other of endpoints, over connections that lie."""
+"""Entries that exchange endpoint records over connections that stop delivering bytes."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 async def test_silent_connections_between_entries_are_left(tmp_path: Path) -> None:
-    # Two entries exchange what they know over connections that something in between forgets. Both
-    # stay open and nothing comes through. From then on each entry knew only the endpoints that
-    # announced to it, and refused the others' callers.
+    # Two entries exchange endpoint records over connections whose state the network path drops: the
+    # connections stay open and deliver nothing. From then on each entry used to know only the
+    # endpoints that announced to it, and refused requests that only other endpoints could serve.
     rules = RulesSystem.from_counts(tmp_path, 1, 2)
     proxies = {}
     for daemon in rules.entries():
@@ -54,15 +54,15 @@
 
 
 async def test_leaving_endpoint_gets_no_new_work_at_any_entry(tmp_path: Path) -> None:
-    # An endpoint tells one entry that it leaves. Callers of another entry were sent there until it
-    # was gone.
+    # An endpoint announces to one entry that it is leaving. Another entry used to send requests to
+    # that endpoint until it had ended.
     system = await RequestsSystem.started(tmp_path, 1, 2)
     try:
         announce_only_to(system, "e2", "archive-1")
         await wait_until(lambda: serves(system, "e1"), "e1 to know the endpoint")
-        # One call that it works on keeps it there while it leaves.
+        # A running call delays the end of the leaving endpoint.
         await system.fault("archive-1", answer_delay_s=30.0)
-        working = asyncio.create_task(system.ask(system.url("e1"), "POST", PATH))
+        running_call = asyncio.create_task(system.ask(system.url("e1"), "POST", PATH))
 
         async def calls() -> int:
             return len((await system.log("archive-1"))["calls"])
@@ -75,10 +75,10 @@
 
         async def refused() -> bool:
             try:
-                asking = system.ask(system.url("e1"), "DELETE", PATH)
-                answer = await asyncio.wait_for(asking, 1.0)
+                pending = system.ask(system.url("e1"), "DELETE", PATH)
+                answer = await asyncio.wait_for(pending, 1.0)
             except TimeoutError:
-                # It was sent before e1 had heard, and is worked on.
+                # The call was sent before e1 received the announcement, and is running.
                 return False
             return answer.status == 503 and answer.error()["not_run"]
 
@@ -88,6 +88,6 @@
         assert await refused()
         assert not await serves(system, "e2")
         assert await calls() == before <= 4
-        working.cancel()
+        running_call.cancel()
     finally:
         system.stop_all()
--- a/tests/integration/test_requests_stops.py
+++ b/tests/integration/test_requests_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of entries, and a data centre's cheap engines taken away, under load."""
+"""Planned stops of entries, and the reclaim of a data centre's cheap engines, under load."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from integration.processes import wait_until
 from integration.requests_system import RequestsSystem
 
-POLL_S = 0.05
+READY_POLL_S = 0.05
 
 
 class Balancer:
-    """The platform's balancer: sends each request to an entry that said it is ready."""
+    """The platform's load balancer: sends each request to an entry whose /readyz answered 200."""
 
     def __init__(self, system: RequestsSystem) -> None:
         self.system = system
         self.ready: list[str] = []
 
-    async def watch(self) -> None:
+    async def poll_ready(self) -> None:
         while True:
             ready = []
             for entry in self.system.entries():
@@ -33,27 +33,27 @@
                 if answer.status == 200:
                     ready.append(entry)
             self.ready = ready
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(READY_POLL_S)
 
-    async def ask(self, method: str, path: str, **rest: object) -> Answer:
+    async def ask(self, method: str, path: str, **options: object) -> Answer:
         entry = random.choice(self.ready)
-        return await self.system.ask(self.system.url(entry), method, path, **rest)
+        return await self.system.ask(self.system.url(entry), method, path, **options)
 
 
 async def test_stopping_an_entry_breaks_no_request(tmp_path: Path) -> None:
-    # An entry is stopped for an update, under load. Callers whose streams it carried saw them end,
+    # An entry is stopped for an update under load. Streams through that entry used to break,
     # lookups were refused, and one ticket was sent to a closed port.
     system = await RequestsSystem.started(tmp_path, 1, 2, stop_wait_s=1.0)
     try:
         await system.start_endpoint("engine", "scorer-1", tokens_per_s=100, capacity=32)
         await system.start_endpoint("plain", "archive-1")
         balancer = Balancer(system)
-        watching = asyncio.create_task(balancer.watch())
+        polling = asyncio.create_task(balancer.poll_ready())
         await wait_until(lambda: len(balancer.ready) == 2, "both entries to be ready")
         stopped = asyncio.Event()
 
         async def stream() -> list[Answer]:
-            # Longer than a stop takes that waits for nobody.
+            # A stream lasts longer than a stop that does not wait for open streams.
             body = {"model": "scorer-lm", "prompt": "p", "max_tokens": 400, "stream": True}
             answers = []
             while not stopped.is_set():
@@ -75,8 +75,8 @@
         await wait_until(streams_run, "streams to run")
         exit_code = await system.cluster.process_by_name["e1"].terminate()
         stopped.set()
-        answers = [answer for found in await asyncio.gather(*callers) for answer in found]
-        watching.cancel()
+        answers = [answer for collected in await asyncio.gather(*callers) for answer in collected]
+        polling.cancel()
     finally:
         system.stop_all()
 
@@ -87,8 +87,8 @@
 
 
 async def test_a_kept_connection_is_not_lost_in_a_stop(tmp_path: Path) -> None:
-    # A caller keeps its connection and sends one ticket after the other over it. When the entry
-    # stopped, the connection was closed under a ticket, and nobody knew whether it ran.
+    # A caller sends one ticket after the other over one connection. When the entry stopped, it used
+    # to close the connection during a ticket, so that the caller did not know whether it had run.
     system = LoneSystem(tmp_path)
     answered = 0
     try:
@@ -118,18 +118,18 @@
 
 
 async def test_a_stream_longer_than_the_drain_is_told(tmp_path: Path) -> None:
-    # A stream outlives the time that a stop gives it. It just ended, and its caller took half an
-    # answer for a whole one.
+    # A stream takes longer than the drain time of a stopping entry. It used to end without an
+    # error, and its caller took a truncated answer for a complete one.
     system = LoneSystem(tmp_path)
     try:
         entry = await system.start_entry(drain_s=6.0)
         await system.start_engine("scorer-1", tokens_per_s=40)
         streaming = asyncio.create_task(system.generate("p", 2000))
 
-        async def runs() -> bool:
-            return any(one["made"] for one in (await system.log("scorer-1"))["requests"])
+        async def is_streaming() -> bool:
+            return any(request["made"] for request in (await system.log("scorer-1"))["requests"])
 
-        await wait_until(runs, "the stream to run")
+        await wait_until(is_streaming, "the stream to run")
         stopping = asyncio.create_task(entry.terminate())
 
         async def refused() -> bool:
@@ -151,8 +151,8 @@
 
 
 async def test_reclaim_of_a_data_centres_cheap_engines(tmp_path: Path) -> None:
-    # All cheap engines of a data centre are reclaimed at once on two seconds' notice, with streams
-    # on them. Every stream that they carried broke, and new ones were sent there to the end.
+    # All cheap engines of a data centre are reclaimed at once on 2 s notice while they run streams.
+    # All of these streams used to break, and new ones were sent to the engines until they ended.
     system = LoneSystem(tmp_path)
     try:
         await system.start_entry(silence_s=1.0)
@@ -162,27 +162,33 @@
         for name in cheap:
             options = {"kind": "cheap", "data_centre": "derby", "tokens_per_s": 100}
             await system.start_engine(name, capacity=16, **options)
-        early = [asyncio.create_task(system.generate(f"p{number}", 400)) for number in range(24)]
+        early_streams = [
+            asyncio.create_task(system.generate(f"p{number}", 400)) for number in range(24)
+        ]
 
         async def streams_on_cheap() -> bool:
             logs = [await system.log(name) for name in cheap]
-            return all(any(one["made"] for one in log["requests"]) for log in logs)
+            return all(any(request["made"] for request in log["requests"]) for log in logs)
 
         await wait_until(streams_on_cheap, "streams on all cheap engines")
         for name in cheap:
             system.process_by_name[name].send(15)
 
-        async def left() -> bool:
+        async def all_leaving() -> bool:
             return all([(await system.log(name))["left"] for name in cheap])
 
-        await wait_until(left, "the engines to say that they leave")
-        late = [asyncio.create_task(system.generate(f"q{number}", 40)) for number in range(12)]
-        late_answers = await asyncio.gather(*late)
-        seen = [one["prompt"] for name in cheap for one in (await system.log(name))["requests"]]
+        await wait_until(all_leaving, "the engines to announce that they leave")
+        late_streams = [
+            asyncio.create_task(system.generate(f"q{number}", 40)) for number in range(12)
+        ]
+        late_answers = await asyncio.gather(*late_streams)
+        prompts_on_cheap = [
+            request["prompt"] for name in cheap for request in (await system.log(name))["requests"]
+        ]
         await asyncio.sleep(2.0)
         for name in cheap:
             system.process_by_name[name].kill()
-        early_answers = await asyncio.gather(*early)
+        early_answers = await asyncio.gather(*early_streams)
     finally:
         system.stop_all()
 
@@ -190,4 +196,4 @@
         for number, answer in enumerate(answers):
             assert answer.whole(), answer.lines[-1:]
             assert answer.tokens() == expected_tokens(f"{prefix}{number}", count)
-    assert not [prompt for prompt in seen if prompt.startswith("q")]
+    assert not [prompt for prompt in prompts_on_cheap if prompt.startswith("q")]
