--- a/tests/integration/test_rollouts_labels.py
+++ b/tests/integration/test_rollouts_labels.py
@@ -1,4 +1,4 @@
-"""Promise 1: each sample names the weight versions that truly made it."""
+"""Promise 1: each sample is labelled with the weight versions that generated its tokens."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 )
 
 
-async def _assert_true(system: TrainingSystem, batch: Any, *engines: str) -> None:
-    true_by_sample = await system.true_versions(*engines)
+async def _assert_labels_match(system: TrainingSystem, batch: Any, *engines: str) -> None:
+    versions_by_sample = await system.true_versions(*engines)
     for sample in batch["samples"]:
-        assert told_versions(sample) == true_by_sample[sample["sample"]]
+        assert told_versions(sample) == versions_by_sample[sample["sample"]]
 
 
 async def _publish(system: TrainingSystem, version: int) -> None:
@@ -31,10 +31,12 @@
 
 async def test_weights_swapped_in_the_middle_of_a_sample(tmp_path: Path) -> None:
     """
-    A step's samples stream for seconds; the trainer publishes new weights and the engine loads them
-    meanwhile, so that the first tokens of a sample are from version 1 and the last from version 2.
+    Guards against old tokens that are labelled with a new version.
 
-    A single label a sample, or one taken from the order, would call old tokens new.
+    While a step's samples stream for seconds, the trainer publishes new weights and the engine
+    loads them, so that a sample starts with tokens of version 1 and ends with tokens of version 2.
+    A single label for each sample, or a label taken from the load order, would be wrong for the
+    first tokens.
     """
     async with training_system(tmp_path) as system:
         await system.start_engine("n1", tokens_per_s=20)
@@ -45,20 +47,22 @@
         async def running() -> bool:
             return any(entry["made"] for entry in (await system.log("n1"))["requests"])
 
-        await wait_until(running, "the engine to write tokens")
+        await wait_until(running, "the engine to generate tokens")
         await _publish(system, 2)
         batch = await system.fetch_until_whole(1)
 
         assert versions_of(batch) == {1, 2}
-        await _assert_true(system, batch, "n1")
+        await _assert_labels_match(system, batch, "n1")
 
 
 async def test_a_swap_that_is_reported_done_but_was_not(tmp_path: Path) -> None:
     """
-    The engine takes the order, announces version 3 and goes on with version 1; another swaps.
+    Guards against labels that come from a load order or an announcement.
 
-    Samples labelled by what was ordered or announced would bring weights into training that are
-    older than the bound. Then the engine tells the truth again and must be swapped.
+    One engine accepts the order and announces version 3, but continues with version 1; another
+    engine loads version 3. If samples were labelled with the ordered or announced version, training
+    would receive samples that are older than the staleness bound. The lying engine then labels its
+    tokens with their true version, and must be ordered to load again.
     """
     async with training_system(tmp_path) as system:
         await system.start_engine("n1")
@@ -68,31 +72,32 @@
             await _publish(system, version)
         for name in ("n1", "n2"):
 
-            async def told(name: str = name) -> bool:
+            async def announced(name: str = name) -> bool:
                 return (await system.announced(name)).get(TRAINER) == 3
 
-            await wait_until(told, f"{name} to announce version 3")
+            await wait_until(announced, f"{name} to announce version 3")
 
         steps = itertools.count(1)
 
-        async def liar_used() -> bool:
-            # An entry that has not heard yet of what the liar announces sends it nothing: then this
-            # step shows nothing, and the next one is opened.
+        async def lying_engine_used() -> bool:
+            # An entry that has not yet received the lying engine's announcement sends no request to
+            # it. Such a step proves nothing, and the next one is opened.
             step = next(steps)
             await system.trainer.open_step(step, step_body(MODEL, 4, 4, 16))
             batch = await system.fetch_until_whole(step)
             assert versions_of(batch) == {3}
-            await _assert_true(system, batch, "n1", "n2")
+            await _assert_labels_match(system, batch, "n1", "n2")
             return any(entry["made"] for entry in (await system.log("n1"))["requests"])
 
-        await wait_until(liar_used, "the lying engine to be used")
+        await wait_until(lying_engine_used, "the lying engine to be used")
 
 
 async def test_a_missing_label(tmp_path: Path) -> None:
     """
-    One of two engines leaves the version out beside its tokens.
+    Guards against samples with a guessed label.
 
-    Its samples can't be labelled truly; a guess would look like any other label in training.
+    One of two engines sends its tokens without a version. Its samples cannot be labelled correctly,
+    and in training a guess would look like any other label, so they must not be delivered.
     """
     async with training_system(tmp_path) as system:
         await system.start_engine("n1")
@@ -103,11 +108,11 @@
         await system.trainer.open_step(1, step_body(MODEL, 4, 4, 16))
         batch = await system.fetch_until_whole(1)
 
-        without = {
+        unlabelled = {
             entry["request_id"].rpartition(".")[0]
             for entry in (await system.log("n1"))["requests"]
             if entry["made"]
         }
-        assert without, "the engine without labels was never used, so nothing was shown"
-        assert not ids_of(batch) & without
+        assert unlabelled, "the engine without labels was never used, so the test proves nothing"
+        assert not ids_of(batch) & unlabelled
         assert len(ids_of(batch)) == 16
--- a/tests/integration/test_rollouts_once.py
+++ b/tests/integration/test_rollouts_once.py
@@ -1,4 +1,4 @@
-"""Promise 3: each sample is delivered once."""
+"""Promise 3: each sample is delivered exactly once."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 BODY = step_body(MODEL, 2, 4, 8)
 
 
-async def _whole_step(system: TrainingSystem, entry: int = 0) -> None:
-    """A step that is whole on its owner and not delivered yet."""
+async def _complete_step(system: TrainingSystem, entry: int = 0) -> None:
+    """Open a step and wait until its owner holds all samples, before any delivery."""
     await system.start_engine("n1")
     await system.trainer.publish(MODEL, 1)
     assert (await system.trainer.open_step(1, BODY, entry))[0] == 200
 
-    async def whole() -> bool:
+    async def all_ready() -> bool:
         return await system.ready(1, BODY, entry) == 8
 
-    await wait_until(whole, "all samples")
+    await wait_until(all_ready, "all samples")
 
 
 async def _lose_a_fetch(system: TrainingSystem) -> None:
-    """Fetch through the first entry so that its answer is lost on the way back."""
+    """Fetch the step through the first entry while the proxy drops the answer."""
     proxy = await FaultProxy.before(system.trainer.entries[0].removeprefix("http://"))
     await proxy.set_modes(Mode.PASS, Mode.SILENT)
-    direct = system.trainer.entries
-    system.trainer.entries = (f"http://{proxy.address}", *direct[1:])
+    direct_entries = system.trainer.entries
+    system.trainer.entries = (f"http://{proxy.address}", *direct_entries[1:])
     status, _ = await system.trainer.fetch(1, bound_s=3.0)
     assert status == 0
-    system.trainer.entries = direct
+    system.trainer.entries = direct_entries
 
 
 async def _take_over(system: TrainingSystem, entry: int) -> Any:
-    """The trainer resends its request, then fetches, through another entry."""
+    """Resend the step's request through another entry, then fetch the batch there."""
 
     async def delivered() -> Any:
         status, answer = await system.trainer.fetch(1, entry)
@@ -53,30 +53,33 @@
 
 async def test_a_lost_fetch_answer_is_resent_through_another_entry(tmp_path: Path) -> None:
     """
-    The batch's answer is lost on its way to the trainer, which asks again through another entry.
+    Guards against a second batch with other samples after the first answer was lost.
 
-    Gathered anew, the step would come twice with different samples, the first ones spent.
+    The answer with the batch is lost on its way to the trainer, which fetches again through another
+    entry. If that entry gathered the step anew, the trainer would receive the step twice with
+    different samples, and the first samples would be wasted.
     """
     async with training_system(tmp_path) as system:
-        await _whole_step(system)
+        await _complete_step(system)
         await _lose_a_fetch(system)
 
-        again = await system.fetch_until_whole(1, entry=1)
-        first = await system.fetch_until_whole(1, entry=0)
+        second_batch = await system.fetch_until_whole(1, entry=1)
+        first_batch = await system.fetch_until_whole(1, entry=0)
 
-        assert again == first
-        assert len(ids_of(again)) == 8
+        assert second_batch == first_batch
+        assert len(ids_of(second_batch)) == 8
 
 
 async def test_the_owner_is_killed_before_the_delivering_commit(tmp_path: Path) -> None:
     """
-    The entry that gathers a step is killed with all samples and no commit; the trainer asks
-    another.
+    Guards against a lost or mixed step when its owner is killed.
 
-    The step must come whole from there, under ids of its own.
+    The entry that gathers a step is killed when it holds all samples but has not committed the
+    delivery; the trainer fetches through another entry. That entry must deliver the complete step,
+    with sample ids of its own epoch.
     """
     async with training_system(tmp_path) as system:
-        await _whole_step(system)
+        await _complete_step(system)
         system.cluster.process_by_name["e1"].kill()
 
         batch = await _take_over(system, entry=1)
@@ -87,34 +90,37 @@
 
 async def test_the_owner_is_killed_after_the_delivering_commit(tmp_path: Path) -> None:
     """
-    The delivery is committed, its answer lost, and the entry with the only payload killed.
+    Guards against a delivered step that is lost, or whose samples count twice.
 
-    The log says delivered, so the trainer would never get the step; or, delivered again under the
-    old ids, a sample would count twice if the first answer did arrive after all.
+    The delivery is committed, its answer is lost, and the entry with the only copy of the batch is
+    killed. Because the log says that the step was delivered, the trainer might never receive it. If
+    it were delivered again under the old ids, a sample would count twice if the first answer
+    arrived later.
     """
     async with training_system(tmp_path) as system:
-        await _whole_step(system)
+        await _complete_step(system)
         await _lose_a_fetch(system)
         system.cluster.process_by_name["e1"].kill()
 
         batch = await _take_over(system, entry=1)
         system.cluster.start("e1")
         await system.cluster.wait_ready("e1")
-        through_the_restarted = await system.fetch_until_whole(1, entry=0)
+        batch_after_restart = await system.fetch_until_whole(1, entry=0)
 
         assert all(sample.split(":")[2] == "2" for sample in ids_of(batch))
-        assert through_the_restarted == batch
+        assert batch_after_restart == batch
 
 
 async def test_an_owner_that_was_frozen_delivers_nothing_of_its_lost_epoch(tmp_path: Path) -> None:
     """
-    The entry with a delivered payload is frozen past its lease; another takes the step over and
-    delivers a replacement; then the first goes on, payload in hand, and is asked.
+    Guards against an entry that delivers old samples beside their replacements.
 
-    It would hand out the old samples next to their replacements.
+    The entry that holds a delivered batch is frozen for longer than its lease. Another entry takes
+    the step over and delivers a replacement. Then the first entry continues, still holding its
+    batch, and receives a fetch.
     """
     async with training_system(tmp_path) as system:
-        await _whole_step(system)
+        await _complete_step(system)
         await _lose_a_fetch(system)
         owner = system.cluster.process_by_name["e1"]
         owner.freeze()
--- a/tests/integration/test_rollouts_path.py
+++ b/tests/integration/test_rollouts_path.py
@@ -1,4 +1,4 @@
-"""A trainer's steps with nothing failing."""
+"""A trainer's steps without faults."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     assert len(ids_of(batch)) == 12
     assert versions_of(batch) == {1}
     for sample in batch["samples"]:
-        assert sample["tokens"] == [token_at(sample["prompt"], place) for place in range(16)]
+        assert sample["tokens"] == [token_at(sample["prompt"], position) for position in range(16)]
         assert (sample["score"], sample["score_version"]) == (16.0, 1)
     for name in ("n1", "n2", "n3"):
 
@@ -59,7 +59,7 @@
     assert (await system.log("weight_store"))["most_loading"] <= 2
 
 
-async def test_another_key_is_refused_and_sees_no_step(system: TrainingSystem) -> None:
+async def test_an_unknown_key_cannot_open_a_step(system: TrainingSystem) -> None:
     system.trainer.key = f"not-{KEY}"
 
     status, answer = await system.trainer.open_step(1, step_body(MODEL, 1, 1, 4))
@@ -67,7 +67,7 @@
     assert (status, answer["error"]["reason"]) == (401, "unknown_key")
 
 
-async def test_the_same_body_is_the_same_step_and_another_a_conflict(
+async def test_the_same_body_is_the_same_step_and_another_body_a_conflict(
     system: TrainingSystem,
 ) -> None:
     await system.start_engine("n1")
@@ -75,9 +75,9 @@
 
     assert (await system.trainer.open_step(1, body, entry=0))[0] == 200
     assert (await system.trainer.open_step(1, body, entry=1))[0] == 200
-    other = await system.trainer.open_step(1, step_body(MODEL, 2, 2, 8), entry=1)
-    through_the_owner = await system.fetch_until_whole(1, entry=0)
-    through_another = await system.fetch_until_whole(1, entry=1)
+    conflicting = await system.trainer.open_step(1, step_body(MODEL, 2, 2, 8), entry=1)
+    owner_batch = await system.fetch_until_whole(1, entry=0)
+    other_batch = await system.fetch_until_whole(1, entry=1)
 
-    assert (other[0], other[1]["error"]["reason"]) == (409, "conflict")
-    assert through_the_owner == through_another
+    assert (conflicting[0], conflicting[1]["error"]["reason"]) == (409, "conflict")
+    assert owner_batch == other_batch
--- a/tests/integration/test_rollouts_staleness.py
+++ b/tests/integration/test_rollouts_staleness.py
@@ -1,4 +1,4 @@
-"""Promise 2: no sample is older than the configured bound (one version, by the tests' rules)."""
+"""Promise 2: no delivered sample is older than the staleness bound (one version in these tests)."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from integration.training_system import MODEL, training_system, versions_of
 
 
-async def test_the_trainer_advances_while_samples_are_on_their_way(tmp_path: Path) -> None:
+async def test_the_trainer_advances_while_samples_are_generated(tmp_path: Path) -> None:
     """
-    Most samples of a step are there, one hangs at its engine; the trainer publishes two versions.
+    Guards against samples that become stale while their step is still incomplete.
 
-    The samples that wait are from version 1 and the trainer is at 3: delivered with the last one,
-    they would be older than the bound.
+    Some samples of a step are ready when their engine stalls; the trainer then publishes two
+    versions. The ready samples are from version 1 and the trainer is at version 3, so they would
+    exceed the bound if they were delivered with the last sample.
     """
     async with training_system(tmp_path) as system:
         await system.start_engine("n1", capacity=4)
@@ -38,10 +39,10 @@
 
 async def test_the_trainer_advances_between_the_last_sample_and_its_fetch(tmp_path: Path) -> None:
     """
-    A step is whole and its trainer still busy; it publishes two versions before it fetches.
+    Guards against samples that become stale between the last sample and the fetch.
 
-    Had the delivery been decided when the last sample came, the batch would reach the trainer
-    older than the bound.
+    A step is complete, and its trainer publishes two versions before it fetches the step. If the
+    batch were fixed when the last sample arrived, its samples would exceed the bound at delivery.
     """
     async with training_system(tmp_path) as system:
         await system.start_engine("n1")
@@ -50,10 +51,10 @@
         body = step_body(MODEL, 2, 4, 8)
         await trainer.open_step(1, body)
 
-        async def whole() -> bool:
+        async def all_ready() -> bool:
             return await system.ready(1, body) == 8
 
-        await wait_until(whole, "all samples")
+        await wait_until(all_ready, "all samples")
         for version in (2, 3):
             assert (await trainer.publish(MODEL, version))[0] == 200
         batch = await system.fetch_until_whole(1)
--- a/tests/integration/test_rollouts_stragglers.py
+++ b/tests/integration/test_rollouts_stragglers.py
@@ -1,4 +1,4 @@
-"""Groups complete whole while engines hang and scorers send late or old scores."""
+"""Groups of samples complete although an engine hangs or a scorer sends invalid scores."""
 
 from __future__ import annotations
 
@@ -13,9 +13,11 @@
 
 async def test_a_sample_on_an_engine_that_hangs_is_raced_on_another(tmp_path: Path) -> None:
     """
-    Two engines share a step; one stops writing in mid-sample but answers that it still runs.
+    Guards against a step that waits for an engine that hangs.
 
-    Without a race the step waits for it, and the trainer idles for as long as the engine hangs.
+    Two engines share a step; one stops generating in the middle of a sample but still reports that
+    it runs. Unless the sample is also started on the other engine, the step waits and the trainer
+    idles for as long as the engine hangs.
     """
     async with training_system(tmp_path) as system:
         await system.start_engine("n1")
@@ -26,13 +28,13 @@
         await system.trainer.open_step(1, body)
         batch = await system.fetch_until_whole(1)
 
-        hung = {
+        hung_samples = {
             entry["request_id"].rpartition(".")[0] for entry in (await system.log("n1"))["requests"]
         }
-        assert hung, "the engine that hangs was never used, so nothing was shown"
-        assert not ids_of(batch) & hung
-        places = [sample.rpartition(".")[0] for sample in ids_of(batch)]
-        assert len(places) == len(set(places)) == 16
+        assert hung_samples, "the engine that hangs was never used, so the test proves nothing"
+        assert not ids_of(batch) & hung_samples
+        positions = [sample.rpartition(".")[0] for sample in ids_of(batch)]
+        assert len(positions) == len(set(positions)) == 16
 
 
 @pytest.mark.parametrize(
@@ -44,10 +46,12 @@
     tmp_path: Path, fault: dict[str, object]
 ) -> None:
     """
-    A scorer answers with scores of the model before, under another batch's id, or not for all.
+    Guards against scores that do not belong to the sample and its model version.
 
-    Used all the same, a stale score from an old model version slips into training; thrown away with
-    it, the samples would have to be made again, to wait for the same scorer.
+    A scorer answers with scores of the previous model version, under another batch's id, or without
+    a score for some samples. If such an answer were used, a stale score would enter training. If
+    the samples were discarded with it, they would have to be generated again, only to wait for the
+    same scorer.
     """
     async with training_system(tmp_path) as system:
         await system.start_engine("n1")
--- a/tests/integration/test_rules_five.py
+++ b/tests/integration/test_rules_five.py
@@ -1,4 +1,4 @@
-"""Five control VMs as processes: what a majority of them carries."""
+"""Five control VMs as real processes: commands succeed only with a majority."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from integration.processes import http_answers, wait_until
 from integration.rules_system import ASKED, KEY, RulesSystem, rules_text
 
-NO_LEADER = 3
-UNKNOWN = 4
+EXIT_NO_LEADER = 3
+EXIT_UNKNOWN = 4
 
 
-def _text(version: int) -> str:
+def _rules_of_version(version: int) -> str:
     return rules_text(f"timeout archive-app {version} s {ASKED}")
 
 
@@ -24,29 +24,30 @@
 
 async def test_five_control_vms_outlast_two_and_stop_without_a_majority(tmp_path) -> None:
     """
-    Two of five control VMs are lost at once, the leader among them, then a third.
+    Guards against a majority that is counted over the VMs that answer instead of all members.
 
-    With three left an operator's change is accepted; with two left nothing is, the entry lets its
-    lease lapse and refuses truthfully. One comes back, and all that was accepted is there. Cause:
-    a majority counted over those that answer, not over all members.
+    Two of five control VMs, the leader among them, are lost at once, then a third. With three VMs
+    an operator's change is accepted. With two VMs no change is accepted, the entry's lease lapses,
+    and the entry refuses requests with `lease_lapsed` and `not_run`. After one VM has restarted,
+    all accepted changes must still be there.
     """
     system = RulesSystem.from_counts(tmp_path, controls=5, entries=1)
     processes = system.cluster.process_by_name
     try:
         await system.found()
-        assert (await system.apply(_text(1), 0)).returncode == 0
+        assert (await system.apply(_rules_of_version(1), 0)).returncode == 0
         leader = await system.leader()
         others = [name for name in sorted(processes) if name.startswith("c") and name != leader]
 
         for lost in (leader, others[0]):
             processes[lost].kill()
         await system.leader(but=leader)
-        applied = await system.apply(_text(2), 1)
+        applied = await system.apply(_rules_of_version(2), 1)
         assert applied.returncode == 0, applied.stderr
 
         processes[others[1]].kill()
-        refused = await system.apply(_text(3), 2)
-        assert refused.returncode in (NO_LEADER, UNKNOWN), refused.stdout
+        refused = await system.apply(_rules_of_version(3), 2)
+        assert refused.returncode in (EXIT_NO_LEADER, EXIT_UNKNOWN), refused.stdout
 
         async def lapsed() -> bool:
             return not await http_answers(f"{system.cluster.url('e1')}/readyz")
@@ -59,7 +60,10 @@
         system.cluster.start(leader)
         await system.cluster.wait_ready("e1")
         shown = await system.ask("rules", "show")
-        # The change that got no answer may have been committed later, never half.
-        assert (shown["version"], shown["text"]) in ((2, _text(2)), (3, _text(3)))
+        # The unanswered change may have been committed later, but only as a complete file.
+        assert (shown["version"], shown["text"]) in (
+            (2, _rules_of_version(2)),
+            (3, _rules_of_version(3)),
+        )
     finally:
         system.stop_all()
--- a/tests/integration/test_rules_operators.py
+++ b/tests/integration/test_rules_operators.py
@@ -1,4 +1,4 @@
-"""Operators who race under one base and who send again after a lost answer."""
+"""Operators who apply different files with the same base, or resend after a lost answer."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 async def test_of_two_operators_under_one_base_one_wins_and_the_other_is_told(system) -> None:
     """
-    Two operators edit version 0 and apply different files at the same moment.
+    Guards against a change that is silently overwritten by another operator's.
 
-    Without the compare-and-set in the log both would be told "accepted" and one change would be
-    gone without a word.
+    Two operators edit version 0 and apply different files at the same moment. Without the
+    compare-and-set in the log, both would receive "accepted" and one change would be lost.
     """
     lines = {name: f"timeout service-of-{name} 2 s {ASKED}" for name in ("ana", "bor")}
     results = await asyncio.gather(
@@ -44,8 +44,8 @@
 
     assert sorted(result.returncode for result in results) == [0, EXIT_CONFLICT]
     winner, loser = ("ana", "bor") if results[0].returncode == 0 else ("bor", "ana")
-    lost = next(result for result in results if result.returncode == EXIT_CONFLICT)
-    error = json.loads(lost.stdout)["error"]
+    conflict = next(result for result in results if result.returncode == EXIT_CONFLICT)
+    error = json.loads(conflict.stdout)["error"]
     assert (error["version"], error["operator"]) == (1, winner)
     assert f"+ {lines[winner]}" in error["changed_lines"]
     shown = await system.ask("rules", "show")
@@ -56,11 +56,12 @@
 @pytest.mark.parametrize("leader_dies", [False, True])
 async def test_a_resend_after_a_lost_answer_gets_the_first_answer(system, leader_dies) -> None:
     """
-    An operator applies a file; it is committed, its answer is lost; the operator sends it again as
-    the error says, in the second case to the leader that rose after the first one died.
+    Guards against a resent command that conflicts with the operator's own first one.
 
-    Applied a second time, or compared with the base again, the operator would be told of a
-    conflict with himself.
+    An operator applies a file; the command is committed and its answer is lost. The operator
+    resends the file with the request id from the error, in the second case to a new leader after
+    the first one was killed. If the command were applied again, or compared with the base again,
+    the operator would receive a conflict.
     """
     leader = await system.leader()
     proxy = await FaultProxy.before(system.cluster.settings_by_daemon[leader]["control"]["listen"])
@@ -68,7 +69,7 @@
     path.write_text(rules_text())
     entry = system.cluster.process_by_name["e1"]
 
-    # A frozen entry holds the answer back until its lease has lapsed: time to cut the way back.
+    # The answer waits for the frozen entry's lease to lapse, which leaves time to cut the way back.
     entry.freeze()
     arguments = ("rules", "apply", str(path), "--base", "0")
     running = asyncio.to_thread(
@@ -77,28 +78,28 @@
     applying = asyncio.create_task(running)
     await wait_until(lambda: _version(system), "the commit")
     await proxy.set_modes(Mode.PASS, Mode.SILENT)
-    lost = await applying
+    unanswered = await applying
     entry.thaw()
     await proxy.stop()
-    assert lost.returncode == EXIT_UNKNOWN, lost.stdout + lost.stderr
-    error = json.loads(lost.stdout)["error"]
+    assert unanswered.returncode == EXIT_UNKNOWN, unanswered.stdout + unanswered.stderr
+    error = json.loads(unanswered.stdout)["error"]
     assert f"--request-id {error['request_id']}" in error["message"]
     if leader_dies:
         system.cluster.process_by_name[leader].kill()
         await system.leader(but=leader)
 
-    again = await system.apply(rules_text(), 0, "--request-id", error["request_id"])
-    anew = await system.apply(rules_text(), 0)
+    resent = await system.apply(rules_text(), 0, "--request-id", error["request_id"])
+    under_new_id = await system.apply(rules_text(), 0)
 
-    assert again.returncode == 0, again.stdout + again.stderr
-    assert anew.returncode == EXIT_CONFLICT
+    assert resent.returncode == 0, resent.stdout + resent.stderr
+    assert under_new_id.returncode == EXIT_CONFLICT
     assert (await system.ask("rules", "show"))["version"] == 1
 
 
 async def _version(system: RulesSystem) -> int:
-    """The version in the log, by a client that stays connected."""
-    listens = [option.removeprefix("--control=") for option in system.options]
-    client = ControlClient({listen: listen for listen in listens})
+    """Return the rules version in the log, read through a client of its own; 0 if refused."""
+    control_addresses = [option.removeprefix("--control=") for option in system.options]
+    client = ControlClient({listen: listen for listen in control_addresses})
     answer = await client.read("rules")
     await client.stop()
     return 0 if isinstance(answer, Refusal) else answer["version"]
--- a/tests/integration/test_rules_partition.py
+++ b/tests/integration/test_rules_partition.py
@@ -1,4 +1,4 @@
-"""An entry and a control VM on the wrong side of a partition."""
+"""An entry and a control VM on the minority side of a partition."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from integration.proxy import FaultProxy
 from integration.rules_system import KEY, RulesSystem, rules_text
 
-OTHER = "key-that-stays"
+REMAINING_KEY = "key-that-stays"
 
 
-class _Cut:
-    """Proxies on every path between two sides; `silence` is the partition."""
+class _Partition:
+    """Proxies on every path between the two sides of a partition; `close` starts the partition."""
 
     def __init__(self) -> None:
         self.proxies: list[FaultProxy] = []
 
-    async def between(self, system: RulesSystem, inside: set[str]) -> None:
-        """Route every control address that crosses the cut through a proxy."""
+    async def add_proxies(self, system: RulesSystem, inside: set[str]) -> None:
+        """Put a proxy before every control address that is used across the partition."""
         settings_by_daemon = system.cluster.settings_by_daemon
         listen = {
             name: settings["control"]["listen"]
@@ -55,25 +55,26 @@
 
 async def test_an_entry_on_the_wrong_side_stops_serving_within_its_lease(tmp_path) -> None:
     """
-    One control VM and one entry are cut off from the others for long; on the other side an
-    operator withdraws a key. Both halves stay up and the entry still reaches its control VM.
+    Guards against an entry that accepts a withdrawn key for as long as a partition lasts.
 
-    Serving on what it knew, the entry would take the withdrawn key for as long as the cut lasts.
+    One control VM and one entry are partitioned from the others for longer than the entry's lease;
+    on the other side an operator withdraws a key. All daemons run, and the entry still reaches the
+    control VM on its side. The entry must not keep serving with its old rules.
     """
     system = RulesSystem.from_counts(tmp_path, controls=3, entries=2)
-    cut = _Cut()
-    await cut.between(system, {"c3", "e2"})
+    partition = _Partition()
+    await partition.add_proxies(system, {"c3", "e2"})
     url = system.cluster.url("e2")
     try:
         await system.found()
-        await _lead_outside(system)
-        granted = await system.apply(rules_text(keys=(KEY, OTHER)), 0)
+        await _move_leader_to_majority(system)
+        granted = await system.apply(rules_text(keys=(KEY, REMAINING_KEY)), 0)
         assert granted.returncode == 0, granted.stderr
         assert (await _ask(url, KEY))[1]["reason"] == "no_endpoint"
         term = (await system.ask("status"))["term"]
-        await cut.close()
+        await partition.close()
 
-        withdrawn = await system.apply(rules_text(keys=(OTHER,)), 1)
+        withdrawn = await system.apply(rules_text(keys=(REMAINING_KEY,)), 1)
 
         assert withdrawn.returncode == 0, withdrawn.stderr
         status, error = await _ask(url, KEY)
@@ -81,20 +82,22 @@
         assert error["retry_after_s"] > 0
         assert not await http_answers(f"{url}/readyz")
         assert (await _ask(system.cluster.url("e1"), KEY))[1]["reason"] == "unknown_key"
-        assert (await _ask(system.cluster.url("e1"), OTHER))[1]["reason"] == "no_endpoint"
+        assert (await _ask(system.cluster.url("e1"), REMAINING_KEY))[1]["reason"] == "no_endpoint"
 
-        await cut.heal()
+        await partition.heal()
         await system.cluster.wait_ready("e2")
         assert (await _ask(url, KEY))[1]["reason"] == "unknown_key"
-        assert (await _ask(url, OTHER))[1]["reason"] == "no_endpoint"
-        after = await wait_until(lambda: _whole(system), "both entries to hold a lease")
+        assert (await _ask(url, REMAINING_KEY))[1]["reason"] == "no_endpoint"
+        after = await wait_until(
+            lambda: _status_with_both_entries(system), "both entries to hold a lease"
+        )
         assert after["term"] == term
     finally:
         system.stop_all()
 
 
-async def _lead_outside(system: RulesSystem) -> None:
-    """Have c1 or c2 lead: a leader on the wrong side is another story."""
+async def _move_leader_to_majority(system: RulesSystem) -> None:
+    """Make c1 or c2 the leader; a leader on the minority side is a different test case."""
     if await system.leader() != "c3":
         return
     await system.cluster.process_by_name["c3"].terminate()
@@ -102,6 +105,6 @@
     system.cluster.start("c3")
 
 
-async def _whole(system: RulesSystem) -> dict | None:
+async def _status_with_both_entries(system: RulesSystem) -> dict | None:
     status = await system.ask("status")
     return status if len(status["entries"]) == 2 else None
--- a/tests/integration/test_rules_withdrawal.py
+++ b/tests/integration/test_rules_withdrawal.py
@@ -1,4 +1,4 @@
-"""A withdrawn key ends what it has under way and in line."""
+"""A withdrawn key ends its running and queued requests."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from integration.proxy import FaultProxy
 from integration.rules_system import KEY, RulesSystem, rules_text
 
-OTHER = "key-that-stays"
-BOTH = (KEY, OTHER)
-# Slow enough that no stream ends by itself within the test.
+REMAINING_KEY = "key-that-stays"
+BOTH_KEYS = (KEY, REMAINING_KEY)
+# With this rate and MANY_TOKENS, no stream completes during the test.
 TOKENS_PER_S = 40
 MANY_TOKENS = 100_000
 
 
 @dataclass
 class _Stream:
-    """What one caller has received so far."""
+    """The lines and the status that one caller has received so far."""
 
     lines: list[dict] = field(default_factory=list)
     status: int = 0
@@ -49,7 +49,7 @@
 
 
 class _Callers:
-    """Open streams; all end with the test."""
+    """Tasks of callers with open streams; `close` cancels all of them."""
 
     def __init__(self) -> None:
         self.tasks: list[asyncio.Task] = []
@@ -79,55 +79,61 @@
         arguments += ["--entry", system.cluster.url(entry)]
     system.cluster.start_other("engine-1", python_module("fakes.engine", *arguments))
 
-    async def known() -> bool:
+    async def is_listed() -> bool:
         return len((await system.ask("endpoint", "list"))["endpoints"]) == 1
 
-    await wait_until(known, "the engine to be known")
+    await wait_until(is_listed, "the engine to be listed")
 
 
 async def test_a_withdrawn_key_ends_its_open_stream_and_its_place_in_line(
     tmp_path, callers
 ) -> None:
     """
-    A caller reads a long stream and has a second request in line when an operator withdraws its
-    key; a colleague with another key of the same client account reads on.
+    Guards against a key that is checked only when a request arrives.
 
-    Checked at the door only, the withdrawn key would be served for as long as the stream lasts.
+    A caller reads a long stream and has a second request in the queue when an operator withdraws
+    its key. If the key were not checked again, both requests would still be served. The stream of
+    another key of the same client account must continue.
     """
     system = RulesSystem.from_counts(tmp_path, controls=3, entries=1)
     url = system.cluster.url("e1")
     try:
         await system.found()
-        assert (await system.apply(rules_text(keys=BOTH), 0)).returncode == 0
+        assert (await system.apply(rules_text(keys=BOTH_KEYS), 0)).returncode == 0
         await _start_engine(system, capacity=2)
-        streams = [callers.open(url, KEY), callers.open(url, OTHER)]
+        streams = [callers.open(url, KEY), callers.open(url, REMAINING_KEY)]
         for stream in streams:
             await wait_until(lambda stream=stream: stream.lines, "the first tokens")
         queued = callers.open(url, KEY)
         await asyncio.sleep(0.5)
 
-        withdrawn = await system.apply(rules_text(keys=(OTHER,)), 1)
+        withdrawn = await system.apply(rules_text(keys=(REMAINING_KEY,)), 1)
 
         assert withdrawn.returncode == 0, withdrawn.stderr
-        mine, other = streams
-        await wait_until(lambda: mine.ended and queued.ended, "the withdrawn key's requests to end")
-        assert mine.error()["reason"] == "key_withdrawn"
-        assert mine.error()["not_run"] is False
-        # A request that reached the entry only after the withdrawal is refused at the door.
+        withdrawn_stream, remaining_stream = streams
+        await wait_until(
+            lambda: withdrawn_stream.ended and queued.ended, "the withdrawn key's requests to end"
+        )
+        assert withdrawn_stream.error()["reason"] == "key_withdrawn"
+        assert withdrawn_stream.error()["not_run"] is False
+        # A request that reached the entry only after the withdrawal is refused on arrival.
         assert queued.lines[-1]["error"]["reason"] in ("key_withdrawn", "unknown_key")
         assert not any("tokens" in line for line in queued.lines)
-        read = len(other.lines)
-        await wait_until(lambda: len(other.lines) > read + 5, "the other key's stream to go on")
+        lines_before = len(remaining_stream.lines)
+        await wait_until(
+            lambda: len(remaining_stream.lines) > lines_before + 5,
+            "the other key's stream to continue",
+        )
     finally:
         system.stop_all()
 
 
 async def test_an_entry_cut_off_from_control_ends_its_open_streams(tmp_path, callers) -> None:
     """
-    An entry loses all control VMs in the middle of a stream, and the stream's key is withdrawn
-    on the other side.
+    Guards against a stream that serves a withdrawn key for as long as a partition lasts.
 
-    Going on to its end, the stream would serve a withdrawn key for as long as the cut lasts.
+    An entry loses the connections to all control VMs in the middle of a stream, and an operator
+    withdraws the stream's key, so that the entry does not receive the withdrawal.
     """
     system = RulesSystem.from_counts(tmp_path, controls=3, entries=1)
     proxies = []
@@ -137,14 +143,14 @@
         addresses[daemon] = proxies[-1].address
     try:
         await system.found()
-        assert (await system.apply(rules_text(keys=BOTH), 0)).returncode == 0
+        assert (await system.apply(rules_text(keys=BOTH_KEYS), 0)).returncode == 0
         await _start_engine(system, capacity=2)
         stream = callers.open(system.cluster.url("e1"), KEY)
         await wait_until(lambda: stream.lines, "the first tokens")
 
         for proxy in proxies:
             await proxy.silence()
-        withdrawn = await system.apply(rules_text(keys=(OTHER,)), 1)
+        withdrawn = await system.apply(rules_text(keys=(REMAINING_KEY,)), 1)
 
         assert withdrawn.returncode == 0, withdrawn.stderr
         await wait_until(lambda: stream.ended, "the stream to end", bound_s=20.0)
