--- a/tests/integration/test_consensus_disks.py
+++ b/tests/integration/test_consensus_disks.py
@@ -211,16 +211,16 @@
         lines = [f"line {number}" for number in range(20)]
         for line in lines:
             await replicas.accept(line)
-        full = await replicas.leader()
-        segment = sorted((data_folder(replicas, full) / "consensus").glob("log-*"))[-1]
-        process = replicas.process(full)
+        full_daemon = await replicas.leader()
+        segment = sorted((data_folder(replicas, full_daemon) / "consensus").glob("log-*"))[-1]
+        process = replicas.process(full_daemon)
         size_limit = segment.stat().st_size + 30
         resource.prlimit(process.popen.pid, resource.RLIMIT_FSIZE, (size_limit, size_limit))
         lines.append("on the full disk " + "x" * 100)
         await replicas.accept(lines[-1])
-        await wait_until(lambda: not process.alive(), f"{full} to end")
+        await wait_until(lambda: not process.alive(), f"{full_daemon} to end")
         assert process.popen.returncode != 0
         assert "ended after a failure" in process.tail()
-        replicas.start(full)
-        await replicas.wait_up(full)
+        replicas.start(full_daemon)
+        await replicas.wait_up(full_daemon)
         await assert_all_hold(replicas, lines)
--- a/tests/integration/test_duties_drain.py
+++ b/tests/integration/test_duties_drain.py
@@ -28,14 +28,14 @@
         self.process = process
         self.address = address
 
-    async def request_ends(self) -> list[str]:
+    async def outcomes(self) -> list[str]:
         """Return how each received request ended; an empty text stands for a running request."""
         log = await get_json(f"http://{self.address}/log")
         return [request["ended"] for request in log["requests"]]
 
     async def request_count(self) -> int:
         """Return the number of requests that the engine has received."""
-        return len(await self.request_ends())
+        return len(await self.outcomes())
 
 
 async def _start_engine(system: DutiesSystem, name: str) -> _Engine:
@@ -76,9 +76,7 @@
             assert (await _generate(system, 4))[-1]["done"]
         assert await second.request_count() == 3
         (order,) = await system.wait_sent(1)
-        assert await first.request_ends() == [
-            "done"
-        ], "the stop order went out before the stream's end"
+        assert await first.outcomes() == ["done"], "the stop order was sent before the stream's end"
         lines = await stream
 
         assert lines[-1]["done"]
--- a/tests/integration/test_platform_crash.py
+++ b/tests/integration/test_platform_crash.py
@@ -24,7 +24,7 @@
 CALLERS = 6
 ITEMS = 24
 CRASHES = 4
-LOAD_BETWEEN_S = (0.2, 1.2)
+DELAY_BEFORE_CRASH_S = (0.2, 1.2)
 CONNECTION_BROKEN = 0
 
 
@@ -89,7 +89,7 @@
         names = [f"lot{crash}" for crash in range(CRASHES)]
         for name in names:
             await system.submit(name, job(ITEMS, prefix=f"{name}-"), entry=2)
-            await asyncio.sleep(crash_times.uniform(*LOAD_BETWEEN_S))
+            await asyncio.sleep(crash_times.uniform(*DELAY_BEFORE_CRASH_S))
             victim = VICTIM_BY_ROLE[role](system)
             process = system.process_by_name[victim]
             process.send(signal.SIGSEGV)
--- a/tests/integration/test_rollouts_labels.py
+++ b/tests/integration/test_rollouts_labels.py
@@ -61,8 +61,8 @@
 
     One engine accepts the order and announces version 3, but continues with version 1; another
     engine loads version 3. If samples were labelled with the ordered or announced version, training
-    would receive samples that are older than the staleness bound. The lying engine then labels its
-    tokens with their true version, and must be ordered to load again.
+    would receive samples that are older than the staleness bound. The versions that the engine
+    sends beside its tokens stay true, so its samples must be discarded and the load ordered again.
     """
     async with training_system(tmp_path) as system:
         await system.start_engine("n1")
