--- a/packages/ibisspring-consensus/src/ibisspring_consensus/__init__.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/__init__.py
@@ -1,4 +1,6 @@
-"""Consensus: a replicated log of commands, based on Raft."""
+"""
+A replicated log of commands, based on Raft: the replicas agree on the commands and their order.
+"""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
@@ -1,4 +1,4 @@
-"""Configuration of one replica."""
+"""Configuration of one replica of a replicated log: its files, addresses, times and sizes."""
 
 from __future__ import annotations
 
@@ -23,16 +23,20 @@
     """
     Configuration of one replica of one replicated log.
 
-    :param daemon: the daemon's id.
+    :param daemon: id of the daemon that runs the replica.
     :param folder: folder of the replica's files; created at its first use.
-    :param core: times and sizes.
-    :param address_of: returns IP:port for a daemon id; None for a daemon without a known address.
+    :param core: times and sizes of the consensus core, such as the election timeout.
+    :param address_of: returns the IP:port at which a daemon, given by its id, can be reached; None
+        if its address is not known.
     :param founders: ids of the daemons that form the cluster when an operator bootstraps it.
-    :param snapshot_every: number of log entries between snapshots.
-    :param state: name of the service that is the state machine.
-    :param process_started_s: start of this process on the lease clock; None for the time at which
-        the service starts. The vote-withholding time after a restart counts from it, since the
-        previous process cannot have acknowledged a heartbeat later.
+    :param snapshot_every: number of log entries applied since the last snapshot after which the
+        replica takes the next one.
+    :param state: name of the daemon's service to which committed commands are applied (the state
+        machine).
+    :param process_started_s: start of this process, in seconds on the lease clock; None for the
+        time at which the service starts. A restarted replica grants no vote for one election
+        timeout after this time: the previous process may have acknowledged a leader's heartbeat
+        until it ended, but not later.
     """
 
     daemon: str
@@ -47,10 +51,9 @@
     @classmethod
     def from_config(cls, settings: Settings) -> ReplicaConfig:
         """
-        Build the configuration of a control daemon from its settings.
+        Build the configuration of a control daemon's replica from the daemon's settings.
 
         :param settings: checked settings of a daemon with the control role.
-        :return: the replica's configuration.
         """
         return cls(
             daemon=settings.daemon,
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
@@ -2,8 +2,9 @@
 The consensus core: the Raft state machine of one replica, without input or output.
 
 The core uses no network, clock, disk or task. `Core.step` receives an event with its time and
-returns effects, which the caller carries out in order. `Persist` asks the caller to sync state to
-disk; messages that depend on that state are sent only after the event `Persisted` reports the sync.
+returns effects (actions such as sending a message), which the caller carries out in order. The
+effect `Persist` asks the caller to sync state to disk; messages that depend on that state are sent
+only after the event `Persisted` reports the sync.
 """
 
 from __future__ import annotations
@@ -66,8 +67,8 @@
     The state of a replica as read from disk when its process starts.
 
     :param hard_state: term and vote.
-    :param snapshot: newest snapshot.
-    :param base_index: index before the first stored entry.
+    :param snapshot: metadata of the newest snapshot.
+    :param base_index: log index just before the first stored entry.
     :param base_term: term of the entry at `base_index`.
     :param entries: entries after `base_index`, without gaps.
     """
@@ -80,7 +81,7 @@
 
 
 class Core:
-    """The state of one replica; `step` is the only way to change it."""
+    """The consensus state of one replica; only `step` changes it."""
 
     def __init__(self, state: CoreState) -> None:
         self.state = state
@@ -95,15 +96,14 @@
         now: float,
     ) -> Core:
         """
-        Restore a replica from the state on its disk.
+        Restore a replica, as a follower, from the state on its disk.
 
-        :param replica: id of this replica.
-        :param config: times and sizes.
+        :param replica: daemon and disk id of this replica.
+        :param config: times and sizes of the core, such as the election timeout.
         :param stored: state as read from disk.
         :param randomness: source of the random election timeouts.
         :param now: start of the process, in seconds on the lease clock. With a later time, a
             cluster whose processes all restart would elect its leader later by the difference.
-        :return: the core, as a follower.
         """
         log = Log.from_entries(stored.snapshot, stored.base_index, stored.base_term, stored.entries)
         state = CoreState(
@@ -123,12 +123,11 @@
 
     def step(self, event: Event, now: float) -> tuple[Effect, ...]:
         """
-        Process one event.
+        Process one event and return the effects that the caller has to carry out.
 
-        :param event: the event.
         :param now: time of the event in seconds on the lease clock; a time before that of the
             previous event counts as the time of the previous event.
-        :return: effects, to be carried out in this order.
+        :return: the effects, to be carried out in this order.
         """
         state = self.state
         state.now = max(state.now, now)
@@ -157,7 +156,8 @@
                     replication.broadcast(state)
             case SnapshotTaken():
                 # While this snapshot was being written, a newer one from the leader may have been
-                # installed. Going back to the older snapshot would put its older members in force.
+                # installed. Going back to the older snapshot would put the older membership that
+                # it contains in force.
                 if event.meta.index > state.log.snapshot.index:
                     state.log.compact(event.meta, event.keep_from)
             case ReplicaSeen():
@@ -170,9 +170,9 @@
                 replication.on_resign(state)
 
     def _on_received(self, event: Received) -> None:
-        # Ignore messages addressed to a previous disk of this daemon. If this replica answered
-        # them, a wiped voter could vote twice in one term, or acknowledge entries that it lost with
-        # the disk.
+        # Ignore messages addressed to a disk that this daemon used before its present one. If this
+        # replica answered them, a voter whose disk was wiped could vote twice in one term, or
+        # acknowledge entries that it lost with the disk.
         if event.target != self.state.replica:
             return
         self._handle_message(event.sender, event.message)
@@ -222,9 +222,9 @@
 
     def lease_until(self) -> float:
         """
-        Return the end of this replica's leader lease.
+        Return the end of this replica's leader lease, until which no other replica holds one.
 
-        :return: seconds on the lease clock; 0.0 without a lease.
+        :return: seconds on the lease clock; 0.0 if this replica holds no lease.
         """
         return lease_until(self.state)
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/election.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes and the rules for granting them."""
+"""Leader elections: pre-votes (trial votes), votes and the rules for granting them."""
 
 from __future__ import annotations
 
@@ -46,8 +46,9 @@
     """
     Ask the voters whether an election would succeed, without starting a new term.
 
-    A VM that reconnects after a long partition would otherwise bring a term that rose with each
-    failed candidacy, and the healthy leader would have to step down because of it.
+    Without pre-votes, a VM that reconnects after a long partition would send a term that rose with
+    each of its failed candidacies, and the healthy leader would have to step down because of this
+    newer term.
     """
     state.pre_votes = {state.replica}
     if is_quorum(state.log.members, state.pre_votes):
@@ -69,7 +70,7 @@
     reset_election(state)
     term = state.hard_state.term + 1
     persist(state, HardState(term=term, voted_for=state.replica))
-    # Like any other vote, the candidate's own vote is counted only after it is synced.
+    # Like any other vote, the candidate's own vote is counted only after it is synced to disk.
     own_vote = VoteReply(term=term, request_term=term, granted=True)
     send_after_sync(state, state.replica, own_vote)
     _request_votes(state, term, pre=False, transferred=transferred)
@@ -87,9 +88,10 @@
     """
     Return whether this replica must not vote because it may still support a leader's lease.
 
-    A follower that acknowledged a heartbeat grants no vote to other candidates for one election
-    timeout, which is longer than the lease. A restarted replica does not know whether it
-    acknowledged a heartbeat, so it waits for the same time after its start.
+    A follower that acknowledged a leader's heartbeat grants no vote to another candidate for one
+    election timeout, which is longer than the leader's lease. A restarted replica does not know
+    whether it acknowledged a heartbeat before the restart, so it grants no vote for one election
+    timeout after its start.
     """
     if state.role == LEADER:
         return True
@@ -103,7 +105,7 @@
     """
     Return whether the candidate's log is at least as up to date as this replica's log.
 
-    The candidate then holds every entry of this replica that may be committed.
+    A candidate with such a log holds every entry of this replica's log that may be committed.
     """
     return (request.last_term, request.last_index) >= (state.log.last_term, state.log.last_index)
 
@@ -119,8 +121,8 @@
         )
         send(state, sender, VoteReply(state.hard_state.term, request.term, granted, pre=True))
         return
-    # A withheld vote must not adopt the newer term either: that would end the current leader's term
-    # while its lease is valid.
+    # A replica that withholds its vote must not adopt the candidate's newer term either: that would
+    # end the current leader's term while the leader's lease is valid.
     if must_withhold or request.term < state.hard_state.term:
         send(state, sender, VoteReply(state.hard_state.term, request.term, granted=False))
         return
@@ -135,7 +137,7 @@
 
 
 def on_vote_reply(state: CoreState, sender: ReplicaId, reply: VoteReply) -> None:
-    """Count a granted vote or pre-vote; with a majority, campaign or become leader."""
+    """Count a granted pre-vote or vote; with a majority, campaign or become leader respectively."""
     if reply.term > state.hard_state.term and not reply.granted:
         become_follower(state, reply.term, None, "a newer term")
         return
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/events.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/events.py
@@ -1,4 +1,9 @@
-"""The events that the consensus core processes and the effects that it returns."""
+"""
+Input and output of the consensus core: events that it processes and effects that it returns.
+
+Its caller creates the events (a received message, a finished sync) and carries out the effects
+(send a message, write to disk).
+"""
 
 from __future__ import annotations
 
@@ -18,18 +23,16 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """The tick interval has passed; checks time-outs and sends due heartbeats."""
+    """The tick interval has passed; the core checks time-outs and sends due heartbeats."""
 
 
 @dataclass(frozen=True)
 class Received:
     """
-    A message arrived.
+    A message from another replica arrived.
 
-    :param sender: the replica that sent it.
-    :param target: the replica to which it is addressed; the same daemon with another disk ignores
-        it.
-    :param message: the message.
+    :param target: the replica to which the message is addressed; the same daemon with another disk
+        ignores the message.
     """
 
     sender: ReplicaId
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Persisted:
-    """All `Persist` and `InstallSnapshot` effects up to this sequence number are synced."""
+    """All `Persist` and `InstallSnapshot` effects up to `sequence` are synced to disk."""
 
     sequence: int
 
@@ -47,9 +50,10 @@
 @dataclass(frozen=True)
 class Propose:
     """
-    Append commands to the log.
+    Append commands to the log if this replica is the leader.
 
-    :param commands: pairs of a number assigned by the caller and the command.
+    :param commands: pairs of a number, which the caller assigns and the effects `Proposed` and
+        `ProposalRefused` return, and the command.
     """
 
     commands: tuple[tuple[int, bytes], ...]
@@ -58,9 +62,10 @@
 @dataclass(frozen=True)
 class ConfirmRead:
     """
-    Confirm with a quorum that this replica is still the leader.
+    Confirm with a quorum that this replica is still the leader, so that a read is not stale.
 
-    :param read: number assigned by the caller.
+    :param read: number of the read, which the caller assigns and the effects `ReadConfirmed` and
+        `ReadRefused` return.
     """
 
     read: int
@@ -69,10 +74,10 @@
 @dataclass(frozen=True)
 class SnapshotTaken:
     """
-    A snapshot of the state machine is synced.
+    A snapshot that this replica took of its state machine is synced to disk.
 
-    :param meta: the snapshot.
-    :param keep_from: index of the first entry to keep; earlier ones may be removed.
+    :param meta: metadata of the snapshot.
+    :param keep_from: index of the first log entry to keep; earlier entries may be removed.
     """
 
     meta: SnapshotMeta
@@ -82,10 +87,10 @@
 @dataclass(frozen=True)
 class ReplicaSeen:
     """
-    A daemon answered with this disk id.
+    A daemon answered a call and reported its present disk.
 
-    :param replica: the daemon with its disk.
-    :param cluster: the cluster that the disk belongs to; empty for none.
+    :param replica: the daemon with the disk id that it reported.
+    :param cluster: id of the cluster that the disk belongs to; empty for none.
     """
 
     replica: ReplicaId
@@ -95,7 +100,7 @@
 @dataclass(frozen=True)
 class Replace:
     """
-    Replace a voter, requested by an operator or by the automatic repair.
+    Replace a voter as an operator or the automatic repair requests.
 
     :param new: the replica to add.
     :param old: the voter to remove; None only adds `new`.
@@ -134,11 +139,12 @@
 @dataclass(frozen=True)
 class Persist:
     """
-    Sync this change to disk, in the order of the sequence numbers, then report `Persisted`.
+    Sync a change of the durable state to disk, then report `Persisted`.
 
-    :param hard_state: term and vote to write before the log; None leaves them.
-    :param truncate_from: index of the first entry to remove; 0 removes none.
-    :param entries: entries to append after that.
+    :param sequence: changes are synced in the order of these numbers.
+    :param hard_state: term and vote to write before the log; None leaves them as they are.
+    :param truncate_from: index of the first log entry to remove; 0 removes none.
+    :param entries: entries to append to the log after the removal.
     """
 
     sequence: int
@@ -152,9 +158,10 @@
     """
     Sync a received snapshot, restore the state machine from it, then report `Persisted`.
 
-    :param meta: the snapshot.
-    :param data: the state machine's bytes.
-    :param entries: the log's entries after the snapshot.
+    :param sequence: number to report, in the same sequence as those of `Persist`.
+    :param meta: metadata of the snapshot.
+    :param data: the state machine's encoded state.
+    :param entries: the log's entries after the snapshot's index.
     """
 
     sequence: int
@@ -165,7 +172,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send a message; it may be lost."""
+    """Send a message to another replica; the message may be lost."""
 
     target: ReplicaId
     message: Message
@@ -173,7 +180,7 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """Apply committed entries; each entry is passed once, in log order."""
+    """Apply committed entries to the state machine; each is passed once, in log order."""
 
     entries: tuple[Entry, ...]
 
@@ -181,9 +188,11 @@
 @dataclass(frozen=True)
 class Proposed:
     """
-    The command was appended to the leader's log and may be committed.
+    A proposed command was appended to the leader's log and may be committed later.
 
-    :param number: number of the proposal.
+    :param number: number of the command in its `Propose` event.
+    :param index: log index of the command's entry.
+    :param term: term of the command's entry.
     """
 
     number: int
@@ -193,14 +202,18 @@
 
 @dataclass(frozen=True)
 class ProposalRefused:
-    """The command was not appended to any log, because this replica is not the leader."""
+    """A proposed command was not appended to any log: this replica is not the leader."""
 
     number: int
 
 
 @dataclass(frozen=True)
 class ReadConfirmed:
-    """The state up to `index` was current after the read was requested; `index` is applied."""
+    """
+    A quorum confirmed that this replica was still the leader after the read was requested.
+
+    :param index: the entries up to this index are applied, and state read after them is current.
+    """
 
     read: int
     index: int
@@ -208,7 +221,7 @@
 
 @dataclass(frozen=True)
 class ReadRefused:
-    """The read was not confirmed, because this replica is not the leader."""
+    """A read was not confirmed, because this replica is not the leader."""
 
     read: int
 
@@ -225,8 +238,8 @@
     """
     This replica is no longer the leader.
 
-    :param term: its term when it stepped down.
-    :param cause: reason, for the log.
+    :param term: this replica's term when it stepped down.
+    :param cause: why it stepped down, for the daemon's log.
     """
 
     term: int
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
@@ -1,4 +1,4 @@
-"""Checksummed records, and files that are replaced atomically."""
+"""Files with checksummed records, which detect damage, and atomic replacement of files."""
 
 from __future__ import annotations
 
@@ -14,14 +14,17 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-# Length of the payload, CRC-32 of the payload, CRC-32 of these first eight bytes.
+# Header of a record: length of the payload, CRC-32 of the payload, CRC-32 of these first eight
+# bytes.
 HEADER = struct.Struct("<III")
 _LENGTH_AND_CHECKSUM = struct.Struct("<II")
 
 
 class WriteRefused(Exception):
     """
-    The system refused an operation for a cause that can pass; everything synced before is intact.
+    The system refused a file operation for a cause that can pass, such as a full disk.
+
+    Everything that was synced before the operation is intact, so the operation can be retried.
     """
 
 
@@ -29,13 +32,13 @@
     """
     The file system has no free space for a write.
 
-    Not used for a log sync that fails with ENOSPC: such a sync may have dropped data written
-    before, and the content of the disk is unknown after it.
+    This error is not raised for a sync of the log that fails with ENOSPC: such a sync may have
+    dropped data that was written before, and the content of the disk is unknown after it.
     """
 
 
 class NoDescriptors(WriteRefused):
-    """The process or its VM has reached its limit of open files."""
+    """No file can be opened: the process or its VM has reached its limit of file descriptors."""
 
 
 _REFUSAL_BY_ERRNO = {
@@ -48,11 +51,11 @@
 @dataclass(frozen=True)
 class Damage:
     """
-    A part of a file that differs from what was written.
+    A file of the replica that is missing, or a part of one that differs from what was written.
 
-    :param path: the file, or the folder that lacks it.
+    :param path: the damaged file, or the folder in which a file is missing.
     :param offset: byte offset of the first bad record.
-    :param message: what is wrong.
+    :param message: description of the damage for the operator.
     """
 
     path: str
@@ -68,8 +71,8 @@
     """
     The valid records of a file.
 
-    :param payloads: payloads of the valid records, in order.
-    :param end: offset after the last valid record.
+    :param payloads: payloads of the records, in file order.
+    :param end: byte offset after the last valid record; a torn record may follow.
     """
 
     payloads: tuple[bytes, ...]
@@ -78,21 +81,21 @@
 
 def frame(payload: bytes) -> bytes:
     """
-    Prepend the header to a record.
+    Build a record from its payload.
 
-    :param payload: the record's bytes.
-    :return: header and payload.
+    :param payload: content of the record.
+    :return: the header, with length and checksums, followed by the payload.
     """
     return header_of(payload) + payload
 
 
 def header_of(payload: bytes) -> bytes:
     """
-    Build the header of a record.
+    Build the header of a record, with the payload's length and the checksums.
+
+    The caller can write a large payload after this header without copying it.
 
-    :param payload: the record's bytes. With a separate header, a large payload is written without a
-        copy.
-    :return: the header.
+    :param payload: content of the record.
     """
     length_and_checksum = _LENGTH_AND_CHECKSUM.pack(len(payload), zlib.crc32(payload))
     return length_and_checksum + struct.pack("<I", zlib.crc32(length_and_checksum))
@@ -115,11 +118,12 @@
     Read all records of a file to which one record at a time was appended and synced.
 
     A crash can tear only the last record, since each record is synced before the next is written. A
-    bad record before a valid one was therefore synced and is lost now. The replica may have sent
-    votes or acknowledgements that depend on it, so it must not continue without it.
+    bad record before a valid one was therefore synced and damaged later. The replica may have sent
+    votes or acknowledgements that depend on the lost record, so it must not continue without it.
 
     :param path: the file.
-    :return: the records before a torn end, or the damage.
+    :return: the valid records, without a torn record at the end of the file; the damage if a bad
+        record precedes a valid one.
     """
     data = path.read_bytes()
     payloads = []
@@ -141,8 +145,8 @@
     """
     Write all bytes; raise `DiskFull` if there is no free space, possibly after a part was written.
 
-    :param descriptor: an open file.
-    :param data: the bytes.
+    :param descriptor: file descriptor, open for writing.
+    :param data: the bytes to write.
     """
     remaining = memoryview(data)
     with as_write_refused():
@@ -153,7 +157,9 @@
 @contextmanager
 def as_write_refused() -> Iterator[None]:
     """
-    Raise `WriteRefused` in place of an `OSError` whose cause can pass: no free space or descriptor.
+    Raise `WriteRefused` in place of an `OSError` whose cause can pass.
+
+    Such causes are a lack of free space and a lack of free file descriptors.
     """
     try:
         yield
@@ -166,7 +172,7 @@
 
 def sync_folder(folder: Path) -> None:
     """
-    Sync the names that were created, renamed or removed in a folder.
+    Sync the names of files that were created, renamed or removed in a folder.
 
     Raises `WriteRefused` if the folder cannot be opened at present; a failed sync raises `OSError`.
     """
@@ -186,31 +192,33 @@
     synced in it. The names of the folder and its parent are synced even if both exist, because a
     previous process may have ended after it created them and before it synced their names.
 
-    :param path: the folder; it may exist.
+    :param path: the folder, which may exist already.
     """
     unsynced_names = {path, path.parent}
     unsynced_names.update(folder for folder in path.parents if not folder.exists())
     with as_write_refused():
         path.mkdir(parents=True, exist_ok=True)
         for parent in {folder.parent for folder in unsynced_names}:
-            # This process cannot have created anything in a folder that it may not write to.
+            # In a folder without write permission this process cannot have created names, so there
+            # is nothing to sync.
             if os.access(parent, os.W_OK):
                 sync_folder(parent)
 
 
 def replace_file(path: Path, *pieces: bytes) -> None:
     """
-    Write a file atomically; raise `WriteRefused` if it cannot be written at present.
+    Replace a file atomically; raise `WriteRefused` if it cannot be written at present.
 
-    After a crash the old or the new file exists: the new one is synced under a temporary name,
-    renamed, and then the folder is synced.
+    After a crash either the old or the new file exists: the new file is synced under a temporary
+    name and renamed, and then the folder is synced.
 
-    :param path: the file.
-    :param pieces: the new content, in order.
+    :param path: final path of the file.
+    :param pieces: parts of the new content, which are written one after another.
     """
     temporary = path.with_name(path.name + ".tmp")
-    # A full disk can also refuse to create the temporary file, or report the lack of space at its
-    # sync. The old file is intact then, and the next attempt writes the new file from its start.
+    # A full disk can also refuse to create the temporary file, or report the lack of space when the
+    # temporary file is synced. The old file is intact in both cases, and the next attempt writes
+    # the new file from its start.
     with as_write_refused():
         with temporary.open("wb", buffering=0) as file:
             for piece in pieces:
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/following.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/following.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication: entries and snapshots from the leader."""
+"""The follower's side of replication: receives log entries and snapshots from the leader."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     """
     Follow the sender as the leader of its term and restart the election timeout.
 
-    :return: False for a term older than this replica's, without any change.
+    :return: False if the sender's term is older than this replica's; nothing is changed then.
     """
     if term < state.hard_state.term:
         return False
@@ -40,7 +40,7 @@
 
 
 def on_append_request(state: CoreState, sender: ReplicaId, request: AppendRequest) -> None:
-    """Process a heartbeat and the entries in it."""
+    """Process a heartbeat of the leader: append its entries and reply."""
     previous = request.previous_index
     if not _accept_leader(state, sender, request.term):
         send(state, sender, AppendReply(state.hard_state.term, False, 0, previous, request.round))
@@ -52,8 +52,8 @@
     _append_missing(state, request)
     match_index = previous + len(request.entries)
     commit_to(state, min(request.commit_index, match_index))
-    # Acknowledge the heartbeat before the new entries are synced: if the reply waited for a slow
-    # sync, the leader's lease would expire.
+    # Acknowledge the heartbeat before its new entries are synced to disk: if the reply waited for a
+    # slow sync, the leader's lease could expire.
     synced = min(match_index, state.synced_index)
     send(state, sender, AppendReply(request.term, True, synced, previous, request.round))
     if match_index > synced:
@@ -65,7 +65,8 @@
     """
     Return the last index at or before `previous` that may match the leader's log.
 
-    A term that conflicts is skipped as a whole, so that a long conflicting tail costs few messages.
+    All entries of a conflicting term are skipped at once, so that the leader finds the end of a
+    long conflicting tail with few messages.
     """
     if previous > state.log.last_index:
         return state.log.last_index
@@ -77,7 +78,11 @@
 
 
 def _append_missing(state: CoreState, request: AppendRequest) -> None:
-    """Append the entries that this log lacks; truncate it only at an entry whose term conflicts."""
+    """
+    Append the request's entries that this log lacks.
+
+    The log is truncated only at an entry whose term conflicts with the request's entry.
+    """
     for position, entry in enumerate(request.entries):
         if entry.index <= state.log.base_index:
             continue
@@ -90,7 +95,7 @@
 
 
 def on_snapshot_chunk(state: CoreState, sender: ReplicaId, chunk: SnapshotChunk) -> None:
-    """Collect the chunks of a snapshot and install the snapshot once it is complete."""
+    """Collect the chunks of the leader's snapshot and install the snapshot once it is complete."""
     if not _accept_leader(state, sender, chunk.term):
         send(state, sender, SnapshotReply(state.hard_state.term, 0, 0, False, chunk.round))
         return
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/lease.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/lease.py
@@ -1,4 +1,10 @@
-"""Heartbeat rounds, the leader lease and reads confirmed by a quorum (read index)."""
+"""
+Heartbeat rounds, the leader lease and reads confirmed by a quorum (read index).
+
+In a heartbeat round the leader sends a numbered heartbeat to all other replicas. Once a quorum has
+acknowledged the round, the leader's lease counts from the round's start, and reads requested before
+that start are confirmed.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +20,12 @@
 
 def begin_round(state: CoreState) -> None:
     """
-    Start a heartbeat round at the current time.
+    Record the start of a new heartbeat round; the caller sends its messages.
 
     The start time is recorded before any message of the round is sent. If the lease were counted
-    from the receipt of a reply, it would outlast the time for which the followers withhold their
-    votes by the travel time of the reply: two leaders could hold a lease at once.
+    from the receipt of a reply, it would be longer by the travel time of the reply and could
+    outlast the time for which the followers withhold their votes: two leaders could hold a lease at
+    once.
     """
     state.round += 1
     state.round_sent_at[state.round] = state.now
@@ -31,7 +38,7 @@
     """
     Return the newest heartbeat round that a quorum acknowledged.
 
-    :return: number of the round; 0 if there is none.
+    :return: number of the round; 0 if no round was acknowledged.
     """
 
     def acked_round_of(voter: ReplicaId) -> int:
@@ -47,7 +54,7 @@
     """
     Return the start time of the newest heartbeat round that a quorum acknowledged.
 
-    :return: seconds on the lease clock; None before the first such round.
+    :return: seconds on the lease clock; None before a quorum has acknowledged the first round.
     """
     if is_quorum(state.log.members, {state.replica}):
         return state.now
@@ -70,15 +77,15 @@
     """
     Register a read and start the heartbeat round that has to confirm it.
 
-    :param event: the read; refused at once if this replica is not the leader.
-    :return: whether a round was started, which the caller then has to send.
+    :param event: request for the read; refused at once if this replica is not the leader.
+    :return: whether a heartbeat round was started, whose messages the caller then has to send.
     """
     if state.role != LEADER:
         state.effects.append(ReadRefused(event.read))
         return False
     begin_round(state)
-    # A new leader knows the commit index of earlier terms only once an entry of its own term is
-    # committed.
+    # A new leader does not know which entries of earlier terms are committed until an entry of its
+    # own term is committed, so the read waits for the leader's no-op entry.
     index = max(state.commit_index, state.noop_index)
     state.reads.append(PendingRead(event.read, state.round, index))
     return True
@@ -86,7 +93,8 @@
 
 def complete_reads(state: CoreState) -> None:
     """
-    Confirm the reads whose round a quorum acknowledged and whose index is committed and applied.
+    Confirm the pending reads whose heartbeat round a quorum acknowledged and whose index is
+    committed and applied.
     """
     if not state.reads:
         return
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/log.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/log.py
@@ -1,4 +1,4 @@
-"""The in-memory log of one replica, without the entries removed by log compaction."""
+"""The in-memory log of one replica, without the entries that log compaction removed."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 class Log:
     """
-    Entries after a base index, and the members that their `members` entries put in force.
+    Log entries after `base_index`, and the members that their `members` entries put in force.
 
-    `snapshot.index` may be greater than `base_index`: some entries before the snapshot are kept for
-    followers that are only slightly behind.
+    `base_index` is the index just before the first held entry. `snapshot.index` may be greater:
+    some entries before the snapshot are kept for followers that are only slightly behind.
     """
 
     def __init__(self, snapshot: SnapshotMeta, base_index: int, base_term: int) -> None:
@@ -28,11 +28,10 @@
         """
         Build a log from the state on disk.
 
-        :param snapshot: newest snapshot.
-        :param base_index: index before the first entry.
+        :param snapshot: metadata of the newest snapshot.
+        :param base_index: log index just before the first entry.
         :param base_term: term of the entry at `base_index`.
         :param entries: all entries after `base_index`, without gaps.
-        :return: the log.
         """
         log = cls(snapshot, base_index, base_term)
         log.append(entries)
@@ -48,7 +47,7 @@
 
     @property
     def members(self) -> Members:
-        """Members in force, including those of an uncommitted entry."""
+        """Members of the newest `members` entry, which are in force even if it is uncommitted."""
         return self._members[-1][1] if self._members else self.snapshot.members
 
     @property
@@ -57,10 +56,9 @@
 
     def members_at(self, index: int) -> Members:
         """
-        Return the members that were in force at an index.
+        Return the members that were in force at a log index.
 
-        :param index: an index not before the snapshot's.
-        :return: the members.
+        :param index: a log index that is not before the snapshot's.
         """
         members = self.snapshot.members
         for changed_at, changed in self._members:
@@ -73,8 +71,8 @@
         """
         Return the term of an entry.
 
-        :param index: index of the entry.
-        :return: its term; None if the log does not hold the entry.
+        :param index: log index of the entry.
+        :return: term of the entry; None if the log does not hold the entry.
         """
         if index == self.base_index:
             return self.base_term
@@ -84,13 +82,13 @@
 
     def slice(self, first: int, last: int, max_bytes: int | None = None) -> tuple[Entry, ...]:
         """
-        Return entries of the log.
+        Return consecutive entries of the log.
 
-        :param first: first index, after the base.
-        :param last: last index, included.
+        :param first: log index of the first entry, greater than `base_index`.
+        :param last: log index of the last entry, included.
         :param max_bytes: limit for the total size of the entries' data; the first entry is returned
             even if it exceeds the limit. None means no limit.
-        :return: the entries.
+        :return: the entries up to `last`, or fewer because of `max_bytes`.
         """
         start = first - self.base_index - 1
         entries = self._entries[start : last - self.base_index]
@@ -107,7 +105,7 @@
         """
         Append entries; the members of a `members` entry are in force at once.
 
-        :param entries: the next entries, without gaps.
+        :param entries: entries that follow `last_index`, without gaps.
         """
         for entry in entries:
             self._entries.append(entry)
@@ -117,9 +115,9 @@
 
     def truncate(self, first: int) -> None:
         """
-        Remove entries from the end; the members that they put in force are reverted.
+        Remove entries from the end of the log, and revert the members that they put in force.
 
-        :param first: index of the first entry to remove.
+        :param first: log index of the first entry to remove.
         """
         del self._entries[first - self.base_index - 1 :]
         while self._members and self._members[-1][0] >= first:
@@ -127,10 +125,10 @@
 
     def compact(self, snapshot: SnapshotMeta, keep_from: int) -> None:
         """
-        Record a snapshot taken by this replica and remove entries that it covers.
+        Record a snapshot taken by this replica and remove entries that the snapshot covers.
 
-        :param snapshot: a snapshot at an index that the log holds.
-        :param keep_from: index of the first entry to keep.
+        :param snapshot: metadata of a snapshot at an index that the log holds.
+        :param keep_from: log index of the first entry to keep.
         """
         base = max(min(keep_from - 1, snapshot.index), self.base_index)
         base_term = self.term_at(base)
@@ -145,7 +143,7 @@
         Entries after the snapshot are kept only if the log's entry at the snapshot's index has the
         snapshot's term.
 
-        :param snapshot: a snapshot with an index after the commit index.
+        :param snapshot: metadata of a snapshot with an index after the commit index.
         """
         matches = self.term_at(snapshot.index) == snapshot.term
         entries = self.slice(snapshot.index + 1, self.last_index) if matches else ()
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
@@ -1,4 +1,9 @@
-"""Operators' actions on replicas: identify, status, bootstrap, replace, snapshot."""
+"""
+Operators' actions on a replica.
+
+The actions are: identify its disk, show its status, bootstrap a cluster, replace a voter and take a
+snapshot.
+"""
 
 from __future__ import annotations
 
@@ -28,12 +33,12 @@
 @dataclass(frozen=True)
 class ManageResult:
     """
-    Answer to an operator.
+    Answer to an operator's action.
 
     :param ok: whether the action was carried out.
-    :param answer: JSON result of the action.
-    :param leader_hint: daemon to ask instead; empty for none.
-    :param detail: reason for a failure.
+    :param answer: result of the action, as JSON.
+    :param leader_hint: id of the daemon that can carry out the action instead; empty for none.
+    :param detail: why the action failed.
     """
 
     ok: bool
@@ -44,12 +49,12 @@
 
 async def manage(node: ConsensusNode, action: str, arguments: dict[str, Any]) -> ManageResult:
     """
-    Carry out an operator's action.
+    Carry out an operator's action on this daemon's replica.
 
-    :param node: the replica that received the request.
+    :param node: the replica that received the operator's request.
     :param action: `identify`, `status`, `bootstrap`, `replace` or `snapshot`.
-    :param arguments: arguments of `replace`.
-    :return: the answer.
+    :param arguments: arguments of `replace`, see `replace_member`; unused for the other actions.
+    :return: the answer to the operator.
     """
     if action == "identify":
         return _success(
@@ -77,9 +82,9 @@
 
 def status(node: ConsensusNode) -> dict[str, Any]:
     """
-    Describe a replica.
+    Describe a replica for operators.
 
-    :return: role, term, members and log indexes, as JSON values.
+    :return: its role, term, members and log indexes, as values that can be encoded as JSON.
     """
     state = node.core.state
     members = node.core.members
@@ -106,10 +111,10 @@
 
 async def identify(address: str) -> Identity | None:
     """
-    Ask the daemon at an address for its replica, with a limit of `IDENTIFY_TIMEOUT_S`.
+    Ask the daemon at an address which replica it runs, with a time limit of `IDENTIFY_TIMEOUT_S`.
 
-    :param address: IP:port.
-    :return: the identity; None if the daemon does not answer.
+    :param address: IP:port of the daemon.
+    :return: daemon and disk id of the replica and its cluster; None if the daemon does not answer.
     """
     channel = open_channel(address)
     stub = consensus_pb2_grpc.ConsensusStub(channel)
@@ -130,9 +135,9 @@
     """
     Bootstrap the cluster of all daemons in this daemon's configuration.
 
-    All of them must answer and be empty, so that a cluster which lost some of its disks is never
-    bootstrapped again beside the remaining state. Only the daemon with the first id may bootstrap,
-    so that two operators cannot create two clusters.
+    All these daemons must answer and have empty disks, so that a cluster which lost some of its
+    disks is never bootstrapped again beside the remaining state. Only the daemon whose id sorts
+    first may bootstrap, so that two operators cannot create two clusters.
     """
     config = node.replica_config
     bootstrap_daemon = min(config.founders)
@@ -172,7 +177,8 @@
     Replace a voter, and wait until the change is committed or `REPLACE_TIMEOUT_S` has passed.
 
     :param arguments: `daemon`: the daemon whose current voter is removed; `new`: the daemon whose
-        current disk becomes a voter. Without `new` the same daemon is used, after it lost its disk.
+        current disk becomes a voter. Without `new`, the present disk of `daemon` replaces the disk
+        that `daemon` lost.
     """
     if not node.is_leader:
         return ManageResult(
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/membership.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/membership.py
@@ -1,4 +1,9 @@
-"""Membership changes by joint consensus, one at a time."""
+"""
+Changes of the cluster's members by joint consensus, one change at a time.
+
+A new replica first receives the log as a learner; then, until the change is committed, decisions
+need majorities of both the old and the new voters (joint consensus).
+"""
 
 from __future__ import annotations
 
@@ -28,7 +33,7 @@
 
 def on_bootstrap(state: CoreState, event: Bootstrap) -> None:
     """
-    Bootstrap a cluster: the first log entry holds its members, under term 1.
+    Bootstrap a cluster: write its members as this replica's first log entry, under term 1.
 
     No-op on a replica that already holds state.
     """
@@ -40,12 +45,12 @@
 
 def on_replica_seen(state: CoreState, event: ReplicaSeen) -> None:
     """
-    Record a replica whose daemon is known but whose disk is not a member.
+    Record a replica that is not a member, so that it can replace its daemon's previous disk.
 
     A disk of another cluster is ignored, because its log holds other commands at the same indexes.
-    A disk of this cluster is recorded even if it holds a part of the log: if the entry that made a
-    replica a learner is overwritten by the next leader, the replica would otherwise stay excluded
-    until an operator empties its disk again.
+    A disk of this cluster is recorded even if it holds a part of the log: the next leader may have
+    overwritten the entry that made the replica a learner. If only empty disks were recorded, such a
+    replica would stay excluded until an operator empties its disk again.
     """
     if event.replica in all_replicas(state.log.members):
         state.non_member_by_daemon.pop(event.replica.daemon, None)
@@ -58,9 +63,9 @@
     """
     Return whether a membership change may start now.
 
-    The previous change and an entry of this leader's term must be committed: if two leaders each
-    changed the members on top of different uncommitted changes, each could find a majority of its
-    own.
+    The previous membership change and an entry of this leader's term must be committed: if two
+    leaders each changed the members on top of different uncommitted changes, each could find a
+    majority of its own.
     """
     return (
         state.role == LEADER
@@ -70,7 +75,7 @@
 
 
 def on_tick(state: CoreState) -> None:
-    """Advance the membership change in progress by one step, or start a pending one."""
+    """Advance the membership change in progress by one step, or start to replace a lost disk."""
     if not may_change(state):
         return
     members = state.log.members
@@ -92,9 +97,9 @@
 
 def on_replace(state: CoreState, event: Replace) -> bool:
     """
-    Start a replacement of a voter, or the addition of one.
+    Start the replacement of a voter, or the addition of a voter if `event.old` is None.
 
-    :return: whether the replacement was started.
+    :return: whether the replacement or addition was started.
     """
     members = state.log.members
     if not may_change(state) or event.new in all_replicas(members):
@@ -110,7 +115,7 @@
     Return whether a learner has synced all committed entries and replied recently.
 
     If a learner were promoted earlier, it would count towards majorities without holding all
-    accepted writes: the loss of a second VM right after the repair could lose such a write.
+    accepted writes: the loss of a second VM right after the repair could lose an accepted write.
     """
     progress = state.progress_by_replica.get(replica)
     if progress is None or progress.match_index < state.commit_index:
@@ -119,7 +124,7 @@
 
 
 def with_learner(members: Members, learner: Learner) -> Members:
-    """Add a learner; it replaces any other learner of the same daemon."""
+    """Return members with an added learner, which replaces any learner of the same daemon."""
     kept = tuple(
         other for other in members.learners if other.replica.daemon != learner.replica.daemon
     )
@@ -128,13 +133,14 @@
 
 def promote(members: Members, learner: Learner) -> Members:
     """
-    Turn a learner into a voter that replaces `learner.replaces`.
+    Return members in which a learner has become a voter that replaces `learner.replaces`.
 
     Until this change is committed, decisions need majorities of both the old and the new voters
-    (joint consensus). If the new voter were added first and the old one removed later, a lost disk
-    and its replacement would both count: with three VMs, one disk lost twice in a row would leave
-    two of four voters, permanently without a quorum. If they were exchanged in one step, two
-    majorities without a common member could decide when the lost disk reappears.
+    (joint consensus). If the new voter were added first and the old voter removed later, a lost
+    disk and its replacement would both count as voters: with three VMs, one disk lost twice in a
+    row would leave two of four voters, permanently without a quorum. If the voters were exchanged
+    in one step without joint consensus, two majorities without a common member could decide when
+    the lost disk reappears.
     """
     kept = tuple(other for other in members.learners if other != learner)
     remaining_voters = tuple(voter for voter in members.voters if voter != learner.replaces)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/messages.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the replicas of the replicated log, and the log entries that they carry."""
+"""Messages between the replicas of a replicated log, and the log entries in these messages."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     A replica: a daemon together with its disk.
 
     :param daemon: id of the daemon.
-    :param disk_id: random id created at the first use of an empty folder; a wiped disk gets
-        another.
+    :param disk_id: random id created at the first use of the replica's empty folder; after a disk
+        was wiped, the folder gets another id.
     """
 
     daemon: str
@@ -28,10 +28,10 @@
 @dataclass(frozen=True)
 class Entry:
     """
-    One entry of the log.
+    One entry of the replicated log.
 
     :param index: log index, starting at 1.
-    :param term: term of the leader that appended it.
+    :param term: term of the leader that appended the entry.
     :param kind: `noop`, `command` or `members`.
     :param data: command for the state machine, or the encoded `Members`; empty for `noop`.
     """
@@ -47,8 +47,9 @@
     """
     A replica that receives the log and is not counted in a quorum.
 
-    :param replica: the learner.
-    :param replaces: the voter that is removed when the learner is promoted; None only adds a voter.
+    :param replica: daemon and disk id of the learner.
+    :param replaces: the voter that is removed when the learner becomes a voter; None to remove no
+        voter.
     """
 
     replica: ReplicaId
@@ -58,12 +59,12 @@
 @dataclass(frozen=True)
 class Members:
     """
-    The replicas of the cluster, in force as soon as their entry is appended to the log.
+    The replicas of a cluster; in force as soon as the log entry with them is appended.
 
     :param voters: replicas that are counted in every quorum.
     :param learners: replicas that receive the log before they become voters.
-    :param outgoing: the previous voters during a change (joint consensus): a quorum then needs a
-        majority of these and a majority of `voters`.
+    :param outgoing: during a membership change (joint consensus), the voters before the change: a
+        quorum then needs a majority of these and a majority of `voters`.
     :param cluster: random id created when the cluster was bootstrapped.
     """
 
@@ -76,10 +77,10 @@
 @dataclass(frozen=True)
 class HardState:
     """
-    Durable state besides the log: term and vote.
+    A replica's durable state besides the log: term and vote.
 
     :param term: newest term in which the replica took part.
-    :param voted_for: the candidate for which it voted in that term.
+    :param voted_for: the candidate for which the replica voted in that term; None for no vote.
     """
 
     term: int = 0
@@ -89,13 +90,13 @@
 @dataclass(frozen=True)
 class SnapshotMeta:
     """
-    Metadata of a snapshot.
+    Metadata of a snapshot of the state machine.
 
     :param index: index of the last log entry that the snapshot includes.
-    :param term: term of that entry.
-    :param members: members in force at that index.
+    :param term: term of the entry at `index`.
+    :param members: members in force at `index`.
     :param size: size of the state machine's data in bytes.
-    :param checksum: CRC-32 of these bytes.
+    :param checksum: CRC-32 of the state machine's data.
     """
 
     index: int = 0
@@ -108,13 +109,14 @@
 @dataclass(frozen=True)
 class VoteRequest:
     """
-    A candidate requests a vote.
+    A candidate requests a vote or a pre-vote.
 
-    :param term: the candidate's term; for a pre-vote the term that it would start.
+    :param term: the candidate's term; for a pre-vote, the term that the candidate would start.
     :param last_index: index of the last entry in the candidate's log.
-    :param last_term: term of that entry.
-    :param pre: pre-vote: asks whether a vote would be granted; the receiver persists nothing.
-    :param transfer: the previous leader resigned its lease in favour of this candidate.
+    :param last_term: term of the last entry in the candidate's log.
+    :param pre: whether this is a pre-vote, which asks whether the receiver would grant a vote; the
+        receiver persists nothing.
+    :param transfer: whether the previous leader resigned its lease in favour of this candidate.
     """
 
     term: int
@@ -130,7 +132,8 @@
     Reply to a `VoteRequest`.
 
     :param term: the voter's own term.
-    :param request_term: term of the request.
+    :param request_term: `term` of the `VoteRequest`.
+    :param pre: whether this is the reply to a pre-vote.
     """
 
     term: int
@@ -142,11 +145,12 @@
 @dataclass(frozen=True)
 class AppendRequest:
     """
-    The leader's heartbeat, with the entries that the follower lacks.
+    The leader's heartbeat, with the log entries that the follower lacks.
 
-    :param previous_index: index before the first entry.
+    :param previous_index: log index just before the first of `entries`.
     :param previous_term: term of the entry at `previous_index`.
-    :param round: heartbeat round; replies from a quorum prove leadership at the start of the round.
+    :param round: number of the heartbeat round; replies from a quorum prove that the sender was
+        still the leader at the start of the round.
     """
 
     term: int
@@ -162,10 +166,11 @@
     """
     Reply to an `AppendRequest`.
 
-    :param match_index: on success, the log is synced and equal to the leader's up to this index; on
-        failure, the last index that may match.
+    :param success: whether the follower's log matches the leader's at `previous_index`.
+    :param match_index: on success, the follower's log is synced and equal to the leader's up to
+        this index; on failure, the last index at which the two logs may match.
     :param previous_index: copied from the request, to distinguish a delayed failure from a new one.
-    :param round: copied from the request.
+    :param round: number of the heartbeat round, copied from the request.
     """
 
     term: int
@@ -180,7 +185,9 @@
     """
     A part of a snapshot, for a follower that lacks entries which the leader's log no longer holds.
 
+    :param meta: metadata of the snapshot.
     :param offset: position of `data` in the snapshot, in bytes.
+    :param round: number of the leader's current heartbeat round.
     """
 
     term: int
@@ -195,9 +202,11 @@
     """
     Reply to a `SnapshotChunk`.
 
-    :param index: index of the snapshot.
-    :param offset: bytes received so far.
+    :param index: log index of the snapshot, or the follower's commit index if that is already at
+        or past the snapshot.
+    :param offset: number of bytes of the snapshot that the follower received so far.
     :param installed: whether the complete snapshot is synced and installed.
+    :param round: number of the heartbeat round, copied from the chunk.
     """
 
     term: int
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
@@ -1,4 +1,4 @@
-"""The service `consensus`: connects the core to clock, disk, network and state machine."""
+"""The service `consensus`: connects the consensus core to clock, disk, network, state machine."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ConsensusNode:
-    """One replica as a service of the daemon."""
+    """Runs one replica of a replicated log as a service of the daemon."""
 
     name = "consensus"
 
@@ -53,15 +53,15 @@
     @classmethod
     def from_config(cls, settings: Settings) -> ConsensusNode:
         """
-        Build the service.
+        Build a control daemon's replica from the daemon's settings.
 
         :param settings: checked settings of a daemon with the control role.
-        :return: the service; it opens its files in `start`.
+        :return: the service; `start` opens the replica's files.
         """
         return cls(ReplicaConfig.from_config(settings))
 
     async def start(self, kernel: Kernel) -> None:
-        """Open the disk, restore the state machine and start the core's ticks."""
+        """Open the replica's files, restore the state machine and start the core's ticks."""
         config = self.replica_config
         self._state = kernel.find(config.state)
         self._counters = kernel.find("counters")
@@ -90,7 +90,9 @@
 
     async def _open_storage(self, stopping: asyncio.Event) -> Storage | Damage:
         """
-        Open the disk, and retry while it is full; raise `SystemExit` if the daemon stops meanwhile.
+        Open the replica's files, and retry while the disk is full or no file descriptor is free.
+
+        Raises `SystemExit` if the daemon is asked to stop during the wait.
         """
         folder = self.replica_config.folder
         opening = asyncio.create_task(
@@ -111,7 +113,7 @@
             self._state.restore(storage.read_snapshot(snapshot.index))
 
     async def stop(self) -> None:
-        """Resign leadership, refuse pending proposals and reads, and close the disk."""
+        """Resign leadership, refuse pending proposals and reads, and close the replica's files."""
         self._tick_subscription.cancel()
         self.dispatch(events.Resign())
         self.pending_results.stop()
@@ -134,12 +136,12 @@
 
     @property
     def fencing(self) -> int:
-        """Fencing number: the leader's term, which is higher for each new leader."""
+        """Fencing number: the leader's term, which is higher for each new leader than before."""
         return self.core.term
 
     @property
     def leader_hint(self) -> str:
-        """Daemon id of the last known leader; empty if none is known."""
+        """Daemon id of the leader as far as this replica knows; empty if none is known."""
         leader = self.core.state.leader
         return leader.daemon if leader is not None else ""
 
@@ -147,7 +149,7 @@
         """
         Return for how long no other replica can hold the leader lease.
 
-        :return: remaining lease in seconds; 0.0 without a lease.
+        :return: remaining duration of this replica's lease in seconds; 0.0 without a lease.
         """
         if not self.is_leader:
             return 0.0
@@ -155,11 +157,12 @@
 
     async def propose(self, data: bytes) -> Committed | Refusal:
         """
-        Commit a command and apply it.
+        Append a command to the log, and wait until it is committed and applied.
 
-        :param data: the command for the state machine.
-        :return: its log index and result; NO_LEADER with `not_run` if it was not appended to any
-            log; MAY_HAVE_RUN if the leader changed before it was committed.
+        :param data: the encoded command for the state machine.
+        :return: the command's log index and result; a refusal with NO_LEADER and `not_run` if the
+            command was not appended to any log; with MAY_HAVE_RUN if the leader changed before the
+            command was committed.
         """
         number, future = self.pending_results.add_proposal()
         self._queued_commands.append((number, data))
@@ -180,7 +183,7 @@
 
     def set_group_commit(self, on: bool) -> None:
         """
-        Enable or disable group commit.
+        Enable or disable group commit: one disk sync for all commands that are queued.
 
         :param on: False syncs each command separately, for measurements.
         """
@@ -191,8 +194,8 @@
         """
         Confirm with a quorum that this replica was still the leader after the call began.
 
-        :return: an applied index; reads of the state at this or a later index are current.
-            NO_LEADER if not confirmed.
+        :return: an applied log index: a read of the state at this or a later index is current. A
+            refusal with NO_LEADER if the leadership was not confirmed.
         """
         future = asyncio.get_running_loop().create_future()
         self._queued_reads.append(future)
@@ -210,9 +213,9 @@
 
     def dispatch(self, event: events.Event) -> None:
         """
-        Pass an event to the core and carry out the effects.
+        Pass an event to the core and carry out the effects that the core returns.
 
-        :param event: an event that occurred now.
+        :param event: the event; its time is the present.
         """
         if self.failed:
             self.pending_results.stop()
@@ -222,8 +225,9 @@
                 self._run_effect(effect)
             self._update_leadership()
         except Exception as error:
-            # Some effects may not have been carried out: entries not written, or applied in part.
-            # The core already counts on them, so only a restart from the synced state is safe.
+            # Some effects may not have been carried out: entries not written, or only a part of the
+            # entries applied. The core's state already assumes that all effects were carried out,
+            # so only a restart from the synced state is safe.
             eliot.log_message("consensus:failed", event=type(event).__name__, error=repr(error))
             self._fail()
 
@@ -273,9 +277,10 @@
 
     def take_snapshot(self) -> bool:
         """
-        Start storing a snapshot of the state machine.
+        Take a snapshot of the state machine and queue it for writing.
 
-        :return: False if a snapshot is in progress or no entry was applied since the last one.
+        :return: False if a snapshot is being written or no entry was applied since the last
+            snapshot.
         """
         index = self.applied_index
         if self._snapshot_in_progress or index <= self.core.snapshot.index:
@@ -301,7 +306,7 @@
         self.dispatch(events.Persisted(sequence))
 
     def _fail(self) -> None:
-        """Stop taking part and end the daemon with SIGTERM."""
+        """Stop taking part in consensus and end the daemon with SIGTERM."""
         self.failed = True
         self.pending_results.stop()
         os.kill(os.getpid(), signal.SIGTERM)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/own_member.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/own_member.py
@@ -1,4 +1,4 @@
-"""The description of a daemon's disk that is sent to the directory."""
+"""What a daemon reports about itself and its disk to the directory of all daemons."""
 
 from __future__ import annotations
 
@@ -13,11 +13,10 @@
 
 def own_member(settings: VmSettings, consensus: ConsensusNode) -> Member:
     """
-    Describe this daemon's disk to the directory.
+    Build the record with which this daemon reports its disk to the directory.
 
-    :param settings: address and data centre of the daemon.
-    :param consensus: the daemon's replica.
-    :return: the member.
+    :param settings: contain the daemon's address and data centre.
+    :param consensus: the daemon's replica, whose disk is reported.
     """
     return Member(
         settings.peer_address,
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/peer.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/peer.py
@@ -1,4 +1,4 @@
-"""The connection to one other daemon: a task that sends the messages in its outbox."""
+"""The connection to one other daemon, with a task that sends the messages queued for it."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 MAX_BATCH_BYTES = 4 * 1024 * 1024
-# If a peer does not answer, its oldest messages are dropped first; the core resends those that are
-# still needed.
+# Number of messages queued for one peer. If the peer does not answer, the oldest queued messages
+# are dropped first; the core resends those that are still needed.
 MAX_OUTBOX_MESSAGES = 512
-# On a healthy path, two lost packets are retransmitted within this time; a dead connection is
-# closed after it.
+# Milliseconds without an acknowledgement of a keepalive ping or of sent data after which a
+# connection is closed as dead. On a healthy path, two lost packets are retransmitted within this
+# time.
 TCP_USER_TIMEOUT_MS = 1000
 CHANNEL_OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -32,12 +33,13 @@
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", TCP_USER_TIMEOUT_MS),
     ("grpc.keepalive_permit_without_calls", 1),
-    # The library's default backoff grows to two minutes, much longer than most network partitions.
+    # The library's default backoff between connection attempts grows to two minutes, much longer
+    # than most network partitions.
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 500),
     ("grpc.max_reconnect_backoff_ms", 1000),
-    # Without a pool of its own, a new channel would reuse the connection of the old one, which no
-    # longer responds.
+    # Without its own connection pool, a new channel would reuse the connection of the old channel,
+    # which no longer responds.
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.enable_http_proxy", 0),
 )
@@ -49,10 +51,11 @@
 @dataclass(frozen=True)
 class Identity:
     """
-    The replica that answered a call.
+    The replica that answered a call, as it identifies itself in its answer.
 
-    :param empty: whether its disk has never taken part in a cluster.
-    :param cluster: the cluster that the disk belongs to; empty for none.
+    :param replica: daemon and disk id of the replica.
+    :param empty: whether the replica's disk has never taken part in a cluster.
+    :param cluster: id of the cluster that the disk belongs to; empty for none.
     """
 
     replica: ReplicaId
@@ -62,16 +65,15 @@
 
 def open_channel(address: str) -> grpc.aio.Channel:
     """
-    Open a channel that shares its connection with no other channel.
+    Open a gRPC channel that shares its connection with no other channel.
 
-    :param address: IP:port.
-    :return: the channel.
+    :param address: IP:port of the other daemon.
     """
     return grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
 
 
 class Peer:
-    """Outbox of one other daemon and the connection to it."""
+    """Queue of the messages to one other daemon (the outbox), and the connection to this daemon."""
 
     def __init__(
         self,
@@ -97,11 +99,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the task that sends the outbox."""
+        """Start the task that sends the messages in the outbox."""
         self._task = asyncio.create_task(self._run(), name=f"consensus:peer:{self.daemon}")
 
     async def stop(self) -> None:
-        """Send the outbox within the deadline, then end the task and close the channel."""
+        """Send the queued messages within the call deadline, end the task and close the channel."""
         if self._task is not None:
             self._stopping = True
             self._wake.set()
@@ -112,7 +114,7 @@
             await self._channel.close()
 
     def send(self, target: ReplicaId, message: Message) -> None:
-        """Queue a message; it may be lost."""
+        """Queue a message to the daemon; it is sent at most once, so it may be lost."""
         self._outbox.append((target, message))
         self._wake.set()
 
@@ -142,10 +144,10 @@
 
     async def _discard_channel(self) -> None:
         """
-        Close the channel after a failed call, and pause before the next attempt.
+        Close the channel after a failed call, and wait `RETRY_PAUSE_S` before the next call.
 
-        A connection whose other end lost its state accepts bytes forever and returns nothing, while
-        a new connection works.
+        The next call opens a new channel: a connection whose other end lost its state can accept
+        bytes forever and return nothing, while a new connection works.
         """
         await self._channel.close()
         self._channel = None
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/peers.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/peers.py
@@ -1,4 +1,4 @@
-"""The connections to the other daemons of the cluster."""
+"""The connections of one replica to the daemons of the other replicas."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Peers:
-    """One `Peer` for each daemon to which a message was sent."""
+    """Holds one `Peer` (outbox and connection) for each daemon to which a message was sent."""
 
     def __init__(self, address_of: AddressOf, make_peer: Callable[[str, str], Peer]) -> None:
         self._address_of = address_of
@@ -33,17 +33,17 @@
         counters: Counters,
     ) -> Peers:
         """
-        Build the peers.
+        Build an empty set of peers; a daemon's peer starts with the first message to the daemon.
 
-        :param config: configuration with the addresses as seen from this VM.
-        :param own: this replica.
-        :param read_chunk: reads a part of a snapshot when its chunk is sent.
+        :param config: contains the addresses of the daemons as seen from this VM, and the election
+            timeout.
+        :param own: this replica, the sender of the messages.
+        :param read_chunk: reads a part of a stored snapshot when its chunk is sent.
         :param on_identity: called with the identity of the replica that answered a call.
-        :param counters: counts sent bytes and failed calls.
-        :return: the peers; each starts with the first message to it.
+        :param counters: receive the number of sent bytes and of failed calls.
         """
-        # Half of the election timeout, so that a connection that does not respond is replaced
-        # before a follower starts an election.
+        # Time limit of each call: half of the election timeout, so that a connection that does not
+        # respond is replaced before a follower starts an election.
         deadline_s = config.core.election_timeout_s / 2
 
         def make_peer(daemon: str, address: str) -> Peer:
@@ -52,12 +52,12 @@
         return cls(config.address_of, make_peer)
 
     async def stop(self) -> None:
-        """Send all outboxes and end the tasks."""
+        """Stop each peer after it has sent its queued messages or its call deadline has passed."""
         for peer in self._peer_by_daemon.values():
             await peer.stop()
 
     def send(self, target: ReplicaId, message: Message) -> None:
-        """Queue a message; a message to a daemon without a known address is dropped."""
+        """Queue a message to a replica; it is dropped if its daemon's address is not known."""
         peer = self._peer_by_daemon.get(target.daemon)
         if peer is None:
             address = self._address_of(target.daemon)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/proposals.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals and reads that wait for their result."""
+"""Proposed commands and confirmed reads whose callers wait for a result."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 @dataclass(frozen=True)
 class Committed:
     """
-    A command was committed and applied.
+    Result of a proposed command that was committed and applied.
 
-    :param index: its log index.
-    :param result: the state machine's result.
+    :param index: log index of the command.
+    :param result: bytes that the state machine returned for the command.
     """
 
     index: int
@@ -22,7 +22,7 @@
 
 
 class PendingResults:
-    """Futures of pending proposals and reads, by number or by log position."""
+    """Futures of pending proposals and reads, by number or by log position (index and term)."""
 
     def __init__(self, retry_after_s: float) -> None:
         self._retry_after_s = retry_after_s
@@ -33,9 +33,9 @@
 
     def add_proposal(self) -> tuple[int, asyncio.Future[Committed | Refusal]]:
         """
-        Register a proposal.
+        Register a proposed command that is about to be passed to the core.
 
-        :return: its number and its future.
+        :return: the number for the `Propose` event, and the future of the result.
         """
         self._last_number += 1
         future = asyncio.get_running_loop().create_future()
@@ -44,9 +44,9 @@
 
     def add_read(self) -> tuple[int, asyncio.Future[int | Refusal]]:
         """
-        Register a confirmed read.
+        Register a read that the core has to confirm.
 
-        :return: its number and its future.
+        :return: the number for the `ConfirmRead` event, and the future of the confirmed index.
         """
         self._last_number += 1
         future = asyncio.get_running_loop().create_future()
@@ -71,8 +71,8 @@
         """
         Refuse all proposals that were appended to the log and are not committed.
 
-        The next leader may commit or overwrite them, and this replica does not learn in time which
-        of both happens.
+        The next leader may commit or overwrite these proposals, and this replica does not learn in
+        time which of both happens.
         """
         refusal = Refusal(
             Reason.MAY_HAVE_RUN,
@@ -85,7 +85,7 @@
         self._proposal_by_position.clear()
 
     def read_confirmed(self, number: int, index: int) -> None:
-        """Complete a read: the state up to `index` was current."""
+        """Complete a read: the state machine's state at log index `index` or later is current."""
         _set_result(self._read_by_number.pop(number), index)
 
     def read_refused(self, number: int) -> None:
@@ -94,9 +94,9 @@
 
     def no_leader(self) -> Refusal:
         """
-        Build the refusal for a replica that is not the leader.
+        Build the refusal with which a replica that is not the leader answers.
 
-        :return: the refusal; it says that the command was not appended to any log.
+        :return: the refusal; its `not_run` says that the command was not appended to any log.
         """
         return Refusal(
             Reason.NO_LEADER,
@@ -106,7 +106,7 @@
         )
 
     def stop(self) -> None:
-        """Refuse all pending proposals and reads."""
+        """Refuse all pending proposals and reads, because the daemon stops or failed."""
         self.stepped_down()
         for future in (*self._proposal_by_number.values(), *self._read_by_number.values()):
             _set_result(future, self.no_leader())
@@ -115,7 +115,7 @@
 
 
 def copy_result(done: asyncio.Future, futures: tuple[asyncio.Future, ...]) -> None:
-    """Copy the result of a finished future to other futures."""
+    """Copy the result of a finished future to the futures of all callers that wait for it."""
     for future in futures:
         _set_result(future, done.result())
 
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/quorum.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/quorum.py
@@ -1,5 +1,8 @@
 """
-Quorums: majorities of the voters; under joint consensus, majorities of both old and new voters.
+Quorums: majorities of the voters.
+
+During a membership change (joint consensus), a quorum needs majorities of both the old and the new
+voters.
 """
 
 from __future__ import annotations
@@ -14,10 +17,10 @@
 
 def voter_groups(members: Members) -> tuple[tuple[ReplicaId, ...], ...]:
     """
-    List the groups of voters of which each must give a majority.
+    List the groups of voters; a quorum needs a majority of each group.
 
     :param members: members in force.
-    :return: the voters and, under joint consensus, the outgoing voters as a second group.
+    :return: the voters and, during a membership change, the outgoing voters as a second group.
     """
     if members.outgoing:
         return (members.voters, members.outgoing)
@@ -40,8 +43,8 @@
     Return whether a set of replicas is a quorum.
 
     :param members: members in force.
-    :param replicas: the replicas that agreed.
-    :return: whether they include a majority of each group of voters.
+    :param replicas: the replicas that agreed, for example by a vote.
+    :return: whether the replicas include a majority of each group of voters.
     """
     return all(
         sum(voter in replicas for voter in group) > len(group) // 2
@@ -51,11 +54,11 @@
 
 def quorum_value(members: Members, value_of: Callable[[ReplicaId], int]) -> int:
     """
-    Return the highest value that a quorum has reached.
+    Return the highest number that a quorum of voters has reached or passed.
 
     :param members: members in force.
     :param value_of: returns a non-decreasing number of a voter, such as its match index.
-    :return: the value; 0 without voters.
+    :return: the number; 0 without voters.
     """
     if not members.voters:
         return 0
@@ -71,7 +74,7 @@
     List all replicas that receive the log.
 
     :param members: members in force.
-    :return: voters, outgoing voters and learners, each once.
+    :return: voters, outgoing voters and learners; each replica once.
     """
     learners = tuple(learner.replica for learner in members.learners)
     return tuple(dict.fromkeys(members.voters + members.outgoing + learners))
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
@@ -1,9 +1,9 @@
 """
-Replaces permanently lost voters without an operator.
+Replaces permanently lost voters of a replicated log without an operator.
 
-A lost VM is replaced by an empty one at another address. While the lost VM remains a voter, the
-loss of one more VM can stop the log. A voter is removed only if a replacement is available, never
-for silence alone, so that a partition cannot shrink the majority.
+A lost VM is replaced by an empty VM at another address. While the lost VM remains a voter, the
+loss of one more VM can stop the log. A voter is removed only if another replica is available to
+replace it, never for silence alone, so that a partition cannot shrink the majority.
 """
 
 from __future__ import annotations
@@ -22,8 +22,9 @@
     from ibisspring_consensus.messages import ReplicaId
     from ibisspring_consensus.state import CoreState
 
-# Longer than the silence of a VM that is killed and restarted, or frozen for a moment: copying the
-# log to another VM costs more than waiting for such a VM.
+# Seconds without a reply from a voter after which an available replica replaces the voter. Longer
+# than the silence of a VM that is killed and restarted, or frozen for a moment: copying the log to
+# another VM costs more than waiting for such a VM.
 REPLACE_AFTER_SILENCE_S = 3.0
 
 
@@ -32,8 +33,8 @@
     """
     A replica that responds, and is a member or can become one.
 
-    :param replica: daemon and disk.
-    :param data_centre: data centre of its VM.
+    :param replica: daemon and disk id of the replica.
+    :param data_centre: data centre of the replica's VM.
     """
 
     replica: ReplicaId
@@ -47,16 +48,17 @@
     wanted_voters: int,
 ) -> Replace | None:
     """
-    Return the next change of the members.
+    Return the next change of the log's members that restores the wanted number of live voters.
 
-    :param state: the leader's core.
+    :param state: state of the leader's consensus core.
     :param candidates: replicas that respond, including members, in order of preference.
     :param leaving: daemons that an operator is removing.
     :param wanted_voters: number of voters needed to tolerate the required number of losses.
     :return: the change to start; None if no change is needed or possible.
     """
     members = state.log.members
-    # One change at a time: a learner is caught up and promoted before the next change starts.
+    # One membership change at a time: a learner must have caught up with the log and become a voter
+    # before the next change starts.
     if not may_change(state) or members.learners or members.outgoing:
         return None
     member_daemons = {replica.daemon for replica in all_replicas(members)}
@@ -85,14 +87,14 @@
     non_members: Sequence[Candidate], voters: Sequence[ReplicaId], candidates: Sequence[Candidate]
 ) -> ReplicaId:
     """
-    Choose the candidate whose data centre holds the fewest voters.
+    Choose the new voter from the data centre that holds the fewest voters.
 
-    If candidates were taken in their order alone, successive replacements could place a majority in
-    one data centre, and the loss of that data centre would stop the log.
+    If candidates were taken in their order alone, successive replacements could place a majority of
+    the voters in one data centre, and the loss of that data centre would stop the log.
 
     :param non_members: replicas that may be added.
-    :param voters: the remaining voters.
-    :param candidates: all replicas that respond, for the voters' data centres.
+    :param voters: the voters that remain after the change.
+    :param candidates: all replicas that respond; used to look up the voters' data centres.
     """
     data_centre_by_daemon = {
         candidate.replica.daemon: candidate.data_centre for candidate in candidates
@@ -107,7 +109,7 @@
     """
     Return the time since a replica last replied to this leader.
 
-    :return: seconds; at most the time since this leader's election.
+    :return: time in seconds; at most the time since this leader's election.
     """
     if replica == state.replica:
         return 0.0
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/replication.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication: sending entries and snapshots, and committing entries."""
+"""The leader's side of replication: sends log entries and snapshots, and commits entries."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 def broadcast(state: CoreState) -> None:
     """
-    Send a heartbeat of the current round to all other replicas, with the entries that they lack.
+    Send a heartbeat of the current round to all other replicas, each with the entries it lacks.
     """
     for other in other_replicas(state.log.members, state.replica):
         send_next(state, other, progress_of(state, other), heartbeat=True)
@@ -58,9 +58,9 @@
 
 def progress_of(state: CoreState, other: ReplicaId) -> Progress:
     """
-    Return the progress of another replica.
+    Return the leader's record of another replica's log; create the record if there is none.
 
-    A replica without progress is first probed at the end of the log.
+    A replica without a record is first probed at the end of the leader's log.
     """
     progress = state.progress_by_replica.get(other)
     if progress is None:
@@ -73,9 +73,9 @@
     state: CoreState, other: ReplicaId, progress: Progress, heartbeat: bool = False
 ) -> None:
     """
-    Send the entries or the snapshot that a replica lacks.
+    Send the entries that a replica lacks, or the snapshot if the log no longer holds them.
 
-    :param heartbeat: send an empty append request if nothing else was sent.
+    :param heartbeat: whether to send an empty append request if there is nothing to send.
     """
     if progress.next_index <= state.log.base_index:
         _send_snapshot(state, other, progress, heartbeat)
@@ -89,8 +89,9 @@
         next_index += len(entries)
         progress.in_flight += 1
         sent = True
-    # The reply to a failed probe says at which index to continue, so nothing is sent beyond the
-    # probe before its reply.
+    # While the replica's match index is not known, one message is sent as a probe. The reply to a
+    # failed probe says at which index to continue, so `next_index` is not advanced before that
+    # reply.
     if not progress.probing:
         progress.next_index = next_index
     if heartbeat and not sent:
@@ -121,8 +122,8 @@
     elif heartbeat and chunk_timed_out:
         _send_chunk(state, other, progress)
     elif heartbeat:
-        # This heartbeat keeps the follower from starting an election while a chunk is in transit.
-        # The follower's reply may report a log mismatch, which is ignored.
+        # This heartbeat keeps the follower from starting an election while a snapshot chunk is in
+        # transit. The follower's reply may report a log mismatch, which is ignored.
         _send_append(state, other, state.log.base_index, ())
 
 
@@ -135,7 +136,7 @@
 
 
 def on_propose(state: CoreState, event: Propose) -> None:
-    """Append proposed commands to the log and send them; refuse them if not the leader."""
+    """Append proposed commands to the log and send them; only the leader accepts commands."""
     if state.role != LEADER:
         state.effects.extend(ProposalRefused(number) for number, _ in event.commands)
         return
@@ -174,9 +175,9 @@
 
 def _probe_earlier(progress: Progress, reply: AppendReply) -> None:
     """
-    Continue probing at an earlier index.
+    Continue probing for the follower's match index at an earlier index.
 
-    A failure of a message sent before the current probe is ignored.
+    A failure reply to a message that was sent before the current probe is ignored.
     """
     if progress.probing and reply.previous_index != progress.next_index - 1:
         return
@@ -191,15 +192,15 @@
     """
     Record the reply's time and heartbeat round; step down if its term is newer.
 
-    :return: progress of the sender; None if the reply is of another term, this replica is not the
-        leader or the sender is not a known replica.
+    :return: the leader's record of the sender's log; None if the reply is of another term, this
+        replica is not the leader or the sender is not a known replica.
     """
     if reply.term > state.hard_state.term:
         become_follower(state, reply.term, None, "a newer term")
         return None
     if state.role != LEADER or reply.term != state.hard_state.term:
         return None
-    # The key includes the disk id, so replies from a wiped disk under a known daemon id are
+    # The sender's key includes its disk id, so replies from a known daemon whose disk was wiped are
     # ignored.
     progress = state.progress_by_replica.get(sender)
     if progress is None:
@@ -221,7 +222,7 @@
 
 
 def on_snapshot_reply(state: CoreState, sender: ReplicaId, reply: SnapshotReply) -> None:
-    """Send the next chunk, or continue with entries once the snapshot is installed."""
+    """Send the next chunk of the snapshot, or log entries once the snapshot is installed."""
     progress = _record_reply(state, sender, reply)
     if progress is None:
         return
@@ -244,11 +245,11 @@
 
 def commit(state: CoreState) -> None:
     """
-    Commit the entries that a quorum has synced.
+    Commit the entries that a quorum has synced; no-op unless this replica is the leader.
 
     Only entries of the leader's own term are committed by counting replicas. An entry of an earlier
-    term on a majority can still be overwritten by a leader of a term in between, so it is committed
-    together with a later entry of this term.
+    term that a majority holds can still be overwritten by a leader of a term in between, so it is
+    committed together with a later entry of the leader's own term.
     """
     if state.role != LEADER:
         return
@@ -272,8 +273,8 @@
     """
     Step down and ask the voter with the highest match index to campaign.
 
-    The lease ends before that voter is asked, so the followers may vote for it although they
-    acknowledged a heartbeat within the last election timeout.
+    This leader's lease ends before that voter is asked, so the followers may vote for the voter
+    although they acknowledged a heartbeat within the last election timeout.
     """
     if state.role != LEADER:
         return
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/rpc_service.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/rpc_service.py
@@ -1,4 +1,4 @@
-"""gRPC service `Consensus`: messages between replicas, and operators' actions."""
+"""gRPC service `Consensus`: receives messages from other replicas, and operators' actions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ConsensusService(consensus_pb2_grpc.ConsensusServicer):
-    """Passes received calls to the consensus node."""
+    """Passes received gRPC calls to this daemon's consensus node."""
 
     def __init__(self, node: ConsensusNode, counters: Counters) -> None:
         self._node = node
@@ -29,22 +29,26 @@
     @classmethod
     def from_kernel(cls, kernel: Kernel) -> ConsensusService:
         """
-        Build the servicer.
+        Build the handler of the gRPC calls from the daemon's services.
 
-        :param kernel: holds the services `consensus` and `counters`.
-        :return: the servicer.
+        :param kernel: the daemon's registry, which holds the services `consensus` and `counters`.
         """
         return cls(kernel.find("consensus"), kernel.find("counters"))
 
     async def Deliver(  # noqa: N802
         self, request: consensus_pb2.DeliverRequest, context: grpc.aio.ServicerContext
     ) -> consensus_pb2.DeliverReply:
-        """Pass messages to the core; its replies are sent by the peer task for the sender."""
+        """
+        Pass received messages to the consensus core.
+
+        The core's reply messages are not part of the gRPC reply: the `Peer` of the sender's daemon
+        sends them. The gRPC reply contains this replica's disk id and cluster.
+        """
         node = self._node
         sender = ReplicaId(request.daemon, request.disk_id)
         target = ReplicaId(node.replica.daemon, request.target_disk_id)
-        # These values are read before the messages are processed, because an empty replica is no
-        # longer empty afterwards.
+        # The reply has to describe the replica before it processes the messages: an empty replica
+        # is no longer empty afterwards.
         empty = node.core.is_empty
         cluster = node.core.cluster
         for data in request.messages:
@@ -61,7 +65,7 @@
     async def Manage(  # noqa: N802
         self, request: consensus_pb2.ManageRequest, context: grpc.aio.ServicerContext
     ) -> consensus_pb2.ManageReply:
-        """Carry out an operator's action."""
+        """Carry out an operator's action on this replica, such as `status` or `replace`."""
         arguments = msgspec.msgpack.decode(request.arguments) if request.arguments else {}
         managed = await manage(self._node, request.action, arguments)
         return consensus_pb2.ManageReply(
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/servicer.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/servicer.py
@@ -12,12 +12,16 @@
 
 
 class ConsensusServicer:
-    """Registers the gRPC service at its start; the peer server has to start after it."""
+    """
+    Registers the gRPC service `Consensus` when this service starts.
+
+    The service `peer_server`, the daemon's gRPC server, has to start after this service.
+    """
 
     name = "consensus_servicer"
 
     async def start(self, kernel: Kernel) -> None:
-        """Register the gRPC service on the peer server."""
+        """Register the gRPC service on the daemon's gRPC server, the service `peer_server`."""
         service = ConsensusService.from_kernel(kernel)
         kernel.find("peer_server").add_servicer(
             lambda server: consensus_pb2_grpc.add_ConsensusServicer_to_server(service, server)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/snapshots.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""The job that stores a snapshot of a replica's state machine."""
+"""Builds the write job that stores a snapshot of a replica's state machine on disk."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
     from ibisspring_consensus.log import Log
 
-# Entries kept before a snapshot: a follower behind by at most this many entries is sent entries in
-# place of the snapshot.
+# Number of log entries before a snapshot that are kept. A follower that lacks at most this many
+# entries before the snapshot is sent entries in place of the snapshot.
 TAIL_ENTRIES = 256
 
 
@@ -23,13 +23,14 @@
     log: Log, index: int, data: bytes, done: Callable[[SnapshotMeta, int], None]
 ) -> StoreSnapshot:
     """
-    Build the job that stores a snapshot and starts a new log segment.
-
-    :param log: the replica's log, which holds `index`.
-    :param index: last index that the state machine applied.
-    :param data: the state machine's snapshot.
-    :param done: called once the snapshot is synced, with its metadata and the first index to keep.
-    :return: the job.
+    Build the write job that stores a snapshot and starts a new log segment.
+
+    :param log: the replica's log, which holds the entry at `index`.
+    :param index: index of the last log entry that the state machine applied.
+    :param data: the state machine's encoded state.
+    :param done: called once the snapshot is synced, with the snapshot's metadata and the index of
+        the first log entry to keep.
+    :return: the job, to be queued in the replica's `Writer`.
     """
     meta = SnapshotMeta(
         index, log.term_at(index), log.members_at(index), len(data), zlib.crc32(data)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
@@ -1,4 +1,4 @@
-"""The state of a replica's consensus core, and functions that its modules share."""
+"""The state of a replica's consensus core, and functions that the core's modules share."""
 
 from __future__ import annotations
 
@@ -31,19 +31,20 @@
 @dataclass(frozen=True)
 class CoreConfig:
     """
-    Times and sizes of the core.
+    Times and sizes of the consensus core.
 
     :param heartbeat_s: seconds between heartbeat rounds.
     :param election_timeout_s: minimum time without contact from a leader before an election, in
         seconds.
-    :param election_spread: maximum random addition to the election timeout, as a share of it.
-        Candidates whose timeouts differ by less than the delivery time of a vote split the votes.
-    :param leader_lease_s: duration of the lease in seconds, from the start of a heartbeat round;
-        less than the election timeout, so that the difference covers clocks that run at different
-        rates.
-    :param max_append_bytes: maximum bytes of entries in one message.
+    :param election_spread: maximum random addition to the election timeout, as a share of this
+        timeout. Candidates whose timeouts differ by less than the delivery time of a vote split the
+        votes.
+    :param leader_lease_s: duration of the leader lease in seconds, from the start of a heartbeat
+        round; less than the election timeout, so that the difference covers clocks that run at
+        different rates.
+    :param max_append_bytes: maximum bytes of log entries in one message.
     :param max_in_flight: maximum number of unacknowledged messages with entries per follower.
-    :param chunk_bytes: size of a snapshot chunk.
+    :param chunk_bytes: maximum bytes of a snapshot in one message.
     """
 
     heartbeat_s: float = 0.2
@@ -57,10 +58,11 @@
     @classmethod
     def from_config(cls, control: ControlSettings) -> CoreConfig:
         """
-        Build the configuration with the times from the settings.
+        Build the configuration with the times from a control daemon's settings.
+
+        The sizes and the election spread keep their defaults.
 
         :param control: checked settings of the control role.
-        :return: the configuration; sizes and the election spread keep their defaults.
         """
         return cls(
             heartbeat_s=control.heartbeat_s,
@@ -74,9 +76,10 @@
         return self.heartbeat_s / TICKS_PER_HEARTBEAT
 
 
-# For logs whose VMs are about a millisecond apart. With these times a failed leader is replaced,
-# and a restarted system serves, 0.5 s sooner than with the defaults above. The random spread of
-# election timeouts is 0.28 s, many times the delivery time of a vote.
+# Times for replicated logs between whose VMs a message takes about a millisecond. With these times
+# a failed leader is replaced, and a restarted system serves requests, 0.5 s sooner than with the
+# defaults above. The random spread of election timeouts is 0.28 s, many times the delivery time of
+# a vote.
 QUICK = CoreConfig(
     heartbeat_s=0.15, election_timeout_s=0.7, leader_lease_s=0.55, election_spread=0.4
 )
@@ -85,17 +88,19 @@
 @dataclass
 class Progress:
     """
-    The leader's record of another replica.
+    The leader's record of another replica and its log.
 
     :param match_index: the replica's log is synced and equal to the leader's up to this index.
     :param next_index: index of the next entry to send.
-    :param in_flight: messages with entries that were sent and not acknowledged.
-    :param probing: the match index is not known, so one message with entries is sent at a time.
+    :param in_flight: number of messages with entries that were sent and not acknowledged.
+    :param probing: whether the match index is not known, so that only one message with entries is
+        sent at a time.
     :param acked_round: newest heartbeat round that the replica acknowledged.
-    :param replied_at: time of the last reply.
-    :param chunk_sent_at: time at which the last snapshot chunk was sent.
-    :param snapshot_index: index of the snapshot that is being sent; 0 for none.
-    :param snapshot_offset: bytes of the snapshot that the replica received.
+    :param replied_at: time of the replica's last reply, in seconds on the lease clock.
+    :param chunk_sent_at: time at which the last snapshot chunk was sent, in seconds on the lease
+        clock.
+    :param snapshot_index: log index of the snapshot that is being sent; 0 for none.
+    :param snapshot_offset: number of bytes of this snapshot that the replica received.
     """
 
     match_index: int
@@ -112,11 +117,11 @@
 @dataclass
 class PendingRead:
     """
-    A read that waits for a quorum to acknowledge a heartbeat round started after the read.
+    A read that waits until a quorum acknowledges a heartbeat round that started after the request.
 
-    :param read: number of the read.
-    :param round: heartbeat round that has to be acknowledged.
-    :param index: log index that has to be committed first.
+    :param read: number of the read, assigned by the caller.
+    :param round: number of the heartbeat round that a quorum has to acknowledge.
+    :param index: log index that has to be committed before the read is confirmed.
     """
 
     read: int
@@ -127,11 +132,11 @@
 @dataclass
 class PendingPersist:
     """
-    What becomes valid once a persist effect is synced.
+    Consequences of the sync of one `Persist` or `InstallSnapshot` effect.
 
     :param sequence: sequence number of the effect.
-    :param last_index: the log is synced up to this index after the effect.
-    :param messages: messages to send after the sync.
+    :param last_index: index up to which the log is synced once the effect is synced.
+    :param messages: messages to send after the sync, each with its target.
     """
 
     sequence: int
@@ -142,22 +147,25 @@
 @dataclass
 class CoreState:
     """
-    State of the core.
+    Complete state of a replica's consensus core; all times are seconds on the lease clock.
 
     :param hard_state: term and vote, as they were last passed to `persist`.
-    :param now: time of the event that is being processed, on the lease clock.
+    :param now: time of the event that is being processed.
     :param started_at: start time of this process.
     :param election_due_at: time of the next election unless a leader contacts this replica earlier.
-    :param synced_index: the log is synced up to this index.
-    :param leader_contact_at: when a leader last contacted this replica; None for never.
-    :param round: number of the current heartbeat round.
-    :param round_sent_at: start time by heartbeat round.
-    :param leader_since: when this replica became leader.
-    :param noop_index: first index of this leader's own term.
+    :param synced_index: index up to which this replica's log is synced to disk.
+    :param leader_contact_at: time at which a leader last contacted this replica; None for never.
+    :param round: number of the heartbeat round that this leader started last.
+    :param round_sent_at: start time of each heartbeat round, by its number.
+    :param leader_since: time at which this replica became leader.
+    :param noop_index: index of the no-op entry with which this leader began its term.
+    :param reads: reads that are not yet confirmed.
     :param sequence: sequence number of the last persist effect.
+    :param pending: effects that are not yet synced to disk, with the messages that wait for them.
     :param non_member_by_daemon: replica that last answered for a daemon and is not a member.
     :param received_snapshot_data: bytes received so far of a snapshot from the leader.
-    :param received_snapshot_index: index of that snapshot.
+    :param received_snapshot_index: log index of the snapshot that is being received; 0 for none.
+    :param effects: effects of the event that is being processed.
     """
 
     replica: ReplicaId
@@ -202,16 +210,17 @@
 
 
 def send(state: CoreState, target: ReplicaId, message: Message) -> None:
-    """Send a message that depends on no unsynced state."""
+    """Send a message at once, because it depends on no state that is not yet synced."""
     state.effects.append(Send(target, message))
 
 
 def send_after_sync(state: CoreState, target: ReplicaId, message: Message) -> None:
     """
-    Send a message once everything persisted so far is synced.
+    Send a message once all state persisted so far is synced to disk.
 
-    If a vote or an acknowledgement were sent before the sync, a crash could lose the state behind
-    it: two votes in one term, or a committed entry that a majority does not hold.
+    If a vote or an acknowledgement were sent before the sync, a crash could lose the state that it
+    depends on. The result would be two votes of one replica in one term, or a committed entry that
+    a majority does not hold.
     """
     if not state.pending:
         send(state, target, message)
@@ -228,9 +237,9 @@
     """
     Change the durable state in memory and emit the effect that syncs the change to disk.
 
-    :param hard_state: new term and vote; None leaves them.
-    :param truncate_from: index of the first entry to remove; 0 removes none.
-    :param entries: entries to append after that.
+    :param hard_state: new term and vote; None leaves them as they are.
+    :param truncate_from: index of the first log entry to remove; 0 removes none.
+    :param entries: entries to append to the log after the removal.
     """
     state.sequence += 1
     if hard_state is not None:
@@ -246,17 +255,17 @@
 
 
 def reset_election(state: CoreState) -> None:
-    """Set the next election time; it is random, so that votes are seldom split."""
+    """Set a random time for the next election, so that candidates seldom split the votes."""
     factor = 1.0 + state.config.election_spread * state.randomness.random()
     state.election_due_at = state.now + state.config.election_timeout_s * factor
 
 
 def become_follower(state: CoreState, term: int, leader: ReplicaId | None, cause: str) -> None:
     """
-    Become a follower in the same or a newer term; as leader, refuse pending reads.
+    Become a follower in the same or a newer term; a leader that steps down refuses pending reads.
 
     :param leader: the leader to follow; None if it is not known.
-    :param cause: reason for stepping down, for the log.
+    :param cause: why a leader steps down, for the daemon's log.
     """
     if term > state.hard_state.term:
         persist(state, HardState(term=term))
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
@@ -1,7 +1,9 @@
 """
 The files of one replica: hard state, log segment and snapshots under `data_folder/consensus`.
 
-All methods block; the node calls them one at a time in a worker thread, never on the event loop.
+The hard state is the replica's term and vote; a log segment is a file with consecutive log entries.
+All methods of `Storage` block; the replica's node calls them one at a time in a worker thread,
+never on the event loop.
 """
 
 from __future__ import annotations
@@ -42,9 +44,9 @@
     Content of the file `hard_state`.
 
     :param disk_id: random id created at the first use of the folder; never changes.
-    :param hard: term and vote.
-    :param snapshot_index: a snapshot with at least this index was written, so a start without one
-        reports damage.
+    :param hard: the replica's term and vote.
+    :param snapshot_index: log index of a snapshot that was written. A start that finds no snapshot
+        with this or a later index reports damage.
     """
 
     disk_id: str
@@ -55,8 +57,9 @@
 @dataclass(frozen=True)
 class SegmentStart:
     """
-    First record of a segment: the segment holds entries after this index.
+    First record of a log segment, which says where the segment starts.
 
+    :param base_index: log index just before the segment's first entry.
     :param base_term: term of the entry at `base_index`.
     """
 
@@ -67,9 +70,10 @@
 @dataclass(frozen=True)
 class LogChange:
     """
-    One change of the log: remove entries from the end, then append entries.
+    One change of the log: remove entries from its end, then append entries.
 
-    :param truncate_from: index of the first entry to remove; 0 removes none.
+    :param truncate_from: index of the first log entry to remove; 0 removes none.
+    :param entries: entries to append after the removal.
     """
 
     truncate_from: int
@@ -78,7 +82,7 @@
 
 @dataclass(frozen=True)
 class LogRecord:
-    """One record of a segment: all changes of one sync (group commit)."""
+    """One record of a log segment: all log changes that one sync writes (group commit)."""
 
     changes: tuple[LogChange, ...]
 
@@ -93,18 +97,18 @@
         self._segment = segment
         self._hard_state = stored.hard_state
         self._snapshot_index = stored.snapshot.index
-        # The segment stays open: with a new descriptor for each write, an error of an earlier sync
-        # could go undetected.
+        # The log segment stays open: with a new file descriptor for each write, an error of an
+        # earlier sync could go undetected.
         self._descriptor = os.open(segment, os.O_WRONLY | os.O_APPEND)
 
     @classmethod
     def from_folder(cls, folder: Path) -> Storage | Damage:
         """
-        Open the folder, or create its files at its first use.
+        Open the files of a replica, or create them at the first use of their folder.
 
-        :param folder: `data_folder/consensus`.
-        :return: the storage, or the damage found in its files; raises `WriteRefused` if a file
-            cannot be opened or written at present.
+        :param folder: folder of the replica's files, such as `data_folder/consensus`.
+        :return: the opened storage, or the damage found in the files; raises `WriteRefused` if a
+            file cannot be opened or written at present.
         """
         with as_write_refused():
             if not (folder / _HARD_STATE).exists():
@@ -117,7 +121,7 @@
             return _open(cls, folder, stored)
 
     def write_hard_state(self, hard_state: HardState) -> None:
-        """Replace term and vote on disk, synced."""
+        """Replace the stored term and vote; return once they are synced to disk."""
         self._hard_state = hard_state
         stored = StoredHardState(self.disk_id, hard_state, self._snapshot_index)
         replace_file(self.folder / _HARD_STATE, frame(encode(stored)))
@@ -128,8 +132,9 @@
         try:
             write_all(self._descriptor, frame(encode(LogRecord(changes))))
         except DiskFull:
-            # A part of the record may have been written. A later record after this part would look
-            # like damage in the middle of the log, and the replica would refuse to start.
+            # A part of the record may have been written, and is removed. If a later record followed
+            # this part, it would look like damage in the middle of the log, and the replica would
+            # refuse to start.
             os.ftruncate(self._descriptor, end)
             raise
         os.fdatasync(self._descriptor)
@@ -143,15 +148,15 @@
         self, snapshot: SnapshotMeta, base: SegmentStart, entries: tuple[Entry, ...]
     ) -> None:
         """
-        Replace the log segment by one without the entries that a snapshot covers.
+        Replace the log segment by a segment without the entries that a snapshot covers.
 
         The new segment may start some entries before the snapshot. It is synced under its final
-        name before the old segment is removed. The previous snapshot is kept until the next one is
-        synced.
+        name before the old segment is removed. The two newest snapshots are kept: the snapshot
+        before this one is removed only after the next one is synced.
 
-        :param snapshot: a snapshot that was written.
+        :param snapshot: metadata of a snapshot that was written.
         :param base: start of the new segment.
-        :param entries: all entries after `base`.
+        :param entries: all log entries after `base`.
         """
         number = int(self._segment.name.removeprefix("log-")) + 1
         path = self.folder / f"log-{number:020d}"
@@ -171,12 +176,12 @@
 
     def read_snapshot(self, index: int, offset: int = 0, size: int = -1) -> bytes | None:
         """
-        Read bytes of the state machine's data in a snapshot.
+        Read a part of the state machine's data in a stored snapshot.
 
-        :param index: index of the snapshot.
-        :param offset: offset of the first byte.
-        :param size: maximum number of bytes; -1 for all.
-        :return: the bytes; None if the snapshot was removed.
+        :param index: log index of the snapshot.
+        :param offset: offset of the first byte in the state machine's data.
+        :param size: maximum number of bytes to read; -1 for all.
+        :return: the part of the data; None if the snapshot was removed.
         """
         path = self.folder / f"snapshot-{index:020d}"
         if not path.exists():
@@ -187,7 +192,7 @@
             return file.read(size)
 
     def close(self) -> None:
-        """Close the segment; everything that was reported as synced is on disk already."""
+        """Close the log segment; all changes that were reported as synced are on disk already."""
         os.close(self._descriptor)
 
 
@@ -208,8 +213,9 @@
 
 def _create_files(folder: Path) -> StoredHardState | Damage:
     """
-    Create the files of an empty folder; the log segment comes first, so a hard state without a log
-    always means damage.
+    Create the hard state and an empty log segment in an empty folder.
+
+    The log segment is created first, so a hard state without a log always means damage.
     """
     segment = folder / f"log-{1:020d}"
     if segment.exists():
@@ -224,7 +230,10 @@
 
 def _open(cls: type[Storage], folder: Path, hard_state: StoredHardState) -> Storage | Damage:
     """
-    Load snapshot and log segment; start an empty log after a snapshot that the log conflicts with.
+    Load the newest snapshot and the log segment after the hard state was loaded.
+
+    If the log is older than the snapshot or conflicts with it, an empty log segment that starts at
+    the snapshot replaces the log.
     """
     snapshot = _load_snapshot(folder, hard_state.snapshot_index)
     if isinstance(snapshot, Damage):
@@ -233,7 +242,7 @@
     if not segments:
         return Damage(str(folder), 0, "no log segment found, although hard_state exists")
     # A segment gets its final name only after it is synced, so the newest segment is complete, and
-    # older ones remained after a crash during compaction.
+    # older segments remained after a crash during log compaction.
     for old in segments[:-1]:
         old.unlink()
     segment = segments[-1]
@@ -246,8 +255,9 @@
     if _segment_matches_snapshot(snapshot, start, entries):
         stored = StoredState(hard_state.hard, snapshot, start.base_index, start.base_term, entries)
         return cls(folder, hard_state.disk_id, stored, segment)
-    # A crash occurred after a received snapshot was written and before its new segment: the entries
-    # in the log are older than the snapshot or conflict with it.
+    # A crash occurred after a snapshot received from the leader was written, and before the log
+    # segment that starts at this snapshot was written: the entries in the log are older than the
+    # snapshot or conflict with it.
     stored = StoredState(hard_state.hard, snapshot, snapshot.index, snapshot.term, ())
     storage = cls(folder, hard_state.disk_id, stored, segment)
     try:
@@ -308,7 +318,9 @@
 
 def _truncate_file(path: Path, end: int) -> None:
     """
-    Remove a torn last record; it was never synced, so no vote or acknowledgement depends on it.
+    Remove a torn last record from a log segment.
+
+    The record was never synced, so no vote or acknowledgement depends on it.
     """
     with path.open("r+b") as file:
         file.truncate(end)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/writer.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/writer.py
@@ -1,5 +1,7 @@
 """
-Writes persist effects and snapshots to disk, in order, in one thread; one sync covers many effects.
+Writes the core's `Persist` effects and snapshots to disk, in order, in one thread.
+
+One sync covers all `Persist` effects that are queued when it starts (group commit).
 """
 
 from __future__ import annotations
@@ -33,11 +35,13 @@
 @dataclass(frozen=True)
 class StoreSnapshot:
     """
-    Write a snapshot of this replica's state machine and start a new segment.
+    Write job: store a snapshot of this replica's state machine and start a new log segment.
 
-    :param base: start of the new segment.
-    :param entries: entries of the new segment.
-    :param done: called once both are synced.
+    :param meta: metadata of the snapshot.
+    :param data: the state machine's encoded state.
+    :param base: start of the new log segment.
+    :param entries: log entries of the new segment.
+    :param done: called once the snapshot and the new segment are synced.
     """
 
     meta: SnapshotMeta
@@ -53,13 +57,13 @@
 
 async def retry_while_refused(write: Callable[[], Awaitable[Result]]) -> Result:
     """
-    Write, and retry every `WRITE_RETRY_S` while the disk is full or no descriptor is free.
+    Write, and retry every `WRITE_RETRY_S` while the disk is full or no file descriptor is free.
 
     No acknowledgement depends on data that is not written, so a full disk only delays this replica:
-    the other replicas continue, and this one takes part again once space is free. If the daemon
-    ended, it would end again at each start.
+    the other replicas continue, and this replica takes part again once space is free. If the daemon
+    ended because of the full disk, it would end again at each start.
 
-    :param write: one attempt; raises `WriteRefused` if it is refused.
+    :param write: makes one attempt; raises `WriteRefused` if the system refuses the write.
     :return: the result of the successful attempt.
     """
     refused = False
@@ -74,7 +78,7 @@
 
 
 class Writer:
-    """The queue of write jobs and the thread that runs them."""
+    """Queue of a replica's write jobs, and the thread that runs these jobs."""
 
     def __init__(
         self, storage: Storage, on_synced: Callable[[int], None], on_failed: Callable[[], None]
@@ -94,7 +98,9 @@
 
     async def stop(self) -> None:
         """
-        Stop after the current write; no acknowledgement depends on the jobs that are still queued.
+        Stop after the current write and close the files; drop the jobs that are still queued.
+
+        No acknowledgement depends on the dropped jobs.
         """
         if self._task is not None:
             self._task.cancel()
@@ -102,15 +108,15 @@
         self.storage.close()
 
     def add(self, job: WriteJob) -> None:
-        """Queue a job; jobs run in order."""
+        """Queue a write job; jobs run in the order in which they were queued."""
         self._jobs.append(job)
         self._wake.set()
 
     async def read_snapshot(self, index: int, offset: int, size: int) -> bytes | None:
         """
-        Read a part of a stored snapshot in the writer's thread.
+        Read a part of a stored snapshot in the writer's thread, to send it to a follower.
 
-        :return: the bytes; None if the snapshot was removed, or if it cannot be read at present and
+        :return: the part; None if the snapshot was removed, or if it cannot be read at present and
             the caller has to retry.
         """
         try:
@@ -137,8 +143,8 @@
                     await self._run_next_job()
         except Exception as error:
             # After a failed sync the content of the disk is unknown, and a second sync may succeed
-            # although data was dropped. The replica stops taking part, so that it acknowledges
-            # nothing more.
+            # although data was dropped. The replica therefore stops taking part in consensus, and
+            # acknowledges nothing more.
             frame = traceback.extract_tb(error.__traceback__)[-1]
             at = f"{frame.name}:{frame.lineno}"
             eliot.log_message("consensus:disk_failed", error=repr(error), at=at)
@@ -161,8 +167,9 @@
 
     def _write(self, batch: tuple[Persist, ...]) -> None:
         hard_states = [job.hard_state for job in batch if job.hard_state is not None]
-        # Term and vote are written first: if the log held entries of a term newer than the stored
-        # one, the replica could vote in a term in which it already acknowledged a leader.
+        # Term and vote are written before the log: if the stored log held entries of a term newer
+        # than the stored term, the replica could vote in a term in which it already acknowledged a
+        # leader.
         if hard_states:
             self.storage.write_hard_state(hard_states[-1])
         changes = tuple(
--- a/tests/unit/consensus/guards.py
+++ b/tests/unit/consensus/guards.py
@@ -1,4 +1,8 @@
-"""Removes one guard of the consensus core each, to show that a test fails without the guard."""
+"""
+Functions that each remove one guard (safety check) of the consensus core.
+
+The tests run with and without a guard, to show that they detect the failure which it prevents.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
 
 
 def commit_leader_unsynced(patch: pytest.MonkeyPatch) -> None:
-    """Let the leader count its own entries before they are synced."""
+    """Let the leader count itself towards the quorum of entries that it has not yet synced."""
     original = replication.commit
 
     def commit(state):
@@ -35,7 +39,7 @@
 
 
 def vote_right_after_restart(patch: pytest.MonkeyPatch) -> None:
-    """Let a restarted voter vote at once, although it may have acknowledged a heartbeat before."""
+    """Let a restarted voter vote at once, although it may just have acknowledged a heartbeat."""
     original = election.must_withhold_vote
 
     def must_withhold_vote(state):
@@ -53,7 +57,7 @@
 
 
 def lease_from_reply_receipt(patch: pytest.MonkeyPatch) -> None:
-    """Count the leader lease from the receipt of the replies."""
+    """Count the leader lease from the receipt of heartbeat replies, not from the round's start."""
     original = replication.on_append_reply
 
     def on_append_reply(state, sender, reply):
@@ -65,7 +69,7 @@
 
 
 def commit_older_terms(patch: pytest.MonkeyPatch) -> None:
-    """Commit entries of earlier terms by counting replicas."""
+    """Let a leader commit entries of earlier terms by counting the replicas that hold them."""
     original = replication.commit
 
     def commit(state):
@@ -79,7 +83,7 @@
 
 
 def answer_for_previous_disk(patch: pytest.MonkeyPatch) -> None:
-    """Let a wiped replica answer messages for its previous disk, under that disk's id."""
+    """Let a replica whose disk was wiped answer messages to the previous disk, under its id."""
     original = core.Core._on_received
 
     def receive(self, event):
@@ -92,18 +96,18 @@
 
 
 def promote_at_once(patch: pytest.MonkeyPatch) -> None:
-    """Promote a learner before it holds all committed entries."""
+    """Make a learner a voter before it holds all committed entries."""
     patch.setattr(membership, "is_caught_up", lambda state, replica: True)
 
 
 def change_on_uncommitted(patch: pytest.MonkeyPatch) -> None:
-    """Change the members while the previous change is not committed."""
+    """Start a membership change while the previous membership change is not committed."""
     patch.setattr(membership, "may_change", lambda state: state.role == "leader")
 
 
 def replace_without_joint_consensus(patch: pytest.MonkeyPatch) -> None:
     """
-    Replace the old voter by the new one without majorities of both the old and the new voters.
+    Replace a voter in one step, without the phase that needs majorities of old and new voters.
     """
     original = membership.promote
 
@@ -115,12 +119,12 @@
 
 
 def read_without_quorum_round(patch: pytest.MonkeyPatch) -> None:
-    """Confirm a read without asking a quorum."""
+    """Confirm a read without a quorum that acknowledged a heartbeat round after the read began."""
     patch.setattr(lease, "quorum_acked_round", lambda state: state.round)
 
 
 def append_without_log_match(patch: pytest.MonkeyPatch) -> None:
-    """Let a follower append entries after a gap or after conflicting entries."""
+    """Let a follower append entries after a gap in its log or after conflicting entries."""
 
     def on_append_request(state, sender, request):
         term_at = state.log.term_at
--- a/tests/unit/consensus/power_loss.py
+++ b/tests/unit/consensus/power_loss.py
@@ -1,9 +1,10 @@
 """
-A model of power loss: records file system calls and generates the states that may survive.
+A model of power loss: records file system calls and generates the disk states that may survive.
 
-After a power loss a file holds the content of its last sync; each write after it is present,
-missing or torn. A new name is durable once its file is synced. A renamed or removed name is durable
-once its folder is synced; before that each change of a name is kept or lost independently.
+After a power loss a file holds the content of its last sync; each write after that sync is present,
+missing or torn (written in part). The name of a new file is durable once the file is synced. A
+rename or removal of a file is durable once its folder is synced; before that sync each change of a
+name is kept or lost independently.
 """
 
 from __future__ import annotations
@@ -14,25 +15,27 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+# Parts of a torn write that may be on disk, as shares of its bytes.
 TORN_SHARES = (0.0, 0.5, 1.0)
-# With more pending name changes than this, only states with one lost change are generated.
+# Number of pending name changes up to which each combination of kept and lost changes is generated.
+# With more pending changes, only states in which one change is lost are generated.
 MOST_PENDING = 6
 
 
 @dataclass(frozen=True)
 class Step:
     """
-    One recorded call.
+    One recorded file system call.
 
     :param kind: `write`, `truncate`, `sync`, `create`, `rename`, `unlink`, `sync_folder`, or
         `acknowledge`, which records no call but the state that was acknowledged to others at this
         point.
-    :param file: number of the file.
+    :param file: number that the recorder assigned to the file.
     :param name: name of the file; for `rename` its old name.
-    :param to: new name.
-    :param data: written bytes.
-    :param size: size after `truncate`.
-    :param acknowledged: the acknowledged state.
+    :param to: for `rename` the new name of the file.
+    :param data: for `write` the written bytes.
+    :param size: for `truncate` the size of the file after the call.
+    :param acknowledged: for `acknowledge` the acknowledged state, in a form that the test chooses.
     """
 
     kind: str
@@ -50,8 +53,9 @@
     Records the file system calls of the code under test.
 
     :param folder: calls on files in this folder are recorded.
-    :param skip_sync: returns whether syncs of a file name are not recorded, as if the code lacked
-        them; `sync_folder` stands for the folder.
+    :param skip_sync: returns whether syncs of the file with the given name are not recorded, as if
+        the code lacked these syncs; the name `sync_folder` stands for the folder itself.
+    :param steps: the recorded calls, in order.
     """
 
     folder: Path
@@ -65,7 +69,7 @@
         self.steps.append(Step("acknowledge", acknowledged=acknowledged))
 
     def patch(self, monkeypatch) -> None:
-        """Replace the calls that change files by recording ones."""
+        """Replace the functions that change files by functions that also record the call."""
         original = {
             name: getattr(os, name) for name in ("write", "fsync", "fdatasync", "ftruncate")
         }
@@ -92,7 +96,7 @@
                 self._add("truncate", descriptor, size=size)
 
         def replace(path: Path, target: Path) -> Path:
-            # The kernel may assign the inode of a removed file to the next new file.
+            # The operating system may assign the inode of a removed file to the next new file.
             if target.exists():
                 self._file_by_inode.pop(target.stat().st_ino, None)
             result = rename(path, target)
@@ -128,7 +132,7 @@
 
 @dataclass
 class _Disk:
-    """The durable content of a disk and the pending changes."""
+    """The durable content of a disk, and the changes that are not synced yet (pending)."""
 
     synced: dict[int, bytes] = field(default_factory=dict)
     pending: dict[int, list[Step]] = field(default_factory=dict)
@@ -159,8 +163,10 @@
 
     def contents(self, file: int) -> set[bytes]:
         """
-        Return all contents that a file may have: some of its first pending writes, with the next
-        one torn.
+        Return all contents that a file may have after a power loss.
+
+        Each consists of the synced content and some of the file's first pending writes; the write
+        after them may be torn.
         """
         steps = self.pending.get(file, [])
         found = {self.content(file, [])}
@@ -174,7 +180,7 @@
 
 
 def apply_name_changes(names: dict[str, int], changes: list[Step]) -> dict[str, int]:
-    """Return the names after changes; a rename of a missing name is ignored."""
+    """Return the file by name after name changes; a rename of a missing name is ignored."""
     result = dict(names)
     for change in changes:
         if change.kind == "create":
@@ -188,9 +194,10 @@
 
 def survivors(steps: list[Step]) -> Iterator[tuple[object, dict[str, bytes]]]:
     """
-    Generate all states that may survive a power loss after any step.
+    Generate all disk states that may survive a power loss after any recorded step.
 
-    :return: the state that was acknowledged by then, and the content by file name.
+    :return: pairs of the state that was acknowledged before the power loss, and the content of the
+        surviving files by file name.
     """
     disk = _Disk()
     acknowledged: object = None
--- a/tests/unit/consensus/random_run.py
+++ b/tests/unit/consensus/random_run.py
@@ -1,6 +1,8 @@
 """
-A seeded run of consensus cores with lost, duplicated and reordered messages, crashes, lost disks
-and clocks at different rates.
+A random run of several consensus cores in one thread, which a seed determines.
+
+Messages are lost, duplicated and reordered, processes crash, disks are lost and clocks run at
+different rates. After each event the run checks invariants, such as at most one leader per term.
 """
 
 from __future__ import annotations
@@ -28,19 +30,20 @@
 from ibisspring_core.messages.codec import decode
 
 CONFIG = CoreConfig(max_append_bytes=40, max_in_flight=3, chunk_bytes=24)
-# The lease is 0.8 of the election timeout, which tolerates clock rates that differ by up to a
-# tenth.
+# Seconds on a daemon's clock per second of the run. The leader lease is 0.8 of the election
+# timeout, which tolerates clock rates that differ by up to a tenth.
 CLOCK_RATES = (0.95, 1.0, 1.05)
+# Number of log entries before a snapshot that a replica keeps.
 SNAPSHOT_TAIL = 3
 
 
 class RandomRun:
-    """The nodes, the messages in transit and the invariants that are checked."""
+    """The nodes (simulated daemons), the messages in transit and the checks of the invariants."""
 
     def __init__(self, seed: int, count: int) -> None:
         self.random = random.Random(seed)
         self.now = 100.0
-        # Runs differ in how far time advances between messages, and in how long faults last.
+        # Runs differ in how far a tick advances the time, and in how long blocked connections last.
         self.max_tick_s = self.random.choice((0.05, 0.1, 0.2, 0.4))
         self.unblock_probability = self.random.choice((0.1, 0.2, 0.4))
         self.disk_count = 0
@@ -95,7 +98,7 @@
         node.frozen = False
 
     def started_at(self, node: Node) -> float:
-        """Return the start time of a node's process on its clock."""
+        """Return the start time of a node's process, in seconds on the node's clock."""
         return self.local_now(node)
 
     def local_now(self, node: Node) -> float:
@@ -103,7 +106,10 @@
 
     def crash(self, node: Node) -> None:
         """
-        Sync a random prefix of the queued jobs, and in some runs the next job's term and vote.
+        End a node's process after a random part of its queued writes.
+
+        The first queued jobs, up to a random number, are written completely. Of the next job, term
+        and vote may be written without the log entries.
         """
         for _ in range(self.random.randint(0, len(node.jobs))):
             node.disk.write(node.jobs.popleft())
@@ -113,12 +119,12 @@
         node.core = None
 
     def may_lose_disk(self, node: Node) -> bool:
-        """Return whether the node's disk may be lost: the other disks must still be a quorum."""
+        """Return whether the node may lose its disk: the other disks must still be a quorum."""
         present = {other.replica for other in self.node_by_daemon.values()} - {node.replica}
         return all(is_quorum(members, present) for members in self.possible_members())
 
     def possible_members(self) -> list[Members]:
-        """List the committed members and later ones that may still be committed."""
+        """List the committed membership and the later ones that may still be committed."""
         found = [self.members]
         for node in self.node_by_daemon.values():
             entries = list(node.disk.entries)
@@ -137,7 +143,7 @@
         self.start(node)
 
     def remount_lost_disk(self, node: Node) -> None:
-        """Mount a disk that was considered lost on its VM again."""
+        """Restart a node with a disk that it had before and that was considered lost."""
         lost_disks = [disk for daemon, disk in self.old_disks if daemon == node.daemon]
         if lost_disks and self.may_lose_disk(node):
             node.disk = self.random.choice(lost_disks)
@@ -230,7 +236,7 @@
     # Random events
 
     def random_event(self) -> None:
-        """Carry out one random event."""
+        """Carry out one random event on a random node: a message, tick, write, read or fault."""
         node = self.random.choice(list(self.node_by_daemon.values()))
         draw = self.random.random()
         if draw < 0.55 and self.messages:
@@ -330,7 +336,12 @@
     # Recovery
 
     def heal(self) -> None:
-        """End all faults; the cluster must recover, replace wiped disks and agree."""
+        """
+        End all faults; the cluster must then recover.
+
+        Within 4000 steps, each wiped disk must be replaced as a voter, and all nodes must have
+        applied the same entries.
+        """
         self.blocked.clear()
         for node in self.node_by_daemon.values():
             node.frozen = False
@@ -343,7 +354,7 @@
         raise AssertionError("the cluster did not recover after all faults had ended")
 
     def step_without_faults(self) -> None:
-        """Advance time by 20 ms, complete all writes and deliver all messages."""
+        """Advance the time by 20 ms, complete all queued writes and deliver all messages."""
         self.now += 0.02
         for node in self.node_by_daemon.values():
             self.step(node, events.Tick())
@@ -381,7 +392,10 @@
 
 class SlowStarts(RandomRun):
     """
-    Processes that start at any time after the previous one ended, long before they read their disk.
+    A random run in which processes read their disk long after they started.
+
+    A process starts at a random time between the end of the node's previous process and now, which
+    is the time at which it reads the disk.
     """
 
     def started_at(self, node: Node) -> float:
@@ -392,13 +406,13 @@
 
 def run(seed: int, count: int, steps: int, run_type: type[RandomRun] = RandomRun) -> RandomRun:
     """
-    Run random events and heal at the end; failure messages state the seed.
+    Run random events, then end all faults and wait for recovery; failure messages state the seed.
 
-    :param seed: seed of the run.
-    :param count: number of daemons.
-    :param steps: number of random events.
-    :param run_type: class of the run.
-    :return: the run after it has recovered.
+    :param seed: seed of the random events.
+    :param count: number of daemons in the cluster.
+    :param steps: number of random events before the recovery.
+    :param run_type: `RandomRun` or a subclass with other faults.
+    :return: the run after its cluster has recovered.
     """
     try:
         random_run = run_type(seed, count)
--- a/tests/unit/consensus/refusing.py
+++ b/tests/unit/consensus/refusing.py
@@ -1,4 +1,4 @@
-"""File system calls that fail with an error for a time."""
+"""Makes file system calls fail with an error until the test allows them."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 
 class RefusedCalls:
     """
-    Makes calls fail with one error until `allowed` is set; `attempted` is set by the first failure.
+    Makes file system calls fail with one error until the event `allowed` is set.
+
+    The first failing call sets the event `attempted`.
     """
 
     def __init__(self, monkeypatch, number: int, *calls: tuple[object, str]) -> None:
         """
-        Replace the calls.
+        Replace functions by failing ones.
 
-        :param number: errno of the error.
-        :param calls: pairs of a module or class and the name of its function.
+        :param number: errno of the `OSError` that the calls raise.
+        :param calls: the functions to replace: pairs of a module or class and the name of its
+            function.
         """
         self.allowed = asyncio.Event()
         self.attempted = asyncio.Event()
--- a/tests/unit/consensus/run_nodes.py
+++ b/tests/unit/consensus/run_nodes.py
@@ -1,4 +1,4 @@
-"""Disks and daemons of a random run: synced state, queued writes and the state after a crash."""
+"""Simulated disks and daemons of a random run: state that survives a crash, and queued writes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 @dataclass(frozen=True)
 class StoreSnapshot:
-    """A snapshot that a replica took itself and that is not yet written."""
+    """
+    Queued write of a snapshot that a replica took of its own state machine.
+
+    :param base: log index after which log entries are kept.
+    """
 
     meta: SnapshotMeta
     data: bytes
@@ -21,7 +25,7 @@
 
 @dataclass
 class Disk:
-    """The synced state of a replica, which survives a crash."""
+    """The part of a replica's state that is synced to disk and survives a crash."""
 
     disk_id: str
     synced_hard_state: HardState = field(default_factory=HardState)
@@ -58,7 +62,18 @@
 
 @dataclass
 class Node:
-    """One daemon of the run, with its clock rate and its queued writes."""
+    """
+    One simulated daemon of a random run.
+
+    :param rate: seconds on the daemon's clock per second of the run.
+    :param core: the consensus core; None while the daemon's process does not run.
+    :param jobs: queued writes, which are lost in a crash.
+    :param applied: index of the last log entry that the daemon applied.
+    :param digest: checksum of all applied entries, which stands for the state machine's state.
+    :param frozen: whether the process is suspended and receives neither ticks nor messages.
+    :param ended_at: time of the run at which the previous process crashed; None for never.
+    :param snapshot_index: log index of the newest snapshot in force, to detect a step back.
+    """
 
     daemon: str
     disk: Disk
--- a/tests/unit/consensus/test_core_fuzz.py
+++ b/tests/unit/consensus/test_core_fuzz.py
@@ -1,4 +1,4 @@
-"""Random runs of the consensus core; the seed of each failure found is kept as a test."""
+"""Random runs of the consensus core; the seed of each failure that was found is kept as a test."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from unit.consensus.random_run import SlowStarts, run
 
 STEPS = 4000
-# With these seeds the run fails if the guard is removed, and passes with the guard.
+# Seed and number of daemons of a random run that fails if the guard is removed from the consensus
+# core, and passes with the guard.
 SEED_AND_COUNT_BY_GUARD = {
     guards.answer_before_sync: (86, 5),
     guards.commit_leader_unsynced: (197, 3),
@@ -41,10 +42,10 @@
 @pytest.mark.parametrize(("seed", "count"), [(36, 3), (43, 3), (63, 3), (10, 5), (22, 3), (24, 5)])
 def test_disks_lost_twice_in_a_row_do_not_stop_the_cluster(seed, count) -> None:
     """
-    A VM's new disk is lost again while it replaces the old one, and no entry commits any more.
+    A VM's new disk is lost while it replaces the VM's old, lost disk as a voter.
 
-    Cause: the replacement was added as a fourth voter before the old voter was removed, so one VM
-    held two of four voters.
+    If the new disk were added as a fourth voter before the old voter was removed, one VM would hold
+    two of four voters, and no entry would commit any more after the second loss.
     """
     run(seed, count, 3 * STEPS)
 
@@ -52,21 +53,21 @@
 @pytest.mark.parametrize(("seed", "count"), [(1277, 5), (2002, 5)])
 def test_learner_whose_entry_was_overwritten_becomes_a_learner_again(seed, count) -> None:
     """
-    A repaired control VM stays excluded permanently, although it runs and its disk is new.
+    A repaired control VM becomes a learner; the next leader overwrites the entry that made it one.
 
-    The VM became a learner and received a part of the log; then the next leader overwrote the entry
-    that made it a learner. Cause: only empty disks were accepted as learners, and this disk was no
-    longer empty.
+    The VM runs, its disk is new, and it has received a part of the log. If only empty disks were
+    accepted as learners, the VM would stay excluded permanently, because its disk is no longer
+    empty.
     """
     run(seed, count, STEPS)
 
 
 def test_local_snapshot_never_replaces_a_newer_one_from_the_leader() -> None:
     """
-    A control VM that was behind uses outdated members after the leader sent it a snapshot.
+    While a replica writes a snapshot that it took itself, it installs a newer one from the leader.
 
-    While the replica writes a snapshot that it took itself, a newer one from the leader is
-    installed. Cause: the older snapshot was put in force when its write ended.
+    If the older snapshot were put in force when its write ended, a control VM that was behind would
+    use the outdated members of the older snapshot.
     """
     run(826, 3, STEPS)
 
--- a/tests/unit/consensus/test_core_scenarios.py
+++ b/tests/unit/consensus/test_core_scenarios.py
@@ -1,4 +1,9 @@
-"""Failures of the consensus core that need an exact order of events, with and without the guard."""
+"""
+Failures that the consensus core must prevent and that need an exact order of events.
+
+Each test runs the events twice: with the core's guard against the failure, and with the guard
+removed, to show that the failure then occurs.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +20,7 @@
 
 
 class Trio(RandomRun):
-    """Three cores whose messages are delivered only by the test; c1 is the leader."""
+    """Three consensus cores whose messages are delivered only by the test; c1 is the leader."""
 
     @classmethod
     def with_leader_c1(cls) -> Trio:
@@ -31,7 +36,7 @@
         return next(name for name, node in self.node_by_daemon.items() if node.core.is_leader)
 
     def elect_leader(self, daemon: str) -> None:
-        """Make leaders resign until the given daemon is the leader."""
+        """Make each elected leader resign until the given daemon is the leader."""
         while self.leader() != daemon:
             self.step(self.node_by_daemon[self.leader()], events.Resign())
             for _ in range(200):
@@ -40,7 +45,9 @@
 
     def deliver_from(self, sender: str, target: str, kind: type = ANY) -> int:
         """
-        Deliver the messages in transit from sender to target, with all syncs; return their number.
+        Deliver the messages in transit from sender to target; return how many were delivered.
+
+        After each message, all disk writes that it causes are completed.
         """
         waiting = [
             message
@@ -76,7 +83,9 @@
 
     def elect(self, candidate: str, voter: str) -> None:
         """
-        Let the candidate time out and ask a single voter, which is enough for a majority of three.
+        Let the candidate's election timeout pass and deliver its vote requests to a single voter.
+
+        The votes of the candidate and this voter are a majority of three.
         """
         node = self.node_by_daemon[candidate]
         node.core.state.election_due_at = self.now
@@ -97,11 +106,11 @@
 @pytest.mark.parametrize("remove_guard", [None, guards.vote_despite_leader_contact])
 def test_a_voter_in_contact_with_the_leader_grants_no_vote(monkeypatch, remove_guard) -> None:
     """
-    The platform receives orders from two processes that both hold a lease.
+    C2 is partitioned from the leader c1, its election timeout passes, and it asks c3 for its vote.
 
-    C2 is partitioned from the leader c1 and times out, while c3 has just replied to c1, which
-    therefore holds a lease. C2 asks c3 for its vote. Without the guard, c3 grants it while its
-    reply still supports the lease of c1.
+    C3 has just replied to a heartbeat of c1, which therefore holds a lease. Without the guard, c3
+    would grant its vote while its reply still supports the lease of c1. Both c1 and c2 would hold a
+    lease, and the platform would receive orders (requests to change the system) from both.
     """
     trio = Trio.with_leader_c1()
     for _ in range(8):
@@ -113,11 +122,11 @@
 @pytest.mark.parametrize("remove_guard", [None, guards.vote_right_after_restart])
 def test_a_voter_that_restarted_waits_before_it_votes(monkeypatch, remove_guard) -> None:
     """
-    The platform receives orders from two processes that both hold a lease.
+    C3 replies to a heartbeat of the leader c1, crashes, restarts at once and is asked for a vote.
 
-    As in the test above, but c3 crashes after its reply and restarts at once. Without the guard, c3
-    has lost the record of its reply and votes for c2 before the lease of c1, which the reply
-    supports, has expired.
+    C2, which is partitioned from c1, asks for the vote. C3 has lost the record of its reply.
+    Without the guard, c3 would vote for c2 before the lease of c1, which the reply supports, has
+    expired. Both c1 and c2 would hold a lease, and the platform would receive orders from both.
     """
     trio = Trio.with_leader_c1()
     for _ in range(8):
@@ -132,11 +141,11 @@
 @pytest.mark.parametrize("remove_guard", [None, guards.lease_from_reply_receipt])
 def test_late_heartbeat_replies_do_not_extend_the_lease(monkeypatch, remove_guard) -> None:
     """
-    The platform receives orders from two processes that both hold a lease.
+    The replies to a heartbeat round of c1 are in transit for almost an election timeout.
 
-    The replies to a heartbeat round are in transit for almost an election timeout; then c1 is
-    partitioned and c2 is elected. Without the guard, c1 counts its lease from the receipt of the
-    replies, while the followers withhold their votes only from the receipt of the heartbeat.
+    Then c1 is partitioned and c2 is elected. Without the guard, c1 would count its lease from the
+    receipt of the replies, while the followers withhold their votes only from the receipt of the
+    heartbeat. Both c1 and c2 would hold a lease, and the platform would receive orders from both.
     """
     trio = Trio.with_leader_c1()
     trio.now += 0.25
@@ -157,7 +166,7 @@
 
 
 def _expect_overlap(monkeypatch, remove_guard, trio, run_failure) -> None:
-    """Run the failure and check that two leases overlap only without the guard."""
+    """Run the events of a failure; check that two leases overlap only without the guard."""
     if remove_guard is None:
         run_failure()
         trio.check_leases()
@@ -173,13 +182,14 @@
     monkeypatch, remove_guard
 ) -> None:
     """
-    Accepted rules of an operator are lost after two leader changes.
-
-    C1 appends an entry and crashes. C2, which lacks the entry, becomes leader, appends one of its
-    own and crashes. C1 becomes leader again and copies its old entry to c3, so a majority holds it.
-    If c1 crashes and c2 becomes leader again, c2's entry has the newer term and overwrites the old
-    one. Without the guard, c1 has already answered "accepted" because a majority held the old
-    entry.
+    An entry of an earlier term is on a majority, but can still be overwritten.
+
+    C1 appends an entry with an operator's rules and crashes. C2, which lacks the entry, becomes
+    leader, appends an entry of its own and crashes. C1 becomes leader again and copies its old
+    entry to c3, so a majority holds the old entry. If c1 crashes and c2 becomes leader again, c2's
+    entry has the newer term and overwrites the old entry. Without the guard, c1 would already have
+    answered "accepted" because a majority held the old entry, and the accepted rules of the
+    operator would be lost after two leader changes.
     """
     trio = Trio.with_leader_c1()
     if remove_guard is not None:
@@ -198,7 +208,7 @@
     trio.crash(first)
     trio.start(first)
     trio.now += 1.5
-    # The first attempt only informs c1 of the newer term.
+    # In the first attempt c1 only learns the newer term from c3's reply; the second one elects c1.
     trio.elect("c1", "c3")
     trio.elect("c1", "c3")
     assert first.core.is_leader
@@ -208,7 +218,7 @@
 
 def _copy_old_entry(trio: Trio, entry_index: int) -> None:
     """
-    Deliver only the old entry to c3; the leader's first entry of its own term stays in transit.
+    Deliver only the old entry to c3, without the first entry of the leader's own term.
     """
     for position, (sender, target, request) in enumerate(trio.messages):
         if not isinstance(request, AppendRequest):
@@ -217,7 +227,8 @@
         trio.messages[position] = (sender, target, replace(request, entries=old))
     trio.deliver_from("c1", "c3", AppendRequest)
     trio.deliver_from("c3", "c1", AppendReply)
-    # The reply to the probe contained c3's match index; now only the old entry is sent to c3.
+    # C1 has learned c3's match index from the reply to its first message (the probe). Of the next
+    # message, again only the old entry is delivered to c3.
     for position, (sender, target, request) in enumerate(trio.messages):
         if not isinstance(request, AppendRequest):
             continue
@@ -230,11 +241,11 @@
 @pytest.mark.parametrize("remove_guard", [None, guards.answer_for_previous_disk])
 def test_a_wiped_voter_does_not_vote_again_in_the_same_term(monkeypatch, remove_guard) -> None:
     """
-    Two control VMs are leaders in one term and send orders with the same fencing number.
+    C3 votes for c2 and loses its disk; c1 is a candidate in the same term and asks c3 for its vote.
 
-    C3 votes for c2 and loses its disk right after; c1 is a candidate in the same term and asks c3
-    too. Without the guard, the empty replica answers as the voter that it was, without a record of
-    its vote.
+    Without the guard, the now empty replica of c3 would answer as the voter that it was before,
+    without a record of its vote. Two control VMs would be leaders in one term and send orders to
+    the platform with the same fencing number.
     """
     trio = Trio.with_leader_c1()
     third = trio.node_by_daemon["c3"]
--- a/tests/unit/consensus/test_peer.py
+++ b/tests/unit/consensus/test_peer.py
@@ -18,7 +18,7 @@
 
 
 class Follower(consensus_pb2_grpc.ConsensusServicer):
-    """Records the number of messages of each delivery."""
+    """gRPC service of a follower that records how many messages each `Deliver` call contains."""
 
     def __init__(self) -> None:
         self.delivered: asyncio.Queue[int] = asyncio.Queue()
@@ -31,8 +31,9 @@
 async def test_a_leader_sends_to_a_follower_again_after_a_failed_snapshot_read(
     tmp_path, monkeypatch
 ) -> None:
-    # A leader has no free descriptor while it sends a snapshot, and from then on sends that
-    # follower nothing.
+    # A leader has no free file descriptor while it reads a snapshot to send it to a follower. If
+    # the failed read ended the task that sends to this follower, the leader would send nothing to
+    # the follower from then on.
     storage = Storage.from_folder(tmp_path / "consensus")
     meta = SnapshotMeta(1, 1, Members(), 5, zlib.crc32(b"state"))
     storage.write_snapshot(meta, b"state")
--- a/tests/unit/consensus/test_power_loss.py
+++ b/tests/unit/consensus/test_power_loss.py
@@ -21,9 +21,10 @@
 
 def write_replica_history(folder: Path, recorder: Recorder) -> None:
     """
-    Write what a replica writes: votes, entries, a conflicting tail, a snapshot and more entries.
+    Write what a replica writes: terms, entries, a conflicting tail, a snapshot and more entries.
 
-    An acknowledged state is the term and the entries by index that were acknowledged to others.
+    After each write, the acknowledged state is recorded: the term and the entries, by index, that
+    the replica has acknowledged to others by then.
     """
     storage = Storage.from_folder(folder)
     recorder.acknowledge((0, {}))
@@ -35,7 +36,7 @@
     storage.write_log((LogChange(0, tuple(entries.values())[2:]),))
     recorder.acknowledge((1, dict(entries)))
     storage.write_hard_state(HardState(2))
-    # The next leader holds another entry 4, so the old one need not survive any more.
+    # The next leader holds another entry 4, so the old entry 4 need not survive any more.
     del entries[4]
     recorder.acknowledge((2, dict(entries)))
     storage.write_log((LogChange(4, (entry(4, 2), entry(5, 2))),))
@@ -52,7 +53,11 @@
 
 
 def find_losses(tmp_path: Path, recorder: Recorder) -> list[str]:
-    """Recover from each state that may survive; list the acknowledged state that is missing."""
+    """
+    Open the storage on each disk state that may survive a power loss.
+
+    :return: a description of each acknowledged state that is missing after the recovery.
+    """
     found = []
     recovered_folder = tmp_path / "again"
     seen = set()
@@ -73,7 +78,7 @@
 
 
 def describe_loss(storage: Storage | Damage, term: int, entries: dict[int, Entry]) -> str:
-    """Describe what a recovered replica lacks; empty if it lacks nothing."""
+    """Describe the acknowledged state that a recovered replica lacks; empty for nothing."""
     if isinstance(storage, Damage):
         return f"does not start: {storage.message}"
     try:
@@ -105,8 +110,9 @@
 
 
 def test_power_loss_between_any_two_calls_loses_no_acknowledged_state(tmp_path, record) -> None:
-    # A control VM loses power between any two calls of its storage. After its restart it must hold
-    # all that it acknowledged; otherwise a change that was confirmed to an operator is lost.
+    # A control VM loses power between any two file system calls of its storage. If it did not hold
+    # all that it acknowledged after its restart, a change that was confirmed to an operator could
+    # be lost.
     assert find_losses(tmp_path, record()) == []
 
 
@@ -121,7 +127,8 @@
     ],
 )
 def test_omitting_any_sync_loses_state(tmp_path, record, name) -> None:
-    # Without any one of these syncs some state is lost, and the test above detects the loss.
+    # Shows that the test above detects a missing sync: without any one of these syncs, some
+    # acknowledged state is lost.
     assert find_losses(tmp_path, record(lambda synced: synced == name))
 
 
--- a/tests/unit/consensus/test_repair.py
+++ b/tests/unit/consensus/test_repair.py
@@ -50,16 +50,17 @@
 
 
 def test_permanently_lost_voter_is_replaced_by_a_spare() -> None:
-    # A store is permanently lost and an empty one starts at another address. If the new one were
-    # not added, the loss of one more store would stop the log.
+    # One of three voting stores is permanently lost, and an empty store starts at another address.
+    # If the empty store did not replace the lost voter, the loss of one more store would stop the
+    # log.
     state = leader_state(MEMBERS_OF_THREE, silent=("b",))
 
     assert next_change(state, [SPARE], (), 3) == Replace(SPARE.replica, VOTERS[1])
 
 
 def test_a_replacement_comes_from_the_data_centre_with_the_fewest_voters() -> None:
-    # Of thirty stores the first ones by address are in one data centre. If they always replaced
-    # lost voters, all voters would end up there, and the loss of that data centre would stop the
+    # Of thirty stores, the first ones by address are in one data centre. If these stores always
+    # replaced lost voters, all voters would end up in this data centre, and its loss would stop the
     # log.
     state = leader_state(MEMBERS_OF_THREE, silent=("c",))
     responsive_voters = [Candidate(VOTERS[0], "derby"), Candidate(VOTERS[1], "stoke")]
@@ -78,8 +79,8 @@
 
 
 def test_silent_voter_stays_while_there_is_no_spare() -> None:
-    # A partition isolates one of three voters: if that voter were removed, one more loss would stop
-    # the log.
+    # A partition isolates one of three voters. If the isolated voter were removed, the loss of one
+    # more voter would stop the log.
     state = leader_state(MEMBERS_OF_THREE, silent=("b",))
 
     assert next_change(state, [], (), 3) is None
--- a/tests/unit/consensus/test_start.py
+++ b/tests/unit/consensus/test_start.py
@@ -36,9 +36,11 @@
 
 
 def test_the_wait_after_a_restart_counts_from_the_start_of_the_process() -> None:
-    # All VMs are killed at once. The previous process may have supported a lease until it ended,
-    # which was before this one started. Counted from the end of the imports, the wait would delay
-    # the election of a leader by a third of a second more than any lease lasts.
+    # All VMs are killed at once and restart. A voter's previous process may have supported a
+    # leader's lease until it ended, which was before the new process started; so the new process
+    # withholds its vote for one election timeout. If this wait were counted from the end of the
+    # imports, it would delay the election of a leader by a third of a second longer than any lease
+    # can last.
     core = core_after_slow_imports()
     assert must_withhold_vote(core.state)
 
@@ -51,8 +53,9 @@
 
 
 def test_core_times_come_from_the_settings() -> None:
-    # An operator shortens all times. If the lease kept its old duration, it would outlast the
-    # election timeout after which another leader is elected, and both would act as leader.
+    # An operator shortens all times in the settings. If the leader lease kept its old duration, it
+    # would outlast the election timeout after which another leader is elected, and both would act
+    # as leader.
     control = ControlSettings(
         "127.0.0.1:1", heartbeat_s=0.1, election_timeout_s=0.5, leader_lease_s=0.4
     )
@@ -79,7 +82,8 @@
 async def test_a_replica_that_starts_on_a_full_disk_waits_for_free_space(
     tmp_path, monkeypatch, refused
 ) -> None:
-    # The daemon of a VM with a new disk that is full for some time ends at each start.
+    # A VM has a new disk, which is full for some time when the daemon starts. If the start did not
+    # wait for free space, the daemon would end at each start.
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     disk = full_disk(monkeypatch, refused)
     kernel = kernel_of_a_replica(tmp_path / "control" / "consensus")
@@ -94,8 +98,8 @@
 
 
 async def test_a_replica_that_waits_for_free_space_stops_on_request(tmp_path, monkeypatch) -> None:
-    # A daemon that waits for free space at its start does not stop when asked and is killed after
-    # the grace period.
+    # A daemon waits for free space at its start and is asked to stop. If the wait could not be
+    # interrupted, the daemon would be killed after the grace period.
     disk = full_disk(monkeypatch, "mkdir")
     kernel = kernel_of_a_replica(tmp_path / "consensus")
 
--- a/tests/unit/consensus/test_storage.py
+++ b/tests/unit/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""What the storage reads after crashes and damage."""
+"""State that a replica's storage loads after a crash, a full disk or damage to its files."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """A folder with ten entries, one record each, and a vote."""
+    """Folder of a replica that has a vote and a log of ten entries, one record each."""
     storage = open_storage(tmp_path / "consensus")
     storage.write_hard_state(VOTED)
     for entry in entries(1, 10):
@@ -84,9 +84,10 @@
 @pytest.mark.parametrize("cut", [1, 5, 13])
 def test_a_torn_last_record_is_cut_off(folder, cut) -> None:
     """
-    A VM loses power during a write, and has to start again without an operator.
+    A VM loses power during a write of the log, and has to start again without an operator.
 
-    The last record is on disk only in part. It was never synced, so nothing in it was acknowledged.
+    The last record is on disk only in part. It was never synced, so nothing in it was acknowledged,
+    and the replica must remove this part and start.
     """
     segment = segment_of(folder)
     segment.write_bytes(segment.read_bytes()[:-cut])
@@ -98,7 +99,11 @@
 
 
 def test_a_record_of_zeros_at_the_end_is_cut_off(folder) -> None:
-    """The file system extended the file but lost the data written into it."""
+    """
+    At a power loss, the file system extended the log file but lost the data of the last write.
+
+    The zeros at the end of the file must be removed like a torn record.
+    """
     segment = segment_of(folder)
     segment.write_bytes(segment.read_bytes() + bytes(100))
     assert open_storage(folder).stored.entries == entries(1, 10)
@@ -108,9 +113,9 @@
     """
     A disk returns one wrong byte in the middle of the log.
 
-    If the log were truncated there, the replica would forget entries that it acknowledged, and they
-    could be lost with a second VM. The replica refuses to start and reports file and offset, so
-    that the operator can wipe the disk.
+    If the log were truncated at this byte, the replica would forget entries that it acknowledged,
+    and the loss of a second VM could lose these entries. The replica has to refuse to start and to
+    report file and offset, so that the operator can wipe the disk.
     """
     segment = segment_of(folder)
     good = segment.read_bytes()
@@ -138,7 +143,7 @@
 
 
 class PowerLost(Exception):
-    """The crash simulated by a test."""
+    """Raised by a patched call to simulate a crash at this call."""
 
 
 @pytest.mark.parametrize("step", range(12))
@@ -146,7 +151,8 @@
     """
     A VM crashes while it stores a snapshot and compacts the log.
 
-    At any step, the remaining snapshot and log must give the same state, with term and vote.
+    After a crash at any step, the files must give the state machine's data and all log entries,
+    with term and vote.
     """
     storage = open_storage(folder)
     storage.write_snapshot(meta(4), b"state")
@@ -184,8 +190,9 @@
 
 
 def test_a_large_snapshot_is_written_without_a_copy(folder) -> None:
-    # The complete state of a store is written every thousand commands. Two copies of it, besides
-    # the state and its encoding, would be a large part of the store's peak memory.
+    # The complete state of a store is written every thousand commands. Two more copies of the
+    # encoded state, besides the state and its encoding, would be a large part of the store's peak
+    # memory.
     storage = open_storage(folder)
     data = bytes(8_000_000)
     tracemalloc.start()
@@ -200,7 +207,11 @@
 
 
 def test_received_snapshot_without_its_segment_is_loaded(folder) -> None:
-    """A follower crashes between writing the leader's snapshot and writing its new log segment."""
+    """
+    A follower crashes after it wrote the leader's snapshot and before it wrote a new log segment.
+
+    At its restart the log is older than the snapshot; the replica must start from the snapshot.
+    """
     storage = open_storage(folder)
     storage.write_snapshot(meta(50), b"state")
     storage.close()
@@ -213,7 +224,8 @@
 
 
 def test_new_folder_names_are_synced_before_term_and_vote_are_written(tmp_path, synced) -> None:
-    # All VMs lose power after their first start, and each restarts without its data folder.
+    # All VMs lose power after their first start. If the names of the new folders were not synced
+    # before term and vote, each VM could restart without its data folder.
     open_storage(tmp_path / "data" / "control" / "consensus").close()
 
     term_and_vote = synced.index(tmp_path / "data" / "control" / "consensus" / "hard_state.tmp")
@@ -222,8 +234,9 @@
 
 
 def test_folder_names_created_by_a_killed_process_are_synced(tmp_path, synced) -> None:
-    # As above, but the first process was killed after it created its folders and before it synced
-    # their names.
+    # All VMs lose power after their first start, and the first process on a VM was killed after it
+    # created its folders and before it synced their names. If the second process did not sync the
+    # names of existing folders, the VM could restart without its data folder.
     folder = tmp_path / "control" / "consensus"
     folder.mkdir(parents=True)
     open_storage(folder).close()
@@ -232,7 +245,8 @@
 
 
 def test_refused_start_leaks_no_descriptor(folder, monkeypatch) -> None:
-    # A replica that waits for free space at its start leaks a descriptor with each attempt.
+    # A replica waits for free space at its start and retries to open its storage. If a failed
+    # attempt did not close the log segment, each attempt would leak a file descriptor.
     data = b"state"
     storage = open_storage(folder)
     storage.write_snapshot(meta(30, data), data)
--- a/tests/unit/consensus/test_writer.py
+++ b/tests/unit/consensus/test_writer.py
@@ -1,4 +1,4 @@
-"""The writer: retries, group commit and failures of the disk."""
+"""The writer of a replica's files: retries, disk errors, and one sync for many writes."""
 
 from __future__ import annotations
 
@@ -44,10 +44,11 @@
 
 async def test_a_failed_sync_is_never_reported_as_synced(storage, monkeypatch) -> None:
     """
-    An accepted write is lost although every control VM reported it as synced.
+    The sync of a log write fails once, for example because the disk is full.
 
-    The disk is full, or its sync fails once. Cause: the replica continued after a failed sync; the
-    next sync may succeed although the data of the failed one was dropped.
+    If the replica continued after the failed sync, the next sync could succeed although the data of
+    the failed one was dropped. An accepted write would be lost although every control VM reported
+    it as synced.
     """
 
     def write_log(changes):
@@ -68,11 +69,11 @@
 
 async def test_a_log_write_is_retried_while_the_disk_is_full(tmp_path, monkeypatch) -> None:
     """
-    A store's disk is full for some seconds, and its daemon ends then and at each later start.
+    A store's disk is full for some seconds, and a log write is written only in part.
 
-    Cause: a write without free space was handled like a failed sync. Nothing of such a write is
-    acknowledged, and its written part is removed, so that the log is read completely after a
-    restart.
+    If a write without free space were handled like a failed sync, the store's daemon would end, and
+    would end again at each later start. Nothing of such a write is acknowledged, so it can be
+    retried. Its written part is removed, so that the log is read completely after a restart.
     """
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     storage = Storage.from_folder(tmp_path / "consensus")
@@ -120,8 +121,9 @@
 async def test_writing_a_new_term_is_retried_while_the_disk_is_full(
     storage, monkeypatch, refused
 ) -> None:
-    # A leader is elected while the disk of a follower is full: the temporary file for term and vote
-    # cannot be created, and the control daemon ends.
+    # A leader is elected while the disk of a follower is full, so the temporary file for term and
+    # vote cannot be created, synced or renamed. If the write were not retried, the control daemon
+    # would end.
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     owner = {"open": Path, "fsync": files.os, "replace": Path}[refused]
     disk = RefusedCalls(monkeypatch, errno.ENOSPC, (owner, refused))
@@ -141,7 +143,7 @@
 
 
 async def fails_without_descriptors(storage, monkeypatch, job) -> bool:
-    """Return whether the writer failed on a job for which no file could be opened at first."""
+    """Return whether the writer fails on a job because no file can be opened at first."""
     monkeypatch.setattr(writer_module, "WRITE_RETRY_S", 0.01)
     disk = RefusedCalls(monkeypatch, errno.EMFILE, (files.os, "open"), (Path, "open"))
     synced, failed = asyncio.Queue(), asyncio.Event()
@@ -163,7 +165,8 @@
 async def test_writing_a_new_term_is_retried_while_no_descriptor_is_free(
     storage, monkeypatch
 ) -> None:
-    # A store that has no free descriptor for a moment ends as soon as the leader changes.
+    # The leader changes while a store has no free file descriptor for a moment. If the write of the
+    # new term were not retried, the store would end.
     job = Persist(1, hard_state=HardState(term=9))
     assert not await fails_without_descriptors(storage, monkeypatch, job)
     assert Storage.from_folder(storage.folder).stored.hard_state.term == 9
@@ -172,7 +175,8 @@
 async def test_writing_a_snapshot_is_retried_while_no_descriptor_is_free(
     storage, monkeypatch
 ) -> None:
-    # As above, at the next snapshot.
+    # A store has no free file descriptor for a moment when it takes a snapshot. If the write of the
+    # snapshot were not retried, the store would end.
     meta = SnapshotMeta(1, 1, Members(), 5, zlib.crc32(b"state"))
     job = StoreSnapshot(meta, b"state", SegmentStart(0, 0), (), lambda: None)
     assert not await fails_without_descriptors(storage, monkeypatch, job)
@@ -182,7 +186,8 @@
 def test_a_log_segment_that_cannot_be_opened_leaves_the_previous_one_open(
     storage, monkeypatch
 ) -> None:
-    # A replica that has no free descriptor during a snapshot writes to a closed file afterwards.
+    # A replica has no free file descriptor when it opens the new log segment of a snapshot. If the
+    # old segment were closed first, the replica would write to a closed file afterwards.
     original = files.os.open
 
     def without_descriptors(path, *arguments):
@@ -202,8 +207,8 @@
 
 
 async def test_a_folder_sync_is_retried_while_no_descriptor_is_free(storage, monkeypatch) -> None:
-    # A replica has no free descriptor between the rename of its hard state file and the sync of the
-    # folder.
+    # A replica has no free file descriptor between the rename of its hard state file (term and
+    # vote) and the sync of the folder. If the sync were not retried, the replica would end.
     original = files.os.open
     refused = []
 
