--- a/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
@@ -53,7 +53,7 @@
         """
         Build the configuration of a control daemon's replica from the daemon's settings.
 
-        :param settings: checked settings of a daemon with the control role.
+        :param settings: validated settings of a daemon with the control role.
         """
         return cls(
             daemon=settings.daemon,
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/core.py
@@ -66,11 +66,11 @@
     """
     The state of a replica as read from disk when its process starts.
 
-    :param hard_state: term and vote.
+    :param hard_state: newest term of the replica, and its vote in this term.
     :param snapshot: metadata of the newest snapshot.
     :param base_index: log index just before the first stored entry.
     :param base_term: term of the entry at `base_index`.
-    :param entries: entries after `base_index`, without gaps.
+    :param entries: all stored log entries after `base_index`, without gaps.
     """
 
     hard_state: HardState
@@ -102,8 +102,9 @@
         :param config: times and sizes of the core, such as the election timeout.
         :param stored: state as read from disk.
         :param randomness: source of the random election timeouts.
-        :param now: start of the process, in seconds on the lease clock. With a later time, a
-            cluster whose processes all restart would elect its leader later by the difference.
+        :param now: start of the process, in seconds on the lease clock (`boot_now`). With a
+            later time, a cluster whose processes all restart would elect its leader later by the
+            difference.
         """
         log = Log.from_entries(stored.snapshot, stored.base_index, stored.base_term, stored.entries)
         state = CoreState(
@@ -125,8 +126,8 @@
         """
         Process one event and return the effects that the caller has to carry out.
 
-        :param now: time of the event in seconds on the lease clock; a time before that of the
-            previous event counts as the time of the previous event.
+        :param now: time of the event in seconds on the lease clock (`boot_now`); a time before that
+            of the previous event counts as the time of the previous event.
         :return: the effects, to be carried out in this order.
         """
         state = self.state
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/files.py
@@ -121,7 +121,7 @@
     bad record before a valid one was therefore synced and damaged later. The replica may have sent
     votes or acknowledgements that depend on the lost record, so it must not continue without it.
 
-    :param path: the file.
+    :param path: the file with the records.
     :return: the valid records, without a torn record at the end of the file; the damage if a bad
         record precedes a valid one.
     """
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
@@ -54,7 +54,6 @@
     :param node: the replica that received the operator's request.
     :param action: `identify`, `status`, `bootstrap`, `replace` or `snapshot`.
     :param arguments: arguments of `replace`, see `replace_member`; unused for the other actions.
-    :return: the answer to the operator.
     """
     if action == "identify":
         return _success(
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/node.py
@@ -55,7 +55,7 @@
         """
         Build a control daemon's replica from the daemon's settings.
 
-        :param settings: checked settings of a daemon with the control role.
+        :param settings: validated settings of a daemon with the control role.
         :return: the service; `start` opens the replica's files.
         """
         return cls(ReplicaConfig.from_config(settings))
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/own_member.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/own_member.py
@@ -15,7 +15,7 @@
     """
     Build the record with which this daemon reports its disk to the directory.
 
-    :param settings: contain the daemon's address and data centre.
+    :param settings: the daemon's settings, with its address and data centre.
     :param consensus: the daemon's replica, whose disk is reported.
     """
     return Member(
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/proposals.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/proposals.py
@@ -58,7 +58,7 @@
         self._proposal_by_position[(index, term)] = self._proposal_by_number.pop(number)
 
     def refused(self, number: int) -> None:
-        """Complete a proposal that was not appended to any log with a refusal."""
+        """Complete a proposal with a refusal, because it was not appended to any log."""
         _set_result(self._proposal_by_number.pop(number), self.no_leader())
 
     def applied(self, index: int, term: int, result: bytes) -> None:
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/quorum.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/quorum.py
@@ -19,7 +19,7 @@
     """
     List the groups of voters; a quorum needs a majority of each group.
 
-    :param members: members in force.
+    :param members: the cluster's voters and learners that are in force.
     :return: the voters and, during a membership change, the outgoing voters as a second group.
     """
     if members.outgoing:
@@ -31,7 +31,7 @@
     """
     Return whether a replica is a voter.
 
-    :param members: members in force.
+    :param members: the cluster's voters and learners that are in force.
     :param replica: daemon and disk; the same daemon with a wiped disk is another replica.
     :return: whether the replica is a current or an outgoing voter.
     """
@@ -42,7 +42,7 @@
     """
     Return whether a set of replicas is a quorum.
 
-    :param members: members in force.
+    :param members: the cluster's voters and learners that are in force.
     :param replicas: the replicas that agreed, for example by a vote.
     :return: whether the replicas include a majority of each group of voters.
     """
@@ -56,7 +56,7 @@
     """
     Return the highest number that a quorum of voters has reached or passed.
 
-    :param members: members in force.
+    :param members: the cluster's voters and learners that are in force.
     :param value_of: returns a non-decreasing number of a voter, such as its match index.
     :return: the number; 0 without voters.
     """
@@ -73,7 +73,7 @@
     """
     List all replicas that receive the log.
 
-    :param members: members in force.
+    :param members: the cluster's voters and learners that are in force.
     :return: voters, outgoing voters and learners; each replica once.
     """
     learners = tuple(learner.replica for learner in members.learners)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
@@ -62,7 +62,7 @@
 
         The sizes and the election spread keep their defaults.
 
-        :param control: checked settings of the control role.
+        :param control: validated settings of the control role.
         """
         return cls(
             heartbeat_s=control.heartbeat_s,
@@ -147,9 +147,9 @@
 @dataclass
 class CoreState:
     """
-    Complete state of a replica's consensus core; all times are seconds on the lease clock.
+    State of a replica's consensus core; all times are seconds on the lease clock (`boot_now`).
 
-    :param hard_state: term and vote, as they were last passed to `persist`.
+    :param hard_state: newest term and the vote in it, as they were last passed to `persist`.
     :param now: time of the event that is being processed.
     :param started_at: start time of this process.
     :param election_due_at: time of the next election unless a leader contacts this replica earlier.
@@ -202,7 +202,7 @@
     """
     List the replicas to which a leader sends the log.
 
-    :param members: members in force.
+    :param members: the cluster's voters and learners that are in force.
     :param replica: the leader.
     :return: all voters and learners except the leader.
     """
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/storage.py
@@ -88,7 +88,7 @@
 
 
 class Storage:
-    """The files of one replica, with the log segment open for appending."""
+    """Reads and writes the files of one replica; the log segment is open for appending."""
 
     def __init__(self, folder: Path, disk_id: str, stored: StoredState, segment: Path) -> None:
         self.folder = folder
@@ -127,7 +127,7 @@
         replace_file(self.folder / _HARD_STATE, frame(encode(stored)))
 
     def write_log(self, changes: tuple[LogChange, ...]) -> None:
-        """Append log changes as one record and sync it."""
+        """Append log changes to the log segment as one record, and sync the record to disk."""
         end = os.fstat(self._descriptor).st_size
         try:
             write_all(self._descriptor, frame(encode(LogRecord(changes))))
--- a/tests/unit/consensus/guards.py
+++ b/tests/unit/consensus/guards.py
@@ -34,7 +34,7 @@
 
 
 def vote_despite_leader_contact(patch: pytest.MonkeyPatch) -> None:
-    """Let a follower that was just contacted by a leader vote for another candidate."""
+    """Let a follower vote for another candidate although a leader has just contacted it."""
     patch.setattr(election, "must_withhold_vote", lambda state: False)
 
 
--- a/tests/unit/consensus/run_nodes.py
+++ b/tests/unit/consensus/run_nodes.py
@@ -67,7 +67,7 @@
 
     :param rate: seconds on the daemon's clock per second of the run.
     :param core: the consensus core; None while the daemon's process does not run.
-    :param jobs: queued writes, which are lost in a crash.
+    :param jobs: queued writes, which a crash may lose.
     :param applied: index of the last log entry that the daemon applied.
     :param digest: checksum of all applied entries, which stands for the state machine's state.
     :param frozen: whether the process is suspended and receives neither ticks nor messages.
