--- a/packages/ibisspring-control/src/ibisspring_control/engine_orders/loads.py
+++ b/packages/ibisspring-control/src/ibisspring_control/engine_orders/loads.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ibisspring_decisions.weights import EngineView, plan_wave
+from ibisspring_decisions.weights import EngineLoadState, choose_loads
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -100,7 +100,7 @@
         free_slots = self._max_store_loads - self.loading_count()
         record_by_endpoint = {engine.endpoint: engine for engine in engines}
         loads = []
-        for endpoint in plan_wave(views, target.version, free_slots, now):
+        for endpoint in choose_loads(views, target.version, free_slots, now):
             loads.append(self._start_load(target, record_by_endpoint[endpoint], now))
         return tuple(loads)
 
@@ -176,13 +176,13 @@
         elif timed_out:
             self._attempt_by_adapter_key[adapter_key] = _with_failure(attempt, now)
 
-    def _view(self, target: Target, engine: EndpointRecord) -> EngineView:
+    def _view(self, target: Target, engine: EndpointRecord) -> EngineLoadState:
         attempt = self._attempt_by_adapter_key.get((engine.endpoint, target.adapter))
         version = engine.version_by_adapter.get(target.adapter)
         if attempt is None:
-            return EngineView(engine.endpoint, version, running=engine.load.running)
+            return EngineLoadState(engine.endpoint, version, running=engine.load.running)
         same_version = attempt.version == target.version
-        return EngineView(
+        return EngineLoadState(
             engine.endpoint,
             None if attempt.disproved else version,
             loading=attempt.loading,
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/drains.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/drains.py
@@ -11,7 +11,7 @@
 from ibisspring_core.errors import Refusal
 from ibisspring_core.messages.commands import DrainEndpoint
 from ibisspring_core.request_ids import new_request_id
-from ibisspring_decisions.drain import Draining, DrainLimits, DrainStep, next_step
+from ibisspring_decisions.drain import DrainingEndpoint, DrainLimits, DrainStep, next_drain_step
 
 if TYPE_CHECKING:
     from ibisspring_control.entry_leases import EntryLeases
@@ -85,13 +85,13 @@
             if not isinstance(in_force, Refusal):
                 self._in_force_by_endpoint[drain.endpoint] = (now, record.sequence)
         in_force_s, sequence = self._in_force_by_endpoint.get(drain.endpoint, (None, 0))
-        draining = Draining(
-            asked_s=now - max(0.0, wall_s - drain.stamped_s),
-            in_force_s=in_force_s,
+        draining = DrainingEndpoint(
+            requested_s=now - max(0.0, wall_s - drain.stamped_s),
+            in_force_since_s=in_force_s,
             in_flight=record.load.running + record.load.queued,
             announced_since=record.sequence > sequence,
         )
-        return next_step(draining, self._limits, now)
+        return next_drain_step(draining, self._limits, now)
 
     async def _send_stop_order(
         self, leadership: Leadership, record: EndpointRecord, step: DrainStep
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
@@ -13,7 +13,14 @@
 from ibisspring_core.errors import Reason
 from ibisspring_core.messages.commands import DrainEndpoint
 from ibisspring_core.request_ids import new_request_id
-from ibisspring_decisions.capacity import Capacity, Place, Running, Start, Stop, Wanted
+from ibisspring_decisions.capacity import (
+    CapacityPlanner,
+    CapacityPool,
+    RunningEndpoint,
+    StartEndpoint,
+    StopEndpoint,
+    WantedFleet,
+)
 
 if TYPE_CHECKING:
     from ibisspring_control.entry_leases import EntryLeases
@@ -41,7 +48,7 @@
         was in the first table of this leader.
     """
 
-    place: Place
+    place: CapacityPool
     service: str
     since_s: float
 
@@ -63,7 +70,7 @@
         self._orders = orders
         self._counters = counters
         self._term = 0
-        self._capacity = Capacity()
+        self._capacity = CapacityPlanner()
         self._known_by_endpoint: dict[str, _KnownEndpoint] = {}
         self._order_number = 0
 
@@ -77,7 +84,7 @@
         """
         if self._term != leadership.term:
             self._term = leadership.term
-            self._capacity = Capacity()
+            self._capacity = CapacityPlanner()
             self._known_by_endpoint = {}
             self._order_number = 0
         # Only live entries report endpoints. While no entry is live, a fleet that is serving would
@@ -87,7 +94,7 @@
         self._update_known_endpoints(now, wall_s)
         placements = self._state.rules.rules.placement_by_service
         for service, placement in sorted(placements.items()):
-            wanted = Wanted(placement.data_centres, placement.count, placement.cheap_share)
+            wanted = WantedFleet(placement.data_centres, placement.count, placement.cheap_share)
             steps = self._capacity.plan(
                 service, wanted, self._running(service), self._pending(service, wall_s), now
             )
@@ -107,7 +114,7 @@
                 continue
             self._counters.add("endpoint.lost")
             eliot.log_message("fleet:lost", endpoint=endpoint, kind=removed.place.kind)
-            self._capacity.note_lost(removed.place, now)
+            self._capacity.record_loss(removed.place, now)
         first_update = not self._known_by_endpoint
         for endpoint, record in serving.items():
             if endpoint not in self._known_by_endpoint:
@@ -118,15 +125,15 @@
                     _place_of(record), record.service, since_s
                 )
 
-    def _running(self, service: str) -> tuple[Running, ...]:
+    def _running(self, service: str) -> tuple[RunningEndpoint, ...]:
         draining = self._state.drains.drain_by_endpoint
         return tuple(
-            Running(endpoint, _place_of(record), record.load.running + record.load.queued)
+            RunningEndpoint(endpoint, _place_of(record), record.load.running + record.load.queued)
             for endpoint, record in sorted(self._leases.endpoint_by_id.items())
             if record.service == service and record.state == SERVING and endpoint not in draining
         )
 
-    def _pending(self, service: str, wall_s: float) -> tuple[Place, ...]:
+    def _pending(self, service: str, wall_s: float) -> tuple[CapacityPool, ...]:
         """Return the places of ordered endpoints that have not announced themselves."""
         arrivals = [
             arrival for arrival in self._known_by_endpoint.values() if arrival.service == service
@@ -151,9 +158,9 @@
         return tuple(pending)
 
     async def _execute(
-        self, leadership: Leadership, service: str, step: Start | Stop, now: float
+        self, leadership: Leadership, service: str, step: StartEndpoint | StopEndpoint, now: float
     ) -> None:
-        if isinstance(step, Stop):
+        if isinstance(step, StopEndpoint):
             drain = DrainEndpoint(step.endpoint, OPERATOR)
             await commit(self._consensus, drain, new_request_id())
             return
@@ -170,21 +177,21 @@
         end = await self._orders.send(leadership, PLATFORM, order_id, order)
         if isinstance(end, OrderEnd) and end.outcome != "done":
             self._counters.refused(Reason.NO_ENDPOINT)
-            self._capacity.note_unavailable(step.place, now)
+            self._capacity.record_unavailable(step.place, now)
 
 
-def _place_of(record: EndpointRecord) -> Place:
-    return Place(record.data_centre, record.kind)
+def _place_of(record: EndpointRecord) -> CapacityPool:
+    return CapacityPool(record.data_centre, record.kind)
 
 
-def _place_of_start_order(order: Order, service: str) -> Place | None:
+def _place_of_start_order(order: Order, service: str) -> CapacityPool | None:
     """Return the place at which an order starts an endpoint; None for refused and other orders."""
     if order.outcome == "refused" or not order.order_id.startswith(f"start-{service}-"):
         return None
     body = json.loads(order.body)
     if body["service"] != service:
         return None
-    return Place(body["data_centre"], body["kind"])
+    return CapacityPool(body["data_centre"], body["kind"])
 
 
 __all__ = ["Fleet"]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/admission.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/admission.py
@@ -147,17 +147,18 @@
     @classmethod
     def from_rules(cls, rule_by_client_account: Mapping[str, RateRule], now: float) -> Admission:
         """
-        Build admission for an entry that uses the complete rates until `share` is called.
+        Build admission for an entry that uses the complete rates until `divide_by_demand` is
+        called.
 
         :param rule_by_client_account: rate and burst of each account over all entries together.
         :param now: seconds on any steady clock, the same one in every call.
         :return: the policy, with full buckets.
         """
         admission = cls()
-        admission.follow_rules(rule_by_client_account, now)
+        admission.set_rules(rule_by_client_account, now)
         return admission
 
-    def follow_rules(self, rule_by_client_account: Mapping[str, RateRule], now: float) -> None:
+    def set_rules(self, rule_by_client_account: Mapping[str, RateRule], now: float) -> None:
         """
         Replace the rules.
 
@@ -176,7 +177,7 @@
             bucket.rule = rule
             self._bucket_by_client_account[name] = bucket
 
-    def ask(self, client_account: str, now: float) -> Admitted | NotAdmitted:
+    def admit(self, client_account: str, now: float) -> Admitted | NotAdmitted:
         """
         Admit or reject one request.
 
@@ -202,7 +203,7 @@
                 demand[name] = recent
         return demand
 
-    def share(self, peers: tuple[PeerDemand, ...], now: float) -> None:
+    def divide_by_demand(self, peers: tuple[PeerDemand, ...], now: float) -> None:
         """
         Set this entry's fraction of each account's rate by demand.
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/call_window.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/call_window.py
@@ -47,39 +47,39 @@
 
     def __init__(self) -> None:
         self.limit = INITIAL_LIMIT
-        self.under_way = 0
+        self.in_flight = 0
         self._grown_at = float("-inf")
         self._shrunk_at = float("-inf")
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Return whether one more call may start."""
-        return self.under_way < int(self.limit)
+        return self.in_flight < int(self.limit)
 
-    def began(self, now: float, waited_s: float, capacity: int) -> None:
+    def call_started(self, now: float, waited_s: float, capacity: int) -> None:
         """
         Count a call that starts, and raise the limit if calls wait too long.
 
         :param waited_s: seconds that the call waited for the limit.
         :param capacity: requests that all endpoints of the route work on at a time.
         """
-        self.under_way += 1
+        self.in_flight += 1
         may_grow = now - self._grown_at >= GROW_EVERY_S and now - self._shrunk_at >= GROWTH_PAUSE_S
         if waited_s > GROW_AFTER_WAIT_S and may_grow:
             self.limit = max(self.limit, min(MAX_CAPACITY_SHARE * capacity, self.limit + 1.0))
             self._grown_at = now
 
-    def left(self) -> None:
-        """Undo `began` for a call that was cancelled before it was sent."""
-        self.under_way -= 1
+    def call_cancelled(self) -> None:
+        """Undo `call_started` for a call that was cancelled before it was sent."""
+        self.in_flight -= 1
 
-    def ended(self, now: float, refused: bool) -> None:
+    def call_ended(self, now: float, rejected: bool) -> None:
         """
         Count a call that ended, and lower the limit if the call was rejected.
 
-        :param refused: whether no endpoint accepted the call.
+        :param rejected: whether no endpoint accepted the call.
         """
-        self.under_way -= 1
-        if refused and now - self._shrunk_at >= SHRINK_EVERY_S:
+        self.in_flight -= 1
+        if rejected and now - self._shrunk_at >= SHRINK_EVERY_S:
             self.limit = max(MIN_LIMIT, SHRINK_FACTOR * self.limit)
             self._shrunk_at = now
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/capacity.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/capacity.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class Wanted:
+class WantedFleet:
     """
     The fleet that the `place` rule of a service asks for.
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class CapacityPool:
     """A data centre and a kind of endpoint, `STANDARD` or `CHEAP`."""
 
     data_centre: str
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Running:
+class RunningEndpoint:
     """
     An endpoint that serves.
 
@@ -73,25 +73,25 @@
     """
 
     endpoint: str
-    place: Place
+    place: CapacityPool
     in_flight: int = 0
 
 
 @dataclass(frozen=True)
-class Start:
+class StartEndpoint:
     """A planned start of one endpoint."""
 
-    place: Place
+    place: CapacityPool
 
 
 @dataclass(frozen=True)
-class Stop:
+class StopEndpoint:
     """A planned stop of an endpoint, which is drained first."""
 
     endpoint: str
 
 
-class Capacity:
+class CapacityPlanner:
     """
     Plans the starts and stops of endpoints.
 
@@ -100,11 +100,11 @@
     """
 
     def __init__(self) -> None:
-        self._paused_until_by_place: dict[Place, float] = {}
-        self._loss_times_by_place: dict[Place, list[float]] = {}
+        self._paused_until_by_place: dict[CapacityPool, float] = {}
+        self._loss_times_by_place: dict[CapacityPool, list[float]] = {}
         self._surplus_since_by_service: dict[str, float] = {}
 
-    def note_unavailable(self, place: Place, now: float) -> None:
+    def record_unavailable(self, place: CapacityPool, now: float) -> None:
         """
         Record that the platform could not start an endpoint of this kind in this data centre.
 
@@ -113,7 +113,7 @@
         """
         self._pause(place, now + UNAVAILABLE_PAUSE_S)
 
-    def note_lost(self, place: Place, now: float) -> None:
+    def record_loss(self, place: CapacityPool, now: float) -> None:
         """
         Record that an endpoint was lost without a stop order.
 
@@ -133,11 +133,11 @@
     def plan(
         self,
         service: str,
-        wanted: Wanted,
-        running: tuple[Running, ...],
-        pending: tuple[Place, ...],
+        wanted: WantedFleet,
+        running: tuple[RunningEndpoint, ...],
+        pending: tuple[CapacityPool, ...],
         now: float,
-    ) -> tuple[Start | Stop, ...]:
+    ) -> tuple[StartEndpoint | StopEndpoint, ...]:
         """
         Plan the endpoints to start or to stop now for one service.
 
@@ -165,18 +165,20 @@
         return self._stops(service, wanted, running, now)
 
     def _starts(
-        self, wanted: Wanted, occupied: list[Place], missing: int, now: float
-    ) -> tuple[Start, ...]:
+        self, wanted: WantedFleet, occupied: list[CapacityPool], missing: int, now: float
+    ) -> tuple[StartEndpoint, ...]:
         starts = []
         for _ in range(missing):
             place = self._best_place(wanted, occupied, now)
             if place is None:
                 break
             occupied.append(place)
-            starts.append(Start(place))
+            starts.append(StartEndpoint(place))
         return tuple(starts)
 
-    def _best_place(self, wanted: Wanted, occupied: list[Place], now: float) -> Place | None:
+    def _best_place(
+        self, wanted: WantedFleet, occupied: list[CapacityPool], now: float
+    ) -> CapacityPool | None:
         for kind in (CHEAP, STANDARD):
             if kind == CHEAP and _cheap_count(occupied) >= _max_cheap(wanted):
                 continue
@@ -186,8 +188,8 @@
         return None
 
     def _least_occupied(
-        self, wanted: Wanted, occupied: list[Place], kind: str, now: float
-    ) -> Place | None:
+        self, wanted: WantedFleet, occupied: list[CapacityPool], kind: str, now: float
+    ) -> CapacityPool | None:
         """
         Choose the data centre for another endpoint of a kind.
 
@@ -197,7 +199,7 @@
         best = None
         best_rank = (0, 0, 0)
         for preference, data_centre in enumerate(wanted.data_centres):
-            place = Place(data_centre, kind)
+            place = CapacityPool(data_centre, kind)
             if self._paused_until_by_place.get(place, 0.0) > now:
                 continue
             same_kind = occupied.count(place)
@@ -212,7 +214,9 @@
                 best_rank = rank
         return best
 
-    def _replacement(self, wanted: Wanted, occupied: list[Place], now: float) -> Start | None:
+    def _replacement(
+        self, wanted: WantedFleet, occupied: list[CapacityPool], now: float
+    ) -> StartEndpoint | None:
         """
         Plan one start of the kind that has too few endpoints.
 
@@ -224,11 +228,11 @@
             return None
         kind = CHEAP if cheap < max_cheap else STANDARD
         place = self._least_occupied(wanted, occupied, kind, now)
-        return Start(place) if place is not None else None
+        return StartEndpoint(place) if place is not None else None
 
     def _stops(
-        self, service: str, wanted: Wanted, running: tuple[Running, ...], now: float
-    ) -> tuple[Stop, ...]:
+        self, service: str, wanted: WantedFleet, running: tuple[RunningEndpoint, ...], now: float
+    ) -> tuple[StopEndpoint, ...]:
         """Plan the stop of one endpoint if the surplus has lasted for `SURPLUS_HOLD_S`."""
         if len(running) <= wanted.count:
             self._surplus_since_by_service.pop(service, None)
@@ -245,30 +249,30 @@
         cheap = _cheap_count([endpoint.place for endpoint in running])
         kind = CHEAP if cheap > _max_cheap(wanted) else STANDARD
         chosen = _first_to_stop(in_unwanted or _of_kind(running, kind) or list(running))
-        return (Stop(chosen.endpoint),)
+        return (StopEndpoint(chosen.endpoint),)
 
-    def _pause(self, place: Place, until_s: float) -> None:
+    def _pause(self, place: CapacityPool, until_s: float) -> None:
         previous_s = self._paused_until_by_place.get(place, 0.0)
         self._paused_until_by_place[place] = max(previous_s, until_s)
 
 
-def _cheap_count(places: list[Place]) -> int:
+def _cheap_count(places: list[CapacityPool]) -> int:
     return sum(1 for place in places if place.kind == CHEAP)
 
 
-def _max_cheap(wanted: Wanted) -> int:
+def _max_cheap(wanted: WantedFleet) -> int:
     return math.floor(wanted.count * wanted.cheap_share + 1e-9)
 
 
-def _max_cheap_per_data_centre(wanted: Wanted) -> int:
+def _max_cheap_per_data_centre(wanted: WantedFleet) -> int:
     return math.ceil(_max_cheap(wanted) / len(wanted.data_centres))
 
 
-def _of_kind(running: tuple[Running, ...], kind: str) -> list[Running]:
+def _of_kind(running: tuple[RunningEndpoint, ...], kind: str) -> list[RunningEndpoint]:
     return [endpoint for endpoint in running if endpoint.place.kind == kind]
 
 
-def _first_to_stop(candidates: list[Running]) -> Running:
+def _first_to_stop(candidates: list[RunningEndpoint]) -> RunningEndpoint:
     """Return an endpoint with the fewest requests in the data centre with the most candidates."""
     count_by_data_centre: dict[str, int] = {}
     for endpoint in candidates:
@@ -284,4 +288,13 @@
     )
 
 
-__all__ = ["CHEAP", "STANDARD", "Capacity", "Place", "Running", "Start", "Stop", "Wanted"]
+__all__ = [
+    "CHEAP",
+    "STANDARD",
+    "CapacityPlanner",
+    "CapacityPool",
+    "RunningEndpoint",
+    "StartEndpoint",
+    "StopEndpoint",
+    "WantedFleet",
+]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
@@ -10,16 +10,16 @@
 engine while another is idle, long items would begin last and delay their groups for seconds, and
 every engine would read the prompt of the same group into its memory.
 
-One dispatcher therefore places all items. `order_of` ranks them: the job that is due first comes
+One dispatcher therefore places all items. `rank_of` ranks them: the job that is due first comes
 first, since a late step is worth least, and within a job the longest items by their callers'
 estimate. With twice as many items as slots, a long item that begins last would end later than all
 others by its complete running time.
 
-`place` then gives each item to the engine that will probably end it first. A full engine takes a
-quarter longer for each event than an empty one and runs out of memory sooner, so its cost equals
-that of an empty engine of half its speed. The long items, which are placed first, thus go to the
-fast engines. A group is placed on the engine that already has its prompt while that engine has free
-capacity.
+`place_items` then gives each item to the engine that will probably end it first. A full engine
+takes a quarter longer for each event than an empty one and runs out of memory sooner, so its cost
+equals that of an empty engine of half its speed. The long items, which are placed first, thus go to
+the fast engines. A group is placed on the engine that already has its prompt while that engine has
+free capacity.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-Rank = tuple[int, float, bool, int, tuple[str, str]]
+ItemRank = tuple[int, float, bool, int, tuple[str, str]]
 """Sort key of a waiting item: priority, due time, not carried, negated length, job and item."""
 
 # Cost factor of an engine that has read the group's prompt already. This saves half a millisecond
@@ -54,7 +54,8 @@
     :param priority: its job's priority; the lowest number begins first.
     :param carried: whether an earlier job left its group incomplete.
     :param expected_tokens: expected length of its output in tokens; 0 if not known.
-    :param tokens: tokens of engine memory that are reserved for it, from `memory_needed`.
+    :param memory_tokens: tokens of engine memory that are reserved for it, from
+        `expected_memory_tokens`.
     :param engines: ids of the engines that may run it.
     """
 
@@ -64,31 +65,31 @@
     priority: int
     carried: bool
     expected_tokens: int
-    tokens: int
+    memory_tokens: int
     engines: frozenset[str]
 
 
 @dataclass
-class EngineRoom:
+class EngineCapacity:
     """
     Free capacity of an engine.
 
     :param engine: the engine's id.
-    :param slots: number of further items that it can run.
-    :param tokens: free memory in tokens.
+    :param free_slots: number of further items that it can run.
+    :param free_memory_tokens: free memory in tokens.
     :param running: number of items that it runs.
     :param slowness: its time per event divided by that of the fastest engine, which has 1.0.
-    :param groups: groups whose prompt it has read.
-    :param connected: number of idle connections to it; None if connections cost nothing.
+    :param groups_with_prompt: groups whose prompt it has read.
+    :param idle_connections: number of idle connections to it; None if connections cost nothing.
     """
 
     engine: str
-    slots: int
-    tokens: int
+    free_slots: int
+    free_memory_tokens: int
     running: int
     slowness: float
-    groups: set[tuple[str, str]]
-    connected: int | None = None
+    groups_with_prompt: set[tuple[str, str]]
+    idle_connections: int | None = None
 
 
 @dataclass(frozen=True)
@@ -99,7 +100,7 @@
     engine: str
 
 
-def memory_needed(max_tokens: int, prompt_tokens: int, expected_tokens: int) -> int:
+def expected_memory_tokens(max_tokens: int, prompt_tokens: int, expected_tokens: int) -> int:
     """
     Estimate the engine memory that an item needs.
 
@@ -119,7 +120,7 @@
     return min(max_tokens, prompt_tokens + expected_tokens)
 
 
-def order_of(item: WaitingItem) -> Rank:
+def rank_of(item: WaitingItem) -> ItemRank:
     """
     Rank an item among the waiting ones.
 
@@ -128,8 +129,8 @@
     return (item.priority, item.due_s, not item.carried, -item.expected_tokens, item.key)
 
 
-def place(
-    items: Iterable[WaitingItem], engine_capacities: Sequence[EngineRoom]
+def place_items(
+    items: Iterable[WaitingItem], engine_capacities: Sequence[EngineCapacity]
 ) -> tuple[Placement, ...]:
     """
     Place items in the given order while engines have free capacity.
@@ -137,13 +138,13 @@
     Iteration ends when all slots are filled: often thousands of items wait and only one slot is
     free.
 
-    :param items: waiting items, sorted by `order_of`.
+    :param items: waiting items, sorted by `rank_of`.
     :param engine_capacities: free capacity of each engine; reduced by each item that is placed.
     :return: the placements in the order of the items.
     """
     capacity_by_engine = {capacity.engine: capacity for capacity in engine_capacities}
     placements: list[Placement] = []
-    free_slots = sum(max(0, capacity.slots) for capacity in engine_capacities)
+    free_slots = sum(max(0, capacity.free_slots) for capacity in engine_capacities)
     if free_slots <= 0:
         return ()
     engines_without_slots: set[frozenset[str]] = set()
@@ -160,12 +161,12 @@
                 engines_without_slots.add(item.engines)
             continue
         capacity = _best(fitting, item)
-        capacity.slots -= 1
-        capacity.tokens -= item.tokens
+        capacity.free_slots -= 1
+        capacity.free_memory_tokens -= item.memory_tokens
         capacity.running += 1
-        capacity.groups.add(item.group)
-        if capacity.connected:
-            capacity.connected -= 1
+        capacity.groups_with_prompt.add(item.group)
+        if capacity.idle_connections:
+            capacity.idle_connections -= 1
         free_slots -= 1
         placements.append(Placement(item.key, capacity.engine))
         if free_slots <= 0:
@@ -173,27 +174,29 @@
     return tuple(placements)
 
 
-def _any_slot(capacity_by_engine: dict[str, EngineRoom], engines: frozenset[str]) -> bool:
+def _any_slot(capacity_by_engine: dict[str, EngineCapacity], engines: frozenset[str]) -> bool:
     return any(
-        capacity_by_engine[engine].slots > 0 for engine in engines if engine in capacity_by_engine
+        capacity_by_engine[engine].free_slots > 0
+        for engine in engines
+        if engine in capacity_by_engine
     )
 
 
-def _fits(capacity: EngineRoom, item: WaitingItem) -> bool:
-    if capacity.slots <= 0:
+def _fits(capacity: EngineCapacity, item: WaitingItem) -> bool:
+    if capacity.free_slots <= 0:
         return False
     # An engine that runs nothing gets the item even if the estimate exceeds its memory: the engine
     # itself accepts or rejects it.
-    return item.tokens <= capacity.tokens or capacity.running == 0
+    return item.memory_tokens <= capacity.free_memory_tokens or capacity.running == 0
 
 
-def _best(fitting: list[EngineRoom], item: WaitingItem) -> EngineRoom:
+def _best(fitting: list[EngineCapacity], item: WaitingItem) -> EngineCapacity:
     """Return the engine with the lowest cost; the ids decide between equal costs."""
 
-    def cost(capacity: EngineRoom) -> tuple[float, str]:
-        fullness = capacity.running / max(1, capacity.running + capacity.slots)
-        prompt_factor = CACHED_PROMPT_FACTOR if item.group in capacity.groups else 1.0
-        connection_cost = NEW_CONNECTION_COST if capacity.connected == 0 else 0.0
+    def cost(capacity: EngineCapacity) -> tuple[float, str]:
+        fullness = capacity.running / max(1, capacity.running + capacity.free_slots)
+        prompt_factor = CACHED_PROMPT_FACTOR if item.group in capacity.groups_with_prompt else 1.0
+        connection_cost = NEW_CONNECTION_COST if capacity.idle_connections == 0 else 0.0
         return (
             (1.0 + fullness + connection_cost) * capacity.slowness * prompt_factor,
             capacity.engine,
@@ -203,11 +206,11 @@
 
 
 __all__ = [
-    "EngineRoom",
+    "EngineCapacity",
     "Placement",
-    "Rank",
+    "ItemRank",
     "WaitingItem",
-    "memory_needed",
-    "order_of",
-    "place",
+    "expected_memory_tokens",
+    "rank_of",
+    "place_items",
 ]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/drain.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/drain.py
@@ -53,37 +53,37 @@
 
 
 @dataclass(frozen=True)
-class Draining:
+class DrainingEndpoint:
     """
     What the leader knows of a draining endpoint.
 
-    :param asked_s: time in seconds at which the drain was requested.
-    :param in_force_s: time in seconds since which no entry sends new requests to the endpoint; None
-        while an entry may still do so.
+    :param requested_s: time in seconds at which the drain was requested.
+    :param in_force_since_s: time in seconds since which no entry sends new requests to the
+        endpoint; None while an entry may still do so.
     :param in_flight: number of its running and queued requests, as it announced last.
-    :param announced_since: whether it has announced itself since `in_force_s`.
+    :param announced_since: whether it has announced itself since `in_force_since_s`.
     """
 
-    asked_s: float
-    in_force_s: float | None
+    requested_s: float
+    in_force_since_s: float | None
     in_flight: int
     announced_since: bool
 
 
-def next_step(draining: Draining, limits: DrainLimits, now: float) -> DrainStep:
+def next_drain_step(draining: DrainingEndpoint, limits: DrainLimits, now: float) -> DrainStep:
     """
     Decide whether a draining endpoint is stopped now.
 
     :param draining: what the leader knows of the endpoint.
     :param limits: time limits of the drain.
-    :param now: time in seconds on the clock of `asked_s` and `in_force_s`.
+    :param now: time in seconds on the clock of `requested_s` and `in_force_since_s`.
     :return: to wait, or to stop the endpoint.
     """
-    if now - draining.asked_s >= limits.deadline_s:
+    if now - draining.requested_s >= limits.deadline_s:
         return DrainStep.STOP_AT_DEADLINE
-    if draining.in_force_s is None or not draining.announced_since:
+    if draining.in_force_since_s is None or not draining.announced_since:
         return DrainStep.WAIT
-    if now - draining.in_force_s < limits.settle_s:
+    if now - draining.in_force_since_s < limits.settle_s:
         return DrainStep.WAIT
     if draining.in_flight > 0:
         return DrainStep.WAIT
@@ -95,6 +95,6 @@
     "SETTLE_S",
     "DrainLimits",
     "DrainStep",
-    "Draining",
-    "next_step",
+    "DrainingEndpoint",
+    "next_drain_step",
 ]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
@@ -29,7 +29,7 @@
 
 # Share of the items that can begin at once. The remaining ones are short and wait for other short
 # items to end.
-PLACES_SHARE = 0.75
+IMMEDIATE_SLOT_SHARE = 0.75
 # A data centre that had no endpoints available is not asked again for this time, so that it is
 # asked three times while a reclaim lasts.
 REFUSED_PAUSE_S = 2.5
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class Market:
+class PlatformOffer:
     """
     Endpoints that the platform offers for one service.
 
@@ -67,7 +67,7 @@
 
 
 @dataclass
-class ServiceFleet:
+class OrderHistory:
     """
     Recent orders for one service.
 
@@ -80,12 +80,12 @@
     ordered_by_data_centre: dict[str, int] = field(default_factory=dict)
     refused_until_by_data_centre: dict[str, float] = field(default_factory=dict)
 
-    def ordered(self, order: Order, market: Market, now: float) -> None:
+    def record_order(self, order: Order, market: PlatformOffer, now: float) -> None:
         """Record an order that the platform accepted at the time `now`, in seconds."""
         self.expected_until_by_data_centre[order.data_centre] = now + market.boot_s + BOOT_SLACK_S
         self.ordered_by_data_centre[order.data_centre] = order.count
 
-    def refused(self, data_centre: str, now: float) -> None:
+    def record_refusal(self, data_centre: str, now: float) -> None:
         """Record that a data centre had no endpoints available at the time `now`, in seconds."""
         self.refused_until_by_data_centre[data_centre] = now + REFUSED_PAUSE_S
 
@@ -94,7 +94,7 @@
         Return the number of endpoints that a data centre has or will soon have.
 
         :param present: number of its endpoints that serve.
-        :param now: monotonic time in seconds, as for `ordered`.
+        :param now: monotonic time in seconds, as for `record_order`.
         """
         if now >= self.expected_until_by_data_centre.get(data_centre, 0.0):
             return present
@@ -113,12 +113,12 @@
     """
     if capacity <= 0:
         return initial
-    return max(initial, math.ceil(demand * PLACES_SHARE / capacity))
+    return max(initial, math.ceil(demand * IMMEDIATE_SLOT_SHARE / capacity))
 
 
 def next_order(
-    fleet: ServiceFleet,
-    market: Market,
+    fleet: OrderHistory,
+    market: PlatformOffer,
     wanted: int,
     present_by_data_centre: Mapping[str, int],
     now: float,
@@ -152,4 +152,4 @@
     return None
 
 
-__all__ = ["Market", "Order", "ServiceFleet", "next_order", "wanted_count"]
+__all__ = ["PlatformOffer", "Order", "OrderHistory", "next_order", "wanted_count"]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/queueing.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/queueing.py
@@ -11,9 +11,9 @@
 - Between accounts: start-time fair queueing. Each started request charges its account the expected
   seconds of work divided by the account's weight, and the account with the lowest charge is served
   next. An idle account accumulates no credit.
-- Within an account: in order of arrival time plus `PATIENCE` times the expected seconds of work. A
-  short request overtakes a long one only for a time in proportion to the long one's expected work,
-  so that long requests do not starve.
+- Within an account: in order of arrival time plus `OVERTAKING_FACTOR` times the expected seconds of
+  work. A short request overtakes a long one only for a time in proportion to the long one's
+  expected work, so that long requests do not starve.
 - Deadlines: a request that is expected to miss its deadline, given the work queued for its account
   and the account's share of the slots, is rejected on arrival. A queued request that can no longer
   finish before its deadline is rejected as soon as this is detected and is never started. Expected
@@ -35,7 +35,7 @@
 
 # Short requests overtake a long one for at most four times the long one's expected seconds. With
 # 1.0, lookups that arrived a few seconds after a batch of long work still waited behind all of it.
-PATIENCE = 4.0
+OVERTAKING_FACTOR = 4.0
 # At 3,600 requests per second over 380 entries, 2,000 requests are minutes of arrivals at one
 # entry. At some kilobytes each they fit into an entry's memory.
 MAX_WAITING = 2_000
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Shed:
+class ShedRequest:
     """
     A request that is rejected without having run.
 
@@ -70,20 +70,20 @@
     """
 
     item: Item | None
-    shed: tuple[Shed, ...] = ()
+    shed: tuple[ShedRequest, ...] = ()
 
 
 class FairQueue:
     """
     Requests that wait for a slot, queued by client account.
 
-    `slots` is the number of requests that may run at a time and may be set at any time; `waiting`
-    is the number of queued requests. Every `now` is in seconds on one steady clock.
+    `slots` is the number of requests that may run at a time and may be set at any time;
+    `queued_count` is the number of queued requests. Every `now` is in seconds on one steady clock.
     """
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
-        self.waiting = 0
+        self.queued_count = 0
         self._weight_by_client_account: dict[str, float] = {}
         self._queue_by_client_account: dict[str, AccountQueue] = {}
         self._virtual_time_s = 0.0
@@ -101,10 +101,10 @@
         :return: the queue.
         """
         queue = cls(slots)
-        queue.follow_weights(weight_by_client_account)
+        queue.set_weights(weight_by_client_account)
         return queue
 
-    def follow_weights(self, weight_by_client_account: Mapping[str, float]) -> None:
+    def set_weights(self, weight_by_client_account: Mapping[str, float]) -> None:
         """
         Replace the weights; queued requests and charges are kept.
 
@@ -114,7 +114,7 @@
         for name, queue in self._queue_by_client_account.items():
             queue.weight = self._weight(name)
 
-    def offer(self, item: Item, now: float) -> tuple[Shed, ...]:
+    def offer(self, item: Item, now: float) -> tuple[ShedRequest, ...]:
         """
         Queue a request, or reject it if it is expected to miss its deadline.
 
@@ -125,20 +125,20 @@
         :return: the rejected requests: none, the item itself, or the last one of the longest queue.
         """
         queue = self._account_queue(item.client_account)
-        sort_key = now + PATIENCE * item.cost_s
+        sort_key = now + OVERTAKING_FACTOR * item.cost_s
         late_s = self._expected_finish_s(queue, sort_key, item, now) - item.deadline_s
         if late_s > 0.0:
-            return (Shed(item, False, self._retry_after_s(queue, item, late_s, now)),)
+            return (ShedRequest(item, False, self._retry_after_s(queue, item, late_s, now)),)
         self._arrival_number += 1
         queue.push(sort_key, self._arrival_number, item)
-        self.waiting += 1
-        if self.waiting <= MAX_WAITING:
+        self.queued_count += 1
+        if self.queued_count <= MAX_WAITING:
             return ()
         longest = max(self._queue_by_client_account.values(), key=weighted_backlog_s)
         dropped = longest.pop_last()
-        self.waiting -= 1
+        self.queued_count -= 1
         backlog_s = longest.backlog_s / self._fair_slots(longest)
-        return (Shed(dropped, True, self._retry_after_s(longest, dropped, backlog_s, now)),)
+        return (ShedRequest(dropped, True, self._retry_after_s(longest, dropped, backlog_s, now)),)
 
     def take(self, now: float) -> TakeResult:
         """
@@ -146,16 +146,16 @@
 
         :return: the request, and the requests before it that can no longer finish in time.
         """
-        shed: list[Shed] = []
+        shed: list[ShedRequest] = []
         while True:
             queue = self._next_queue()
             if queue is None:
                 return TakeResult(None, tuple(shed))
             item = queue.pop()
-            self.waiting -= 1
+            self.queued_count -= 1
             late_s = now + item.cost_s - item.deadline_s
             if late_s > 0.0:
-                shed.append(Shed(item, False, self._retry_after_s(queue, item, late_s, now)))
+                shed.append(ShedRequest(item, False, self._retry_after_s(queue, item, late_s, now)))
                 continue
             # An account that was idle starts at the charge of the account served last. With its own
             # old, lower charge it would get all slots until it had caught up with the others.
@@ -164,7 +164,7 @@
             self._expected_end_by_item[item.item_id] = now + item.cost_s
             return TakeResult(item, tuple(shed))
 
-    def expire(self, now: float) -> tuple[Shed, ...]:
+    def shed_expired(self, now: float) -> tuple[ShedRequest, ...]:
         """
         Remove and reject all queued requests that can no longer finish before their deadlines.
 
@@ -173,11 +173,11 @@
 
         :return: the rejected requests.
         """
-        shed: list[Shed] = []
+        shed: list[ShedRequest] = []
         for item in self.remove(lambda item: now + item.cost_s > item.deadline_s):
             queue = self._account_queue(item.client_account)
             late_s = now + item.cost_s - item.deadline_s
-            shed.append(Shed(item, False, self._retry_after_s(queue, item, late_s, now)))
+            shed.append(ShedRequest(item, False, self._retry_after_s(queue, item, late_s, now)))
         return tuple(shed)
 
     def remove(self, matches: Callable[[Item], bool]) -> tuple[Item, ...]:
@@ -195,10 +195,10 @@
                 continue
             removed.extend(matched)
             queue.keep([queued for queued in queue.heap if not matches(queued[2])])
-        self.waiting -= len(removed)
+        self.queued_count -= len(removed)
         return tuple(removed)
 
-    def correct(self, item: Item, actual_s: float) -> None:
+    def charge_actual_time(self, item: Item, actual_s: float) -> None:
         """
         Replace the expected seconds in the account's charge by the actual ones; to be called for
         each request that ended.
@@ -268,4 +268,4 @@
         return max(1, self.slots) * queue.weight / (queue.weight + weights)
 
 
-__all__ = ["FairQueue", "Item", "Shed", "TakeResult"]
+__all__ = ["FairQueue", "Item", "ShedRequest", "TakeResult"]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/retries.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/retries.py
@@ -42,7 +42,7 @@
         """
         return cls(RETRIES_PER_REQUEST, MIN_RETRIES_PER_S, BURST_S)
 
-    def request(self, now: float) -> None:
+    def count_request(self, now: float) -> None:
         """
         Count the first try of a request.
 
@@ -52,7 +52,7 @@
         self._requests_per_s += 1.0 / self._burst_s
         self._tokens = min(self._size(), self._tokens + self._retries_per_request)
 
-    def take(self, now: float) -> bool:
+    def take_retry(self, now: float) -> bool:
         """
         Take the token for one retry.
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
@@ -81,9 +81,11 @@
     :param queued: waiting requests, from its last load report.
     :param capacity: number of requests that it works on at a time.
     :param in_flight: requests that this entry has sent to it and that have not ended.
-    :param sent_since: requests that this entry sent to it since the last load report was received.
-    :param cached: whether it announced that it has the request's prompt prefix in its cache.
-    :param connected: whether a connection to it is known to be idle.
+    :param sent_since_report: requests that this entry sent to it since the last load report
+        was received.
+    :param has_cached_prefix: whether it announced that it has the request's prompt prefix in its
+        cache.
+    :param has_idle_connection: whether a connection to it is known to be idle.
     """
 
     endpoint: str
@@ -93,9 +95,9 @@
     queued: int
     capacity: int
     in_flight: int
-    sent_since: int = 0
-    cached: bool = False
-    connected: bool = False
+    sent_since_report: int = 0
+    has_cached_prefix: bool = False
+    has_idle_connection: bool = False
 
 
 @dataclass
@@ -154,9 +156,9 @@
         drawn = self._source.sample(healthy, min(2, len(healthy)))
         # Engines that have the prefix cached are always compared: two random draws would mostly
         # miss them. Their cost still lets an endpoint with a shorter queue win.
-        drawn.extend(candidate for candidate in healthy if candidate.cached)
+        drawn.extend(candidate for candidate in healthy if candidate.has_cached_prefix)
         # Endpoints with an idle connection are always compared for the same reason.
-        drawn.extend(candidate for candidate in healthy if candidate.connected)
+        drawn.extend(candidate for candidate in healthy if candidate.has_idle_connection)
         if not repeatable:
             # Both random candidates may be cheap although a standard endpoint is free.
             standard = [candidate for candidate in healthy if candidate.kind != CHEAP_KIND]
@@ -165,7 +167,7 @@
         chosen = min(drawn, key=lambda option: self._cost(option, median_pace, cheap_cost))
         return chosen.endpoint
 
-    def failed(self, endpoint: str, now: float) -> None:
+    def record_failure(self, endpoint: str, now: float) -> None:
         """
         Record that an endpoint failed a request; eject it after several failures in a row.
 
@@ -180,7 +182,7 @@
         history.ejected_until = now + min(EJECTION_MAX_S, EJECTION_BASE_S * 2**history.ejections)
         history.ejections += 1
 
-    def answered(self, endpoint: str, pace: float) -> None:
+    def record_success(self, endpoint: str, pace: float) -> None:
         """
         Record that an endpoint completed a request; reset its counts of failures and ejections.
 
@@ -193,7 +195,7 @@
         previous = pace if history.pace is None else history.pace
         history.pace = PREVIOUS_PACE_WEIGHT * previous + (1.0 - PREVIOUS_PACE_WEIGHT) * pace
 
-    def ejected(self, now: float) -> tuple[str, ...]:
+    def ejected_endpoints(self, now: float) -> tuple[str, ...]:
         """
         Return the endpoints that are ejected at a time.
 
@@ -218,7 +220,7 @@
         self, candidates: tuple[Candidate, ...], now: float
     ) -> tuple[Candidate, ...]:
         """Return the candidates that are not ejected, or all if too many are ejected."""
-        ejected = self.ejected(now)
+        ejected = self.ejected_endpoints(now)
         healthy = tuple(option for option in candidates if option.endpoint not in ejected)
         max_ejected = max(1.0, len(candidates) * EJECTION_MAX_SHARE)
         if not healthy or len(candidates) - len(healthy) > max_ejected:
@@ -237,7 +239,7 @@
     def _cost(self, candidate: Candidate, median_pace: float | None, cheap_cost: float) -> float:
         # The report is up to a second old. Unless the requests sent since are added, all requests
         # until the next report would go to the endpoint that was idle at the time of this one.
-        reported = candidate.running + candidate.queued + candidate.sent_since
+        reported = candidate.running + candidate.queued + candidate.sent_since_report
         work = max(reported, candidate.in_flight)
         cost = (work + 1) / max(1, candidate.capacity)
         history = self._history_by_endpoint.get(candidate.endpoint)
@@ -248,9 +250,9 @@
             cost += OTHER_DATA_CENTRE_COST
         if candidate.kind == CHEAP_KIND:
             cost += cheap_cost
-        if candidate.cached:
+        if candidate.has_cached_prefix:
             cost -= CACHED_PREFIX_BONUS
-        if candidate.connected:
+        if candidate.has_idle_connection:
             cost -= IDLE_CONNECTION_BONUS
         return cost
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/sampling.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/sampling.py
@@ -33,30 +33,30 @@
 MAX_ATTEMPTS = 2
 # Samples are held back only for as many publications as each of the last 3 steps saw before its
 # batch was requested; a single step may be an exception.
-EXPECTED_FROM = 3
+PUBLICATION_HISTORY_STEPS = 3
 
 
 @dataclass(frozen=True)
-class MemberView:
+class SampleState:
     """
     State of one sample of the step.
 
     :param group: index of the sample's group in the request.
     :param member: index of the sample in its group.
     :param done: whether an attempt produced a sample that may be delivered.
-    :param started_s: start time of each running attempt, in seconds.
+    :param attempt_starts_s: start time of each running attempt, in seconds.
     :param not_before_s: earliest start time of the next attempt, in seconds; set after a failure.
     """
 
     group: int
     member: int
     done: bool = False
-    started_s: tuple[float, ...] = ()
+    attempt_starts_s: tuple[float, ...] = ()
     not_before_s: float = 0.0
 
 
 @dataclass(frozen=True)
-class Start:
+class AttemptStart:
     """
     An attempt to start now.
 
@@ -87,11 +87,11 @@
     Estimate how many versions a trainer publishes between opening a step and requesting its batch.
 
     :param earlier: these numbers of the trainer's earlier steps, the latest step last.
-    :return: the lowest number of the last `EXPECTED_FROM` steps; 0 if fewer are known.
+    :return: the lowest number of the last `PUBLICATION_HISTORY_STEPS` steps; 0 if fewer are known.
     """
-    if len(earlier) < EXPECTED_FROM:
+    if len(earlier) < PUBLICATION_HISTORY_STEPS:
         return 0
-    return min(earlier[-EXPECTED_FROM:])
+    return min(earlier[-PUBLICATION_HISTORY_STEPS:])
 
 
 def may_start(expected: int, published: int, bound: int, batch_requested: bool) -> bool:
@@ -112,7 +112,7 @@
     return batch_requested or expected - published <= bound
 
 
-def share_of_places(slots: int, trainers: int, running: int, free: int) -> int:
+def max_running_attempts(slots: int, trainers: int, running: int, free: int) -> int:
     """
     Return how many attempts one trainer's step may run at a time.
 
@@ -130,15 +130,15 @@
 
 
 def plan_starts(
-    members: tuple[MemberView, ...], free: int, durations_s: tuple[float, ...], now: float
-) -> tuple[Start, ...]:
+    members: tuple[SampleState, ...], free: int, durations_s: tuple[float, ...], now: float
+) -> tuple[AttemptStart, ...]:
     """
     Return the attempts to start: samples of nearly complete groups first, races of stragglers last.
 
     :param members: all samples of the step.
     :param free: free slots for further attempts.
     :param durations_s: durations of the step's finished samples, in seconds.
-    :param now: seconds on the clock of `started_s`.
+    :param now: seconds on the clock of `attempt_starts_s`.
     :return: at most `free` attempts, in the order in which they are to start.
     """
     if free <= 0:
@@ -149,7 +149,7 @@
     return starts + _races(members, free - len(starts), durations_s, now)
 
 
-def _non_race_starts(members: tuple[MemberView, ...], now: float) -> tuple[Start, ...]:
+def _non_race_starts(members: tuple[SampleState, ...], now: float) -> tuple[AttemptStart, ...]:
     """
     Return a start for each sample that is neither done, running nor delayed after a failure, in
     ascending order of the number of samples that its group lacks.
@@ -162,43 +162,45 @@
     startable = [
         view
         for view in members
-        if not view.done and not view.started_s and view.not_before_s <= now
+        if not view.done and not view.attempt_starts_s and view.not_before_s <= now
     ]
     startable.sort(key=lambda view: (missing_by_group[view.group], view.group, view.member))
-    return tuple(Start(view.group, view.member, race=False) for view in startable)
+    return tuple(AttemptStart(view.group, view.member, race=False) for view in startable)
 
 
 def _races(
-    members: tuple[MemberView, ...], free: int, durations_s: tuple[float, ...], now: float
-) -> tuple[Start, ...]:
+    members: tuple[SampleState, ...], free: int, durations_s: tuple[float, ...], now: float
+) -> tuple[AttemptStart, ...]:
     """Return a start for each straggler, the longest-running first, within the limits for races."""
     if len(durations_s) < RACE_MIN_FINISHED:
         return ()
     straggler_s = RACE_MEDIAN_FACTOR * statistics.median(durations_s)
-    raced = sum(1 for view in members if len(view.started_s) >= MAX_ATTEMPTS)
+    raced = sum(1 for view in members if len(view.attempt_starts_s) >= MAX_ATTEMPTS)
     allowed = min(free, max(1, int(MAX_RACE_SHARE * len(members))) - raced)
     stragglers = [
         view
         for view in members
-        if not view.done and len(view.started_s) == 1 and now - view.started_s[0] > straggler_s
+        if not view.done
+        and len(view.attempt_starts_s) == 1
+        and now - view.attempt_starts_s[0] > straggler_s
     ]
-    stragglers.sort(key=lambda view: view.started_s[0])
+    stragglers.sort(key=lambda view: view.attempt_starts_s[0])
     return tuple(
-        Start(view.group, view.member, race=True) for view in stragglers[: max(0, allowed)]
+        AttemptStart(view.group, view.member, race=True) for view in stragglers[: max(0, allowed)]
     )
 
 
 __all__ = [
-    "EXPECTED_FROM",
+    "PUBLICATION_HISTORY_STEPS",
     "MAX_ATTEMPTS",
     "MAX_RACE_SHARE",
     "RACE_MEDIAN_FACTOR",
     "RACE_MIN_FINISHED",
-    "MemberView",
-    "Start",
+    "SampleState",
+    "AttemptStart",
     "expected_publications",
     "is_stale",
     "may_start",
     "plan_starts",
-    "share_of_places",
+    "max_running_attempts",
 ]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/slots.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/slots.py
@@ -64,7 +64,7 @@
         self.unit_s = INITIAL_UNIT_S
         self._has_duration = False
 
-    def learn(self, units: int, actual_s: float) -> None:
+    def add_duration(self, units: int, actual_s: float) -> None:
         """
         Add the duration of a request that was answered completely.
 
@@ -77,7 +77,7 @@
             return
         self.unit_s = PREVIOUS_WEIGHT * self.unit_s + (1.0 - PREVIOUS_WEIGHT) * actual_s / units
 
-    def expect_s(self, units: int) -> float:
+    def expected_s(self, units: int) -> float:
         """
         Return the expected seconds of work of a request.
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/stragglers.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/stragglers.py
@@ -31,7 +31,7 @@
 SLOW_PACE_RATIO = 1.7
 # Minimum number of remaining events for a move: the result of a shorter run arrives sooner than
 # a move would pay off.
-LEAST_LEFT = 6
+MIN_REMAINING_EVENTS = 6
 # Weight of a new measurement in the moving average: two measurements, half a second apart, are
 # enough to detect a slow engine.
 NEW_PACE_WEIGHT = 0.6
@@ -47,7 +47,7 @@
 
     seconds: float = 0.0
 
-    def measure(self, seconds: float) -> None:
+    def add_measurement(self, seconds: float) -> None:
         """Add a measurement of the seconds per event over some streams of the engine."""
         if not self.seconds:
             self.seconds = seconds
@@ -62,13 +62,13 @@
 
     :param number: the run's number.
     :param engine: id of the engine that it runs on.
-    :param left: estimated number of events that it still has to produce.
+    :param remaining_events: estimated number of events that it still has to produce.
     :param engines: ids of the engines that may run it.
     """
 
     number: int
     engine: str
-    left: float
+    remaining_events: float
     engines: frozenset[str]
 
 
@@ -92,7 +92,7 @@
     runs: Iterable[MovableRun],
     slow: frozenset[str],
     free_by_engine: Mapping[str, int],
-    waiting: int,
+    waiting_items: int,
 ) -> tuple[int, ...]:
     """
     Choose the runs that move.
@@ -100,13 +100,15 @@
     :param runs: the runs that may move, on any engine.
     :param slow: ids of the slow engines.
     :param free_by_engine: number of free slots by engine.
-    :param waiting: number of items that wait for a slot.
+    :param waiting_items: number of items that wait for a slot.
     :return: numbers of the runs, those with the most remaining events first.
     """
-    movable = [run for run in runs if run.engine in slow and run.left >= LEAST_LEFT]
-    movable.sort(key=lambda run: (-run.left, run.number))
+    movable = [
+        run for run in runs if run.engine in slow and run.remaining_events >= MIN_REMAINING_EVENTS
+    ]
+    movable.sort(key=lambda run: (-run.remaining_events, run.number))
     free = {engine: slots for engine, slots in free_by_engine.items() if engine not in slow}
-    max_moves = sum(free.values()) - waiting
+    max_moves = sum(free.values()) - waiting_items
     chosen: list[int] = []
     for run in movable:
         engine = max(run.engines & free.keys(), key=free.__getitem__, default=None)
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/version_hosts.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/version_hosts.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Host:
+class EngineVersions:
     """
     An engine that may load weights.
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class VersionLoad:
     """A load of a model's version that an engine has to begin."""
 
     engine: str
@@ -70,7 +70,7 @@
     return max(0, newest - oldest_allowed)
 
 
-def loads_at_once(engines: int) -> int:
+def max_concurrent_loads(engines: int) -> int:
     """Return how many loads may run at a time on a fleet of this many engines."""
     return max(MIN_LOADS_AT_ONCE, int(engines * MAX_LOADING_SHARE))
 
@@ -91,7 +91,7 @@
 
 
 def choose_hosts(
-    hosts: Sequence[Host], version_by_model: Mapping[str, int]
+    hosts: Sequence[EngineVersions], version_by_model: Mapping[str, int]
 ) -> dict[str, tuple[str, ...]]:
     """
     Choose the engines that load the new versions of each model.
@@ -108,7 +108,7 @@
     chosen: dict[str, tuple[str, ...]] = {}
     for model in sorted(version_by_model):
 
-        def rank(host: Host, model: str = model) -> tuple[int, int, str]:
+        def rank(host: EngineVersions, model: str = model) -> tuple[int, int, str]:
             version = host.version_by_model.get(model, 0)
             return (-version, models_by_engine[host.engine], host.engine)
 
@@ -120,17 +120,18 @@
 
 
 def next_loads(
-    hosts: Sequence[Host],
+    hosts: Sequence[EngineVersions],
     version_by_model: Mapping[str, int],
-    at_once: int,
+    max_loads: int,
     lag_by_model: Mapping[str, int],
-) -> tuple[Load, ...]:
+) -> tuple[VersionLoad, ...]:
     """
     Choose the loads to begin now.
 
     :param hosts: engines that serve.
     :param version_by_model: newest version that the trainers published.
-    :param at_once: number of loads that the weight store can serve at a time, see `loads_at_once`.
+    :param max_loads: number of loads that the weight store can serve at a time, see
+        `max_concurrent_loads`.
     :param lag_by_model: number of versions that an engine may be behind for the model's jobs; a
         model that is not listed has 0.
     :return: the loads; models whose newest version on any host is the lowest come first.
@@ -138,7 +139,7 @@
     host_by_engine = {host.engine: host for host in hosts}
     running_loads = sum(1 for host in hosts if host.loading)
     ordered: set[str] = set()
-    loads: list[Load] = []
+    loads: list[VersionLoad] = []
     chosen = choose_hosts(hosts, version_by_model)
     for model in sorted(chosen, key=lambda name: _newest_served(chosen, host_by_engine, name)):
         version = version_by_model[model]
@@ -146,18 +147,18 @@
         model_loads = sum(1 for engine in engines if host_by_engine[engine].loading == model)
         model_hosts = [host_by_engine[engine] for engine in engines]
         for engine in _due(model_hosts, model, version, lag_by_model.get(model, 0)):
-            if running_loads >= at_once or model_loads >= max(1, len(engines) // 2):
+            if running_loads >= max_loads or model_loads >= max(1, len(engines) // 2):
                 break
             if host_by_engine[engine].loading or engine in ordered:
                 continue
-            loads.append(Load(engine, model, version))
+            loads.append(VersionLoad(engine, model, version))
             ordered.add(engine)
             model_loads += 1
             running_loads += 1
     return tuple(loads)
 
 
-def _due(hosts: Sequence[Host], model: str, version: int, lag: int) -> tuple[str, ...]:
+def _due(hosts: Sequence[EngineVersions], model: str, version: int, lag: int) -> tuple[str, ...]:
     """
     Choose the hosts that need the newest version; those that no job can use come first.
 
@@ -173,7 +174,7 @@
 
 
 def _newest_served(
-    chosen: Mapping[str, tuple[str, ...]], host_by_engine: Mapping[str, Host], model: str
+    chosen: Mapping[str, tuple[str, ...]], host_by_engine: Mapping[str, EngineVersions], model: str
 ) -> int:
     """Return the newest version that any host of a model serves; 0 if there is none."""
     versions = [host_by_engine[engine].version_by_model.get(model, 0) for engine in chosen[model]]
@@ -181,11 +182,11 @@
 
 
 __all__ = [
-    "Host",
-    "Load",
+    "EngineVersions",
+    "VersionLoad",
     "allowed_lag",
     "choose_hosts",
     "hosts_per_model",
-    "loads_at_once",
+    "max_concurrent_loads",
     "next_loads",
 ]
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/weights.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/weights.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class EngineView:
+class EngineLoadState:
     """
     One engine that serves the model.
 
@@ -50,7 +50,7 @@
     running: int = 0
 
 
-def retry_at_s(failures: int, failed_s: float) -> float:
+def retry_time_s(failures: int, failed_s: float) -> float:
     """
     Compute the time at which a failed load may be tried again.
 
@@ -63,8 +63,8 @@
     return failed_s + min(RETRY_MAX_S, RETRY_BASE_S * 2 ** (failures - 1))
 
 
-def plan_wave(
-    engines: tuple[EngineView, ...], wanted: int, free_store_slots: int, now: float
+def choose_loads(
+    engines: tuple[EngineLoadState, ...], wanted: int, free_store_slots: int, now: float
 ) -> tuple[str, ...]:
     """
     Choose the engines that load the wanted version now.
@@ -87,7 +87,7 @@
             continue
         if engine.version is not None and engine.version >= wanted:
             continue
-        if retry_at_s(engine.failures, engine.failed_s) > now:
+        if retry_time_s(engine.failures, engine.failed_s) > now:
             continue
         ready.append(engine)
     ready.sort(
@@ -104,7 +104,7 @@
     "MIN_SERVING_SHARE",
     "RETRY_BASE_S",
     "RETRY_MAX_S",
-    "EngineView",
-    "plan_wave",
-    "retry_at_s",
+    "EngineLoadState",
+    "choose_loads",
+    "retry_time_s",
 ]
--- a/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
@@ -13,14 +13,14 @@
 from ibisspring_core.clock import boot_now
 from ibisspring_core.endpoint_table import SERVING
 from ibisspring_core.guarded_http import HttpAnswer
-from ibisspring_decisions.version_hosts import Host, loads_at_once, next_loads
+from ibisspring_decisions.version_hosts import EngineVersions, max_concurrent_loads, next_loads
 from ibisspring_directory.outside import EngineState, LoadOrder
 
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.messages.endpoints import EndpointRecord
     from ibisspring_core.settings.vm import VmSettings
-    from ibisspring_decisions.version_hosts import Load
+    from ibisspring_decisions.version_hosts import VersionLoad
 
 TICK_S = 0.1
 ORDER_TIMEOUT_S = 1.0
@@ -90,17 +90,17 @@
         hosts = [self._to_host(record) for record in record_by_engine.values()]
         published_versions = directory.state.version_by_model
         lags = directory.version_lags.lag_by_model
-        for load in next_loads(hosts, published_versions, loads_at_once(len(hosts)), lags):
+        for load in next_loads(hosts, published_versions, max_concurrent_loads(len(hosts)), lags):
             record = record_by_engine[load.engine]
             task = asyncio.create_task(self._load(record, load), name=f"load:{load.engine}")
             self._active_load_by_engine[load.engine] = ActiveLoad(load.model, task)
 
-    def _to_host(self, record: EndpointRecord) -> Host:
+    def _to_host(self, record: EndpointRecord) -> EngineVersions:
         active_load = self._active_load_by_engine.get(record.endpoint)
         model = active_load.model if active_load is not None else ""
-        return Host(record.endpoint, record.version_by_adapter, model)
+        return EngineVersions(record.endpoint, record.version_by_adapter, model)
 
-    async def _load(self, record: EndpointRecord, load: Load) -> None:
+    async def _load(self, record: EndpointRecord, load: VersionLoad) -> None:
         try:
             if not await self._order_load(record, load):
                 self._directory.endpoints.set_loading(load.engine, load.model, is_loading=False)
@@ -109,7 +109,7 @@
             self._active_load_by_engine.pop(load.engine, None)
             self._directory.endpoints.set_loading(load.engine, load.model, is_loading=False)
 
-    async def _order_load(self, record: EndpointRecord, load: Load) -> bool:
+    async def _order_load(self, record: EndpointRecord, load: VersionLoad) -> bool:
         """
         Order one load and wait until the engine reports the version.
 
@@ -141,7 +141,7 @@
             return False
         return await self._wait_until_loaded(record, load)
 
-    async def _wait_until_loaded(self, record: EndpointRecord, load: Load) -> bool:
+    async def _wait_until_loaded(self, record: EndpointRecord, load: VersionLoad) -> bool:
         """
         Wait until an engine reports the version that was ordered.
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
@@ -8,7 +8,7 @@
 
 from ibisspring_core.endpoint_table import SERVING
 from ibisspring_core.guarded_http import HttpAnswer
-from ibisspring_decisions.fleet_size import Market, ServiceFleet, next_order, wanted_count
+from ibisspring_decisions.fleet_size import OrderHistory, PlatformOffer, next_order, wanted_count
 from ibisspring_directory.commands import SetFleet
 from ibisspring_directory.outside import FleetOrder
 
@@ -31,7 +31,7 @@
 
     def __init__(self, settings: VmSettings) -> None:
         self._may_scale = settings.scales
-        self._fleet_by_service: dict[str, ServiceFleet] = {}
+        self._fleet_by_service: dict[str, OrderHistory] = {}
 
     @classmethod
     def from_config(cls, settings: VmSettings) -> Fleet:
@@ -78,8 +78,8 @@
         demand = self._directory.sessions.demand(terms.name, now)
         wanted = wanted_count(wanted, demand, terms.capacity)
         scaling = terms.scaling
-        market = Market(scaling.most, scaling.boot_s, scaling.price_by_data_centre)
-        fleet = self._fleet_by_service.setdefault(terms.name, ServiceFleet())
+        market = PlatformOffer(scaling.most, scaling.boot_s, scaling.price_by_data_centre)
+        fleet = self._fleet_by_service.setdefault(terms.name, OrderHistory())
         order = next_order(fleet, market, wanted, present, now)
         if order is None:
             return
@@ -99,9 +99,9 @@
         )
         self._counters.add(f"fleet.answer_{status}")
         if 200 <= status < 300:
-            fleet.ordered(order, market, now)
+            fleet.record_order(order, market, now)
             return
-        fleet.refused(order.data_centre, now)
+        fleet.record_refusal(order.data_centre, now)
 
     def _count_serving(self, service: str) -> dict[str, int]:
         present: dict[str, int] = {}
--- a/packages/ibisspring-entry/src/ibisspring_entry/admission/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/admission/service.py
@@ -63,9 +63,9 @@
             return rules
         now = boot_now()
         if rules is not self._applied_rules:
-            self._admission.follow_rules(rules.client_account_by_name, now)
+            self._admission.set_rules(rules.client_account_by_name, now)
             self._applied_rules = rules
-        decision = self._admission.ask(client_account, now)
+        decision = self._admission.admit(client_account, now)
         if isinstance(decision, Admitted):
             return None
         detail = f"{client_account} exceeds its request rate"
@@ -83,7 +83,7 @@
                 continue
             received_s, demand = demand_by_daemon.get(daemon, (None, {}))
             peers.append(PeerDemand(received_s, demand))
-        self._admission.share(tuple(peers), now)
+        self._admission.divide_by_demand(tuple(peers), now)
 
 
 __all__ = ["AdmissionService"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
@@ -82,8 +82,8 @@
             queued=record.load.queued,
             capacity=record.load.capacity,
             in_flight=self._in_flight_by_endpoint.get(record.endpoint, 0),
-            sent_since=self._sent_since(record),
-            cached=prefix in record.prefixes,
+            sent_since_report=self._sent_since(record),
+            has_cached_prefix=prefix in record.prefixes,
         )
 
     def _sent_since(self, record: EndpointRecord) -> int:
@@ -115,7 +115,7 @@
 
         :param endpoint: the endpoint's id.
         """
-        self._router.failed(endpoint, boot_now())
+        self._router.record_failure(endpoint, boot_now())
 
     def record_answer(self, endpoint: str, unit_s: float) -> None:
         """
@@ -124,7 +124,7 @@
         :param endpoint: the endpoint's id.
         :param unit_s: seconds that each token or call took.
         """
-        self._router.answered(endpoint, unit_s)
+        self._router.record_success(endpoint, unit_s)
 
     def may_retry(self, reason: Reason, charged: bool = True) -> bool:
         """
@@ -135,7 +135,7 @@
             retry budget.
         :return: True if the retry may be sent.
         """
-        if charged and not self._budget.take(boot_now()):
+        if charged and not self._budget.take_retry(boot_now()):
             self._counters.add("retry_budget_empty")
             return False
         self._counters.retried(reason)
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/service.py
@@ -88,7 +88,7 @@
             slots.release(request.model, slot, 1, 0.0, False)
             yield Failed(request.request_id, KEY_WITHDRAWN_REFUSAL)
             return
-        self._budget.request(boot_now())
+        self._budget.count_request(boot_now())
         started = boot_now()
         complete = False
         events = Generation(self, request, began + request.deadline_s).stream()
@@ -118,7 +118,7 @@
         if not _may_start(request):
             slots.release(request.service, slot, 1, 0.0, False)
             return KEY_WITHDRAWN_REFUSAL
-        self._budget.request(boot_now())
+        self._budget.count_request(boot_now())
         started = boot_now()
         complete = False
         try:
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/turns.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/turns.py
@@ -7,7 +7,7 @@
 
 from ibisspring_core.clock import boot_now
 from ibisspring_core.errors import Reason, Refusal
-from ibisspring_decisions.queueing import FairQueue, Item, Shed
+from ibisspring_decisions.queueing import FairQueue, Item, ShedRequest
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -40,7 +40,7 @@
 
     def wanted(self) -> int:
         """Return the number of running and waiting requests."""
-        return self.running + self._queue.waiting
+        return self.running + self._queue.queued_count
 
     async def acquire(
         self, item_id: str, client_account: str, units: int, deadline_s: float
@@ -55,7 +55,7 @@
         :return: the slot, to be returned by `release`, or a refusal; the request was not sent.
         """
         now = boot_now()
-        cost_s = self._work_time.expect_s(units)
+        cost_s = self._work_time.expected_s(units)
         item = Item.from_estimate(item_id, client_account, cost_s, deadline_s, now)
         granted = asyncio.get_running_loop().create_future()
         self._future_by_item[item_id] = granted
@@ -82,8 +82,8 @@
         """
         self.running -= 1
         if complete:
-            self._work_time.learn(units, work_s)
-        self._queue.correct(item, work_s)
+            self._work_time.add_duration(units, work_s)
+        self._queue.charge_actual_time(item, work_s)
         self._start_waiting(boot_now())
 
     def update(self, weight_by_client_account: Mapping[str, float], slots: int, now: float) -> None:
@@ -94,9 +94,9 @@
         :param slots: largest number of requests that may run at the same time.
         :param now: seconds on the boot clock.
         """
-        self._queue.follow_weights(weight_by_client_account)
+        self._queue.set_weights(weight_by_client_account)
         self._queue.slots = slots
-        self._refuse(self._queue.expire(now))
+        self._refuse(self._queue.shed_expired(now))
         self._start_waiting(now)
 
     def _start_waiting(self, now: float) -> None:
@@ -113,7 +113,7 @@
             self.running += 1
             granted.set_result(None)
 
-    def _refuse(self, shed: tuple[Shed, ...]) -> None:
+    def _refuse(self, shed: tuple[ShedRequest, ...]) -> None:
         for refused in shed:
             granted = self._future_by_item.get(refused.item.item_id)
             if granted is None or granted.done():
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/member.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/member.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ibisspring_decisions.sampling import MemberView
+from ibisspring_decisions.sampling import SampleState
 
 if TYPE_CHECKING:
     import asyncio
@@ -54,13 +54,13 @@
         """Return the engines that run attempts now; a second attempt avoids them."""
         return tuple(engine.endpoint for engine in self._engine_by_task.values())
 
-    def view(self) -> MemberView:
+    def view(self) -> SampleState:
         """Return the state that `ibisspring_decisions.sampling` needs."""
-        return MemberView(
+        return SampleState(
             self.group,
             self.member,
             done=self.has_winner,
-            started_s=tuple(self.started_by_task.values()),
+            attempt_starts_s=tuple(self.started_by_task.values()),
             not_before_s=self.not_before_s,
         )
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
@@ -6,7 +6,7 @@
 
 from ibisspring_core.errors import Reason, Refusal
 from ibisspring_core.messages.commands import BatchStale, StepState
-from ibisspring_decisions.sampling import EXPECTED_FROM, expected_publications
+from ibisspring_decisions.sampling import PUBLICATION_HISTORY_STEPS, expected_publications
 from ibisspring_entry.rollouts.engine_choice import EngineChoice
 from ibisspring_entry.rollouts.gathering import Gathering, GatheringContext, StepKey
 from ibisspring_entry.rollouts.owned_step import OwnedStep
@@ -160,7 +160,9 @@
         published = owned.gathering.record_batch_request()
         if published is not None:
             earlier = self._publications_by_trainer.get(trainer, ())
-            self._publications_by_trainer[trainer] = (*earlier, published)[-EXPECTED_FROM:]
+            self._publications_by_trainer[trainer] = (*earlier, published)[
+                -PUBLICATION_HISTORY_STEPS:
+            ]
         batch = owned.batch or owned.proposed
         if batch is None:
             samples = owned.gathering.complete_samples()
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_rules.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_rules.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ibisspring_core.errors import Reason, Refusal
-from ibisspring_decisions.sampling import share_of_places
+from ibisspring_decisions.sampling import max_running_attempts
 from ibisspring_entry.rollouts.attempt import StalenessBound
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
     loads = [engine.load for engine in engines]
     capacity = sum(load.capacity for load in loads)
     free = sum(max(0, load.capacity - load.running - load.queued) for load in loads)
-    return share_of_places(capacity, len(sharing), running, free)
+    return max_running_attempts(capacity, len(sharing), running, free)
 
 
 __all__ = [
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
@@ -183,7 +183,7 @@
             queued=0,
             capacity=max(1, record.load.capacity),
             in_flight=self._in_flight_by_endpoint.get(record.endpoint, 0),
-            connected=self._connections.idle(record.address),
+            has_idle_connection=self._connections.idle(record.address),
         )
 
     def count_hedge(self) -> None:
@@ -243,7 +243,7 @@
     ) -> None:
         self._counters.observe("try_seconds", took_s, _outcome_of(answer))
         if isinstance(answer, Answer):
-            self._router.answered(record.endpoint, took_s)
+            self._router.record_success(record.endpoint, took_s)
             return
         self._counters.retried(answer.reason)
         eliot.log_message(
@@ -254,7 +254,7 @@
             ran=answer.may_have_run,
             after_s=round(took_s, 3),
         )
-        self._router.failed(record.endpoint, boot_now())
+        self._router.record_failure(record.endpoint, boot_now())
 
     async def _send_attempt(
         self, request: CallerRequest, record: EndpointRecord, endpoint_deadline_at_s: float
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
@@ -132,7 +132,7 @@
             sent = await self._forwarder.send(request, repeatable_route, time_limit_s)
             rejected = isinstance(sent.answer, Refusal) and not sent.may_have_run
         finally:
-            window.ended(boot_now(), rejected)
+            window.call_ended(boot_now(), rejected)
             self._grant_free_slots(route)
         return sent
 
@@ -148,7 +148,7 @@
         """Wait for a free slot in the route's window; calls get slots in order of arrival."""
         window = self._window_by_route.setdefault(route.name, CallWindow())
         queue = self._queue_by_route.setdefault(route.name, deque())
-        if queue or not window.has_room():
+        if queue or not window.has_capacity():
             granted = asyncio.get_running_loop().create_future()
             queue.append((granted, boot_now()))
             try:
@@ -156,21 +156,23 @@
             except asyncio.CancelledError:
                 if not granted.cancelled():
                     # The slot was granted just before this call was cancelled: pass it on.
-                    window.left()
+                    window.call_cancelled()
                     self._grant_free_slots(route)
                 raise
         else:
-            window.began(boot_now(), 0.0, self._reported_capacity(route))
+            window.call_started(boot_now(), 0.0, self._reported_capacity(route))
         return window
 
     def _grant_free_slots(self, route: Route) -> None:
         window = self._window_by_route[route.name]
         queue = self._queue_by_route[route.name]
-        while queue and window.has_room():
+        while queue and window.has_capacity():
             granted, queued_at_s = queue.popleft()
             if granted.cancelled():
                 continue
-            window.began(boot_now(), boot_now() - queued_at_s, self._reported_capacity(route))
+            window.call_started(
+                boot_now(), boot_now() - queued_at_s, self._reported_capacity(route)
+            )
             granted.set_result(None)
 
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
@@ -13,8 +13,8 @@
 import eliot
 
 from ibisspring_core.messages.jobs import PART, Assignment, ItemResult, Outcome, TextPart
-from ibisspring_decisions.dispatch import place
-from ibisspring_decisions.stragglers import LEAST_LEFT, MovableRun, choose_moves
+from ibisspring_decisions.dispatch import place_items
+from ibisspring_decisions.stragglers import MIN_REMAINING_EVENTS, MovableRun, choose_moves
 from ibisspring_jobs.engines import Engines
 from ibisspring_jobs.items import ItemKey, Items, memory_tokens_of
 from ibisspring_jobs.progress import ItemProgress, abandoned_result
@@ -95,7 +95,9 @@
             capacities = self.engines.free_capacities(
                 service, records, self.run_by_number.values(), now
             )
-            free_by_engine = {capacity.engine: max(0, capacity.slots) for capacity in capacities}
+            free_by_engine = {
+                capacity.engine: max(0, capacity.free_slots) for capacity in capacities
+            }
             movable = [
                 MovableRun(
                     run.number,
@@ -115,14 +117,14 @@
         """
         Estimate the events that a run still has to produce.
 
-        :return: the expected total minus the events so far, and at least LEAST_LEFT; 0.0 if the
-            item is listed or its job has ended.
+        :return: the expected total minus the events so far, and at least MIN_REMAINING_EVENTS; 0.0
+            if the item is listed or its job has ended.
         """
         item = self.items.item_of(run)
         if item is None:
             return 0.0
         produced = run.resume_after + run.events
-        return max(item.expected_tokens / TOKENS_PER_EVENT - produced, LEAST_LEFT)
+        return max(item.expected_tokens / TOKENS_PER_EVENT - produced, MIN_REMAINING_EVENTS)
 
     def _request_move(self, run: Run) -> None:
         run.moved = True
@@ -199,7 +201,7 @@
         if not self.engines.any_free_slot(service, records, runs):
             return
         capacities = self.engines.free_capacities(service, records, runs, now)
-        for placement in place(self.items.waiting(service, self.engines, now), capacities):
+        for placement in place_items(self.items.waiting(service, self.engines, now), capacities):
             record = record_by_engine[placement.engine]
             runner = self._choose_runner(record, now)
             if runner is None:
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ibisspring_core.kept_connections import KeptConnections
-from ibisspring_decisions.dispatch import EngineRoom
+from ibisspring_decisions.dispatch import EngineCapacity
 from ibisspring_jobs.paces import EnginePaces
 
 if TYPE_CHECKING:
@@ -93,7 +93,7 @@
 
     def free_capacities(
         self, service: str, records: Iterable[EndpointRecord], runs: Iterable[Run], now: float
-    ) -> list[EngineRoom]:
+    ) -> list[EngineCapacity]:
         """
         Return the free slots and memory of the given engines, with their pace and connections.
 
@@ -111,14 +111,14 @@
             engine = record.endpoint
             engine_runs = runs_by_engine.get(engine, [])
             capacities.append(
-                EngineRoom(
+                EngineCapacity(
                     engine=engine,
-                    slots=_slot_count(record, terms) - len(engine_runs),
-                    tokens=memory - sum(run.tokens for run in engine_runs),
+                    free_slots=_slot_count(record, terms) - len(engine_runs),
+                    free_memory_tokens=memory - sum(run.tokens for run in engine_runs),
                     running=len(engine_runs),
                     slowness=self.paces.slowness(engine),
-                    groups=self._groups_by_engine.get(engine, set()),
-                    connected=self._idle.idle((engine,), now),
+                    groups_with_prompt=self._groups_by_engine.get(engine, set()),
+                    idle_connections=self._idle.idle((engine,), now),
                 )
             )
         return capacities
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/items.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/items.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from ibisspring_decisions.dispatch import WaitingItem, memory_needed, order_of
+from ibisspring_decisions.dispatch import WaitingItem, expected_memory_tokens, rank_of
 from ibisspring_jobs.progress import ItemProgress
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
     from ibisspring_core.messages.jobs import JobItem
-    from ibisspring_decisions.dispatch import Rank
+    from ibisspring_decisions.dispatch import ItemRank
     from ibisspring_jobs.engines import Engines
     from ibisspring_jobs.runs import Run
     from ibisspring_jobs.state import JobRecord, JobsState
@@ -158,8 +158,8 @@
         ordered = self._ordered_by_job.get(job_record.job.job)
         if ordered is None:
 
-            def rank(item: JobItem) -> Rank:
-                return order_of(_waiting_item(job_record, item, frozenset()))
+            def rank(item: JobItem) -> ItemRank:
+                return rank_of(_waiting_item(job_record, item, frozenset()))
 
             ordered = sorted(job_record.item_by_id.values(), key=rank)
             self._ordered_by_job[job_record.job.job] = ordered
@@ -183,14 +183,14 @@
         priority=job_record.job.priority,
         carried=item.group in job_record.carried,
         expected_tokens=item.expected_tokens,
-        tokens=memory_tokens_of(item),
+        memory_tokens=memory_tokens_of(item),
         engines=engines,
     )
 
 
 def memory_tokens_of(item: JobItem) -> int:
     """Return the memory that an item is expected to take at its engine, in tokens."""
-    return memory_needed(item.tokens, item.prompt_tokens, item.expected_tokens)
+    return expected_memory_tokens(item.tokens, item.prompt_tokens, item.expected_tokens)
 
 
 __all__ = ["ItemKey", "Items", "memory_tokens_of"]
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/paces.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/paces.py
@@ -65,7 +65,7 @@
         for engine, seconds in seconds_by_engine.items():
             if seconds >= MIN_MEASURED_S:
                 pace = self._pace_by_engine.setdefault(engine, Pace())
-                pace.measure(seconds / max(1, events_by_engine[engine]))
+                pace.add_measurement(seconds / max(1, events_by_engine[engine]))
 
 
 __all__ = ["EnginePaces"]
--- a/tests/unit/decisions/test_admission.py
+++ b/tests/unit/decisions/test_admission.py
@@ -49,14 +49,16 @@
                     self.received[(at, peer)] = PeerDemand(now, demand)
             others = [peer for peer in range(len(demands)) if peer != at]
             unknown = PeerDemand(None, {})
-            admission.share(tuple(self.received.get((at, peer), unknown) for peer in others), now)
+            admission.divide_by_demand(
+                tuple(self.received.get((at, peer), unknown) for peer in others), now
+            )
 
     def run(self, arrivals: list[tuple[float, int, str]]) -> dict[str, int]:
         """Process requests (time, entry, account) and return the number admitted by account."""
         admitted: dict[str, int] = {}
         for now, entry, account in sorted(arrivals):
             self.exchange(now)
-            if isinstance(self.admissions[entry].ask(account, now), Admitted):
+            if isinstance(self.admissions[entry].admit(account, now), Admitted):
                 admitted[account] = admitted.get(account, 0) + 1
         return admitted
 
@@ -80,7 +82,7 @@
     rejections_when_admitted: list[int] = []
     while pending:
         now, rejections = heapq.heappop(pending)
-        answer = admission.ask("forge", now)
+        answer = admission.admit("forge", now)
         if isinstance(answer, Admitted):
             rejections_when_admitted.append(rejections)
             continue
@@ -152,9 +154,9 @@
 def test_requests_after_an_overload_are_admitted_at_once() -> None:
     admission = Admission.from_rules({"forge": _Rule(10.0, 10.0)}, 0.0)
     for number in range(2000):
-        admission.ask("forge", number / 100)
+        admission.admit("forge", number / 100)
 
-    answers = [admission.ask("forge", 22.0 + number / 10) for number in range(50)]
+    answers = [admission.admit("forge", 22.0 + number / 10) for number in range(50)]
 
     assert all(isinstance(answer, Admitted) for answer in answers)
 
@@ -163,14 +165,14 @@
     rules = {"forge": _Rule(1.0, 5.0), "mill": _Rule(1.0, 5.0)}
     admission = Admission.from_rules(rules, 0.0)
     for _ in range(5):
-        admission.ask("forge", 0.0)
+        admission.admit("forge", 0.0)
 
-    admission.follow_rules({**rules, "mill": _Rule(2.0, 9.0)}, 0.0)
+    admission.set_rules({**rules, "mill": _Rule(2.0, 9.0)}, 0.0)
 
-    assert isinstance(admission.ask("forge", 0.0), NotAdmitted)
+    assert isinstance(admission.admit("forge", 0.0), NotAdmitted)
 
 
 def test_an_account_without_a_rule_is_never_admitted() -> None:
     admission = Admission.from_rules({}, 0.0)
 
-    assert admission.ask("nobody", 0.0) == NotAdmitted(MAX_RETRY_AFTER_S)
+    assert admission.admit("nobody", 0.0) == NotAdmitted(MAX_RETRY_AFTER_S)
--- a/tests/unit/decisions/test_call_window.py
+++ b/tests/unit/decisions/test_call_window.py
@@ -60,12 +60,12 @@
             continue
         for was_refused in ended_by_key.pop((now, sender), []):
             if windows is not None:
-                windows[sender].ended(now, was_refused)
+                windows[sender].call_ended(now, was_refused)
         queue = queues[sender]
-        while queue and queue[0] <= now and (windows is None or windows[sender].has_room()):
+        while queue and queue[0] <= now and (windows is None or windows[sender].has_capacity()):
             due = queue.pop(0)
             if windows is not None:
-                windows[sender].began(now, now - due, CAPACITY)
+                windows[sender].call_started(now, now - due, CAPACITY)
             end = service.take(now, CALL_S)
             if end is None:
                 queue.insert(0, due)
@@ -97,10 +97,10 @@
     # limit; one that reads all texts of an engine gets the larger limit that these need.
     idle, busy = CallWindow(), CallWindow()
     for n in range(100):
-        idle.began(n * 0.1, 0.0, CAPACITY)
-        idle.ended(n * 0.1, refused=False)
-        busy.began(n * 0.1, 2 * GROW_AFTER_WAIT_S if n < 50 else 0.0, CAPACITY)
-        busy.ended(n * 0.1, refused=False)
+        idle.call_started(n * 0.1, 0.0, CAPACITY)
+        idle.call_ended(n * 0.1, rejected=False)
+        busy.call_started(n * 0.1, 2 * GROW_AFTER_WAIT_S if n < 50 else 0.0, CAPACITY)
+        busy.call_ended(n * 0.1, rejected=False)
 
     assert idle.limit == INITIAL_LIMIT
     assert busy.limit >= 2 * INITIAL_LIMIT
@@ -113,8 +113,8 @@
     for capacity in (5, CAPACITY, 2 * CAPACITY):
         window = CallWindow()
         for n in range(100):
-            window.began(n * 1.1, 2 * GROW_AFTER_WAIT_S, capacity)
-            window.ended(n * 1.1, refused=False)
+            window.call_started(n * 1.1, 2 * GROW_AFTER_WAIT_S, capacity)
+            window.call_ended(n * 1.1, rejected=False)
         limits[capacity] = window.limit
 
     assert limits[5] == INITIAL_LIMIT
@@ -126,12 +126,12 @@
     window = CallWindow()
     window.limit = 8.0
     for _ in range(8):
-        window.began(0.0, 0.0, CAPACITY)
+        window.call_started(0.0, 0.0, CAPACITY)
     for _ in range(8):
-        window.ended(1.0, refused=True)
+        window.call_ended(1.0, rejected=True)
     limit_after_burst = window.limit
     assert limit_after_burst > 4.0
 
-    window.began(2.0, 0.0, CAPACITY)
-    window.ended(1.0 + 2 * SHRINK_EVERY_S, refused=True)
+    window.call_started(2.0, 0.0, CAPACITY)
+    window.call_ended(1.0 + 2 * SHRINK_EVERY_S, rejected=True)
     assert window.limit < limit_after_burst
--- a/tests/unit/decisions/test_capacity.py
+++ b/tests/unit/decisions/test_capacity.py
@@ -3,22 +3,22 @@
 from ibisspring_decisions.capacity import (
     CHEAP,
     STANDARD,
-    Capacity,
-    Place,
-    Running,
-    Start,
-    Stop,
-    Wanted,
+    CapacityPlanner,
+    CapacityPool,
+    RunningEndpoint,
+    StartEndpoint,
+    StopEndpoint,
+    WantedFleet,
 )
 
 DATA_CENTRES = ("birmingham", "derby", "stoke")
-WANTED = Wanted(DATA_CENTRES, count=5, cheap_share=0.6)
+WANTED = WantedFleet(DATA_CENTRES, count=5, cheap_share=0.6)
 START_S = 20.0
 
 
 class _Fleet:
     """
-    A fleet that carries out the plans of `Capacity`.
+    A fleet that carries out the plans of `CapacityPlanner`.
 
     An endpoint serves `START_S` after its order; a stopped one disappears at once.
 
@@ -27,13 +27,13 @@
     :param min_serving: lowest number of endpoints that served at a time in the last span.
     """
 
-    def __init__(self, wanted: Wanted) -> None:
+    def __init__(self, wanted: WantedFleet) -> None:
         self.wanted = wanted
-        self.capacity = Capacity()
+        self.capacity = CapacityPlanner()
         self.now = 0.0
-        self.serving: dict[str, Place] = {}
-        self.starting: list[tuple[float, Place]] = []
-        self.unavailable: set[Place] = set()
+        self.serving: dict[str, CapacityPool] = {}
+        self.starting: list[tuple[float, CapacityPool]] = []
+        self.unavailable: set[CapacityPool] = set()
         self.orders = 0
         self.refused = 0
         self.stopped = 0
@@ -45,7 +45,9 @@
         for _ in range(int(span_s)):
             self.now += 1.0
             self._announce_started()
-            running = tuple(Running(name, place) for name, place in sorted(self.serving.items()))
+            running = tuple(
+                RunningEndpoint(name, place) for name, place in sorted(self.serving.items())
+            )
             pending = tuple(place for _, place in self.starting)
             for step in self.capacity.plan("lm", self.wanted, running, pending, self.now):
                 self._apply(step)
@@ -58,24 +60,24 @@
             self.starting.remove(start)
             self.serving[f"{start[1].data_centre}-{self.now:.0f}-{len(self.serving)}"] = start[1]
 
-    def _apply(self, step: Start | Stop) -> None:
+    def _apply(self, step: StartEndpoint | StopEndpoint) -> None:
         self.orders += 1
-        if isinstance(step, Stop):
+        if isinstance(step, StopEndpoint):
             self.stopped += 1
             del self.serving[step.endpoint]
         elif step.place in self.unavailable:
             self.refused += 1
-            self.capacity.note_unavailable(step.place, self.now)
+            self.capacity.record_unavailable(step.place, self.now)
         else:
             self.starting.append((self.now, step.place))
 
     def reclaim(self, data_centre: str) -> None:
         """Lose all cheap endpoints of a data centre, one of them of another service."""
-        place = Place(data_centre, CHEAP)
-        self.capacity.note_lost(place, self.now)
+        place = CapacityPool(data_centre, CHEAP)
+        self.capacity.record_loss(place, self.now)
         for name in [name for name, other in self.serving.items() if other == place]:
             del self.serving[name]
-            self.capacity.note_lost(place, self.now)
+            self.capacity.record_loss(place, self.now)
 
     def count(self, kind: str) -> int:
         return sum(1 for place in self.serving.values() if place.kind == kind)
@@ -84,7 +86,7 @@
         return sorted(place.data_centre for place in self.serving.values() if place.kind == kind)
 
 
-def _started_fleet(wanted: Wanted = WANTED) -> _Fleet:
+def _started_fleet(wanted: WantedFleet = WANTED) -> _Fleet:
     fleet = _Fleet(wanted)
     fleet.run(60)
     return fleet
@@ -126,7 +128,7 @@
 
 def test_an_unavailable_cheap_kind_falls_back_to_the_standard_one_without_a_storm() -> None:
     fleet = _Fleet(WANTED)
-    fleet.unavailable = {Place(data_centre, CHEAP) for data_centre in DATA_CENTRES}
+    fleet.unavailable = {CapacityPool(data_centre, CHEAP) for data_centre in DATA_CENTRES}
 
     fleet.run(300)
 
@@ -136,7 +138,7 @@
 
 def test_an_unavailable_standard_kind_never_breaks_the_cheap_bound() -> None:
     fleet = _Fleet(WANTED)
-    fleet.unavailable = {Place(data_centre, STANDARD) for data_centre in DATA_CENTRES}
+    fleet.unavailable = {CapacityPool(data_centre, STANDARD) for data_centre in DATA_CENTRES}
 
     fleet.run(300)
 
@@ -146,7 +148,7 @@
 def test_an_endpoint_too_many_for_a_moment_is_not_stopped() -> None:
     # A late announcement makes a lost endpoint count as serving for some seconds.
     fleet = _started_fleet()
-    fleet.serving["lost"] = Place("derby", STANDARD)
+    fleet.serving["lost"] = CapacityPool("derby", STANDARD)
     fleet.run(30)
     del fleet.serving["lost"]
     fleet.run(120)
@@ -157,7 +159,7 @@
 def test_a_changed_rule_moves_the_fleet_without_a_gap() -> None:
     fleet = _started_fleet()
 
-    fleet.wanted = Wanted(("birmingham", "stoke"), count=5, cheap_share=0.2)
+    fleet.wanted = WantedFleet(("birmingham", "stoke"), count=5, cheap_share=0.2)
     fleet.run(1200)
 
     assert fleet.min_serving == 5
--- a/tests/unit/decisions/test_dispatch.py
+++ b/tests/unit/decisions/test_dispatch.py
@@ -3,11 +3,11 @@
 import dataclasses
 
 from ibisspring_decisions.dispatch import (
-    EngineRoom,
+    EngineCapacity,
     WaitingItem,
-    memory_needed,
-    order_of,
-    place,
+    expected_memory_tokens,
+    place_items,
+    rank_of,
 )
 
 EVENT_S = 0.037
@@ -24,40 +24,43 @@
         "priority": 1,
         "carried": False,
         "expected_tokens": expected,
-        "tokens": memory_needed(9300, 271, expected),
+        "memory_tokens": expected_memory_tokens(9300, 271, expected),
         "engines": frozenset({"a", "b", "c", "d", "e"}),
     }
     return WaitingItem(**{**fields, **changes})
 
 
-def engine_capacity(engine: str, **changes) -> EngineRoom:
+def engine_capacity(engine: str, **changes) -> EngineCapacity:
     fields = {
         "engine": engine,
-        "slots": SLOTS,
-        "tokens": MEMORY_TOKENS,
+        "free_slots": SLOTS,
+        "free_memory_tokens": MEMORY_TOKENS,
         "running": 0,
         "slowness": 1.0,
-        "groups": set(),
+        "groups_with_prompt": set(),
     }
-    return EngineRoom(**{**fields, **changes})
+    return EngineCapacity(**{**fields, **changes})
 
 
 def run_job(items: list[WaitingItem], events_by_key: dict, sort: bool) -> float:
     """Run a job on five engines; return the seconds until its last item ends."""
-    remaining = sorted(items, key=order_of) if sort else list(items)
+    remaining = sorted(items, key=rank_of) if sort else list(items)
     ends: list[tuple[float, str, WaitingItem]] = []
     now = 0.0
     while remaining or ends:
         capacities = []
         for engine in "abcde":
             running = [item for _, name, item in ends if name == engine]
-            tokens = MEMORY_TOKENS - sum(item.tokens for item in running)
+            tokens = MEMORY_TOKENS - sum(item.memory_tokens for item in running)
             capacities.append(
                 engine_capacity(
-                    engine, slots=SLOTS - len(running), tokens=tokens, running=len(running)
+                    engine,
+                    free_slots=SLOTS - len(running),
+                    free_memory_tokens=tokens,
+                    running=len(running),
                 )
             )
-        engine_by_key = {one.key: one.engine for one in place(remaining, capacities)}
+        engine_by_key = {one.key: one.engine for one in place_items(remaining, capacities)}
         for item in remaining:
             if item.key in engine_by_key:
                 ends.append(
@@ -95,7 +98,7 @@
     assert run_job(items, events_by_key, sort=True) <= longest_s * 1.35
 
     by_maximum = [
-        waiting_item(n, item.expected_tokens, tokens=9300) for n, item in enumerate(items)
+        waiting_item(n, item.expected_tokens, memory_tokens=9300) for n, item in enumerate(items)
     ]
     assert run_job(by_maximum, events_by_key, sort=True) > longest_s * 1.35
 
@@ -114,28 +117,28 @@
     carried = waiting_item(2, 10, due_s=9.0, carried=True)
     urgent = waiting_item(3, 10, due_s=20.0, priority=0)
 
-    ranked = sorted([late, early, carried, urgent], key=order_of)
+    ranked = sorted([late, early, carried, urgent], key=rank_of)
 
     assert ranked == [urgent, early, carried, late]
 
 
 def test_a_group_goes_to_the_engine_with_its_prompt_while_loads_are_nearly_equal() -> None:
     item = waiting_item(0, 100)
-    with_prompt = engine_capacity("b", running=1, groups={item.group})
+    with_prompt = engine_capacity("b", running=1, groups_with_prompt={item.group})
 
-    assert place([item], [engine_capacity("a"), with_prompt])[0].engine == "b"
+    assert place_items([item], [engine_capacity("a"), with_prompt])[0].engine == "b"
 
     with_prompt.running = 4
-    assert place([item], [engine_capacity("a"), with_prompt])[0].engine == "a"
+    assert place_items([item], [engine_capacity("a"), with_prompt])[0].engine == "a"
 
 
 def test_a_slow_engine_is_not_preferred_for_having_the_prompt() -> None:
     # Guards against sending an item that was moved away from a slow engine back to it because that
     # engine has the item's prompt.
     item = waiting_item(0, 100)
-    slow = engine_capacity("b", slowness=5.0, groups={item.group})
+    slow = engine_capacity("b", slowness=5.0, groups_with_prompt={item.group})
 
-    assert place([item], [engine_capacity("a", running=1), slow])[0].engine == "a"
+    assert place_items([item], [engine_capacity("a", running=1), slow])[0].engine == "a"
 
 
 def test_long_items_go_to_the_fast_engines() -> None:
@@ -143,20 +146,24 @@
     # takes seven seconds there and five elsewhere, and its step waits for it.
     capacities = [engine_capacity("a", slowness=1.3), engine_capacity("b"), engine_capacity("c")]
     items = [waiting_item(n, 9000 if n < 6 else 900, group=("job", str(n))) for n in range(24)]
-    items = [dataclasses.replace(item, engines=frozenset("abc"), tokens=900) for item in items]
+    items = [
+        dataclasses.replace(item, engines=frozenset("abc"), memory_tokens=900) for item in items
+    ]
 
-    engine_by_key = {one.key: one.engine for one in place(sorted(items, key=order_of), capacities)}
+    engine_by_key = {
+        one.key: one.engine for one in place_items(sorted(items, key=rank_of), capacities)
+    }
 
     assert not [item for item in items[:6] if engine_by_key[item.key] == "a"]
     assert [item for item in items[6:] if engine_by_key[item.key] == "a"]
 
 
 def test_nothing_goes_to_an_engine_without_free_slots_or_one_that_may_not_run_the_item() -> None:
-    full = engine_capacity("a", slots=0)
+    full = engine_capacity("a", free_slots=0)
     not_allowed = engine_capacity("b")
     items = [waiting_item(0, 100, engines=frozenset({"a"}))]
 
-    assert place(items, [full, not_allowed]) == ()
+    assert place_items(items, [full, not_allowed]) == ()
 
 
 def test_a_slow_engine_gets_fewer_items() -> None:
@@ -165,12 +172,12 @@
         waiting_item(n, 100, engines=frozenset("ab"), group=("job", str(n))) for n in range(12)
     ]
 
-    engines = [placement.engine for placement in place(items, capacities)]
+    engines = [placement.engine for placement in place_items(items, capacities)]
 
     assert engines.count("a") <= 3
 
 
 def test_memory_follows_the_estimate_and_never_exceeds_the_maximum() -> None:
-    assert memory_needed(9300, 271, 1300) == 1571
-    assert memory_needed(9300, 271, 16000) == 9300
-    assert memory_needed(9300, 271, 0) == 1860
+    assert expected_memory_tokens(9300, 271, 1300) == 1571
+    assert expected_memory_tokens(9300, 271, 16000) == 9300
+    assert expected_memory_tokens(9300, 271, 0) == 1860
--- a/tests/unit/decisions/test_drain.py
+++ b/tests/unit/decisions/test_drain.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ibisspring_decisions.drain import Draining, DrainLimits, DrainStep, next_step
+from ibisspring_decisions.drain import DrainingEndpoint, DrainLimits, DrainStep, next_drain_step
 
 LIMITS = DrainLimits(settle_s=10.0, deadline_s=120.0)
 
@@ -11,18 +11,18 @@
     ("draining", "now", "step"),
     [
         # An entry may still send requests to the endpoint; a stop would break the latest ones.
-        (Draining(0.0, None, 0, True), 50.0, DrainStep.WAIT),
+        (DrainingEndpoint(0.0, None, 0, True), 50.0, DrainStep.WAIT),
         # The announced load of zero may be older than the last request that an entry sent.
-        (Draining(0.0, 3.0, 0, True), 5.0, DrainStep.WAIT),
-        (Draining(0.0, 3.0, 0, False), 30.0, DrainStep.WAIT),
+        (DrainingEndpoint(0.0, 3.0, 0, True), 5.0, DrainStep.WAIT),
+        (DrainingEndpoint(0.0, 3.0, 0, False), 30.0, DrainStep.WAIT),
         # A long stream is still running.
-        (Draining(0.0, 3.0, 1, True), 100.0, DrainStep.WAIT),
-        (Draining(0.0, 3.0, 0, True), 13.0, DrainStep.STOP_IDLE),
+        (DrainingEndpoint(0.0, 3.0, 1, True), 100.0, DrainStep.WAIT),
+        (DrainingEndpoint(0.0, 3.0, 0, True), 13.0, DrainStep.STOP_IDLE),
         # A stream that never ends, or an entry that is disconnected and still holds its lease, must
         # not delay the stop without limit.
-        (Draining(0.0, 3.0, 1, True), 120.0, DrainStep.STOP_AT_DEADLINE),
-        (Draining(0.0, None, 0, False), 120.0, DrainStep.STOP_AT_DEADLINE),
+        (DrainingEndpoint(0.0, 3.0, 1, True), 120.0, DrainStep.STOP_AT_DEADLINE),
+        (DrainingEndpoint(0.0, None, 0, False), 120.0, DrainStep.STOP_AT_DEADLINE),
     ],
 )
-def test_steps(draining: Draining, now: float, step: DrainStep) -> None:
-    assert next_step(draining, LIMITS, now) is step
+def test_steps(draining: DrainingEndpoint, now: float, step: DrainStep) -> None:
+    assert next_drain_step(draining, LIMITS, now) is step
--- a/tests/unit/decisions/test_queueing.py
+++ b/tests/unit/decisions/test_queueing.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ibisspring_decisions import queueing
-from ibisspring_decisions.queueing import FairQueue, Item, Shed, TakeResult
+from ibisspring_decisions.queueing import FairQueue, Item, ShedRequest, TakeResult
 
 
 class _FirstComeQueue:
@@ -19,7 +19,7 @@
     def __init__(self, slots: int) -> None:
         self.items: list[Item] = []
 
-    def offer(self, item: Item, now: float) -> tuple[Shed, ...]:
+    def offer(self, item: Item, now: float) -> tuple[ShedRequest, ...]:
         self.items.append(item)
         return ()
 
@@ -41,7 +41,7 @@
     waits_s: dict[str, list[float]] = field(default_factory=dict)
     in_time_s: dict[str, float] = field(default_factory=dict)
     late: int = 0
-    shed: list[tuple[float, Shed]] = field(default_factory=list)
+    shed: list[tuple[float, ShedRequest]] = field(default_factory=list)
 
     def max_wait_s(self, prefix: str) -> float:
         """Return the longest wait in the accounts whose names start with a prefix."""
@@ -218,7 +218,7 @@
     (shed,) = queue.offer(Item("late", "forge", 1.0, 5.0), 0.0)
     assert shed.item.item_id == "late"
 
-    queue.correct(running, 1.0)
+    queue.charge_actual_time(running, 1.0)
     assert queue.offer(Item("again", "forge", 1.0, 6.0), 1.0) == ()
 
 
@@ -250,15 +250,15 @@
     (shed,) = queue.offer(Item("small-0", "small", 0.1, 100.0), 0.0)
 
     assert shed.item.item_id == "hot-9" and shed.full
-    assert queue.waiting == 10
+    assert queue.queued_count == 10
 
 
 def test_a_queued_request_that_cannot_finish_is_rejected_while_no_slot_is_free() -> None:
     queue = FairQueue.from_weights({}, 1)
     queue.offer(Item("r", "forge", 1.0, 10.0), 0.0)
 
-    assert queue.expire(8.9) == ()
-    (shed,) = queue.expire(9.1)
+    assert queue.shed_expired(8.9) == ()
+    (shed,) = queue.shed_expired(9.1)
 
     assert shed.item.item_id == "r" and not shed.full
     assert queue.take(9.2) == TakeResult(None)
@@ -284,7 +284,7 @@
     for _ in range(100):
         item = queue.take(0.0).item
         taken[item.client_account] += 1.0
-        queue.correct(item, 1.0)
+        queue.charge_actual_time(item, 1.0)
 
     assert taken["underestimated"] == pytest.approx(taken["accurate"], abs=2)
 
--- a/tests/unit/decisions/test_retries.py
+++ b/tests/unit/decisions/test_retries.py
@@ -16,9 +16,9 @@
     retries = 0
     for number in range(requests):
         now = number / rate
-        budget.request(now)
+        budget.count_request(now)
         for retry in range(tries - 1):
-            if (number * 7 + retry) % 100 >= failing * 100 or not budget.take(now):
+            if (number * 7 + retry) % 100 >= failing * 100 or not budget.take_retry(now):
                 break
             retries += 1
     return requests, retries
@@ -41,5 +41,5 @@
 def test_an_entry_without_traffic_may_retry() -> None:
     budget = RetryBudget.from_defaults()
 
-    assert budget.take(0.0)
-    assert [budget.take(100.0 + number) for number in range(30)] == [True] * 30
+    assert budget.take_retry(0.0)
+    assert [budget.take_retry(100.0 + number) for number in range(30)] == [True] * 30
--- a/tests/unit/decisions/test_routing.py
+++ b/tests/unit/decisions/test_routing.py
@@ -77,7 +77,7 @@
         while answers and answers[0][0] <= now:
             _, sender, answering, pace = heapq.heappop(answers)
             if routers:
-                routers[sender].answered(f"e{answering}", pace)
+                routers[sender].record_success(f"e{answering}", pace)
         entry = source.randrange(entries)
         index = pick(entry, reports, sent_since[entry], now)
         sent_since[entry][index] += 1
@@ -98,7 +98,7 @@
 
     def pick(entry: int, reports: list[int], sent: list[int], now: float) -> int:
         candidates = tuple(
-            candidate(index, load, sent_since=sent[index] * counts_sent)
+            candidate(index, load, sent_since_report=sent[index] * counts_sent)
             for index, load in enumerate(reports)
         )
         return int(routers[entry].choose(candidates, now)[1:])
@@ -159,7 +159,7 @@
         busy = tuple(candidate(index, load=2) for index in range(4))
         if chooser.choose((*busy, candidate(4)), now) == "e4":
             failures += 1
-            chooser.failed("e4", now)
+            chooser.record_failure("e4", now)
 
     assert failures <= 4 * EJECT_AFTER_FAILURES
 
@@ -171,7 +171,7 @@
     chooser = router()
     for index in range(failing):
         for _ in range(EJECT_AFTER_FAILURES):
-            chooser.failed(f"e{index}", 0.0)
+            chooser.record_failure(f"e{index}", 0.0)
 
     chosen = {chooser.choose(tuple(map(candidate, range(5))), 0.1) for _ in range(100)}
 
@@ -181,7 +181,7 @@
 def test_an_ejected_endpoint_is_used_again_after_the_ejection() -> None:
     chooser = router()
     for _ in range(EJECT_AFTER_FAILURES):
-        chooser.failed("e0", 0.0)
+        chooser.record_failure("e0", 0.0)
     pair = (candidate(0), candidate(1))
 
     assert {chooser.choose(pair, 1.0) for _ in range(50)} == {"e1"}
@@ -194,7 +194,9 @@
     chooser = router()
     loads = [0] * 5
     for _ in range(40):
-        candidates = [candidate(index, loads[index], cached=index == 0) for index in range(5)]
+        candidates = [
+            candidate(index, loads[index], has_cached_prefix=index == 0) for index in range(5)
+        ]
         loads[int(chooser.choose(tuple(candidates), 0.0)[1:])] += 1
 
     assert loads[0] == max(loads)
--- a/tests/unit/decisions/test_sampling.py
+++ b/tests/unit/decisions/test_sampling.py
@@ -1,13 +1,13 @@
 from __future__ import annotations
 
 from ibisspring_decisions.sampling import (
-    MemberView,
-    Start,
+    AttemptStart,
+    SampleState,
     expected_publications,
     is_stale,
+    max_running_attempts,
     may_start,
     plan_starts,
-    share_of_places,
 )
 
 
@@ -19,12 +19,15 @@
     its three finished samples could become stale.
     """
     members = tuple(
-        MemberView(group, member, done=group == 2 and member < 3)
+        SampleState(group, member, done=group == 2 and member < 3)
         for group in range(4)
         for member in range(4)
     )
 
-    assert plan_starts(members, 2, (), 0.0) == (Start(2, 3, False), Start(0, 0, False))
+    assert plan_starts(members, 2, (), 0.0) == (
+        AttemptStart(2, 3, False),
+        AttemptStart(0, 0, False),
+    )
 
 
 def test_a_straggler_is_raced_once_and_only_on_a_free_slot() -> None:
@@ -33,14 +36,14 @@
 
     Without a race the step would take as long as the hanging engine, and the trainer would be idle.
     """
-    done = tuple(MemberView(0, member, done=True) for member in range(5))
-    straggler = MemberView(0, 5, started_s=(0.0,))
+    done = tuple(SampleState(0, member, done=True) for member in range(5))
+    straggler = SampleState(0, 5, attempt_starts_s=(0.0,))
     durations_s = (1.0,) * 5
 
-    assert plan_starts((*done, straggler), 1, durations_s, 10.0) == (Start(0, 5, True),)
+    assert plan_starts((*done, straggler), 1, durations_s, 10.0) == (AttemptStart(0, 5, True),)
     assert plan_starts((*done, straggler), 0, durations_s, 10.0) == ()
     assert plan_starts((*done, straggler), 1, durations_s, 1.5) == ()
-    raced = MemberView(0, 5, started_s=(0.0, 9.0))
+    raced = SampleState(0, 5, attempt_starts_s=(0.0, 9.0))
     assert plan_starts((*done, raced), 1, durations_s, 30.0) == ()
 
 
@@ -50,17 +53,17 @@
 
     Without the limit the complete step would run twice on engines that are already overloaded.
     """
-    done = tuple(MemberView(0, member, done=True) for member in range(10))
-    slow = tuple(MemberView(1, member, started_s=(0.0,)) for member in range(30))
+    done = tuple(SampleState(0, member, done=True) for member in range(10))
+    slow = tuple(SampleState(1, member, attempt_starts_s=(0.0,)) for member in range(30))
 
     assert len(plan_starts(done + slow, 100, (1.0,) * 10, 60.0)) == 4
 
 
 def test_a_failed_sample_starts_again_after_its_backoff() -> None:
-    members = (MemberView(0, 0, not_before_s=5.0),)
+    members = (SampleState(0, 0, not_before_s=5.0),)
 
     assert plan_starts(members, 1, (), 4.0) == ()
-    assert plan_starts(members, 1, (), 5.0) == (Start(0, 0, False),)
+    assert plan_starts(members, 1, (), 5.0) == (AttemptStart(0, 0, False),)
 
 
 def test_a_sample_is_stale_when_it_is_more_versions_behind_than_the_bound() -> None:
@@ -96,13 +99,13 @@
     With fixed parts two thirds of the engines would be idle at first; without a guaranteed part the
     second trainer would wait until the first one's step is complete.
     """
-    assert share_of_places(24, 3, running=0, free=24) == 24
-    assert share_of_places(24, 3, running=24, free=0) == 24
-    assert share_of_places(24, 3, running=0, free=0) == 8
+    assert max_running_attempts(24, 3, running=0, free=24) == 24
+    assert max_running_attempts(24, 3, running=24, free=0) == 24
+    assert max_running_attempts(24, 3, running=0, free=0) == 8
     first, second = 24, 0
     while second < 8:
-        second = share_of_places(24, 3, second, free=0)
+        second = max_running_attempts(24, 3, second, free=0)
     for _ in range(30):
         ended = first - 1
-        first = share_of_places(24, 3, ended, free=max(0, 24 - ended - second))
+        first = max_running_attempts(24, 3, ended, free=max(0, 24 - ended - second))
     assert first == 16
--- a/tests/unit/decisions/test_slots.py
+++ b/tests/unit/decisions/test_slots.py
@@ -28,13 +28,13 @@
 def test_the_expected_time_is_zero_before_the_first_response() -> None:
     # While the time per token is unknown, a request with a large token bound must not be rejected
     # as unable to finish before its deadline.
-    assert WorkTime().expect_s(1_000_000) == 0.0
+    assert WorkTime().expected_s(1_000_000) == 0.0
 
 
 def test_large_token_bounds_that_end_early_have_a_short_expected_time() -> None:
     # Callers request up to 100,000 tokens and get some hundred tokens in 5 s.
     work_time = WorkTime()
     for _ in range(20):
-        work_time.learn(100_000, 5.0)
+        work_time.add_duration(100_000, 5.0)
 
-    assert work_time.expect_s(100_000) < 6.0
+    assert work_time.expected_s(100_000) < 6.0
--- a/tests/unit/decisions/test_stragglers.py
+++ b/tests/unit/decisions/test_stragglers.py
@@ -25,14 +25,14 @@
         for number in events_by_run:
             pace_s = EVENT_S * 3.6 if engine_by_run[number] == "a" else EVENT_S
             events_by_run[number] += 0.4 / pace_s
-        pace_by_engine["a"].measure(EVENT_S * 3.6)
+        pace_by_engine["a"].add_measurement(EVENT_S * 3.6)
         if not moves:
             continue
         runs = [
             MovableRun(run, engine_by_run[run], 38 - events, ANY_ENGINE)
             for run, events in events_by_run.items()
         ]
-        for number in choose_moves(runs, slow_engines(pace_by_engine), {"b": 12}, waiting=0):
+        for number in choose_moves(runs, slow_engines(pace_by_engine), {"b": 12}, waiting_items=0):
             engine_by_run[number] = "b"
     return now
 
@@ -62,9 +62,9 @@
         MovableRun(3, "b", 90, ANY_ENGINE),
     ]
 
-    assert choose_moves(runs, frozenset("a"), {"b": 1}, waiting=0) == (2,)
-    assert choose_moves(runs, frozenset("a"), {"b": 1}, waiting=4) == ()
-    assert choose_moves(runs, frozenset("a"), {"a": 9, "b": 3, "c": 2}, waiting=0) == (2, 1)
+    assert choose_moves(runs, frozenset("a"), {"b": 1}, waiting_items=0) == (2,)
+    assert choose_moves(runs, frozenset("a"), {"b": 1}, waiting_items=4) == ()
+    assert choose_moves(runs, frozenset("a"), {"a": 9, "b": 3, "c": 2}, waiting_items=0) == (2, 1)
 
 
 def test_a_text_does_not_leave_for_places_where_it_may_not_run() -> None:
@@ -73,10 +73,10 @@
     # placed on it again at once, repeatedly.
     runs = [MovableRun(1, "a", 90, frozenset("a")), MovableRun(2, "a", 50, frozenset("ac"))]
 
-    assert choose_moves(runs, frozenset("a"), {"b": 16}, waiting=0) == ()
-    assert choose_moves(runs, frozenset("a"), {"b": 16, "c": 1}, waiting=0) == (2,)
+    assert choose_moves(runs, frozenset("a"), {"b": 16}, waiting_items=0) == ()
+    assert choose_moves(runs, frozenset("a"), {"b": 16, "c": 1}, waiting_items=0) == (2,)
 
 
 def test_a_run_with_few_remaining_events_does_not_move() -> None:
     runs = [MovableRun(1, "a", 2, ANY_ENGINE)]
-    assert choose_moves(runs, frozenset("a"), {"b": 5}, waiting=0) == ()
+    assert choose_moves(runs, frozenset("a"), {"b": 5}, waiting_items=0) == ()
--- a/tests/unit/decisions/test_version_hosts.py
+++ b/tests/unit/decisions/test_version_hosts.py
@@ -1,12 +1,12 @@
 from __future__ import annotations
 
 from ibisspring_decisions.version_hosts import (
-    Host,
-    Load,
+    EngineVersions,
+    VersionLoad,
     allowed_lag,
     choose_hosts,
     hosts_per_model,
-    loads_at_once,
+    max_concurrent_loads,
     next_loads,
 )
 
@@ -16,16 +16,16 @@
 TICK_S = 0.1
 
 
-def host(engine: str, loading: str = "", **versions: int) -> Host:
-    return Host(engine, versions, loading)
+def host(engine: str, loading: str = "", **versions: int) -> EngineVersions:
+    return EngineVersions(engine, versions, loading)
 
 
 def test_a_single_model_is_loaded_on_all_engines_two_at_a_time() -> None:
     hosts = [host(name, m=1) for name in "abcde"]
 
-    loads = next_loads(hosts, {"m": 2}, at_once=2, lag_by_model={})
+    loads = next_loads(hosts, {"m": 2}, max_loads=2, lag_by_model={})
 
-    assert loads == (Load("a", "m", 2), Load("b", "m", 2))
+    assert loads == (VersionLoad("a", "m", 2), VersionLoad("b", "m", 2))
 
 
 def test_three_models_share_five_engines() -> None:
@@ -54,30 +54,30 @@
 def test_half_of_a_models_hosts_continue_to_serve_it() -> None:
     hosts = [host("a", loading="m", m=1), host("b", m=1)]
 
-    assert next_loads(hosts, {"m": 2}, at_once=2, lag_by_model={}) == ()
+    assert next_loads(hosts, {"m": 2}, max_loads=2, lag_by_model={}) == ()
 
 
 def test_an_engine_that_is_loading_gets_no_second_load() -> None:
     hosts = [host("a", loading="x", x=1, y=1)]
 
-    assert next_loads(hosts, {"y": 2}, at_once=2, lag_by_model={}) == ()
+    assert next_loads(hosts, {"y": 2}, max_loads=2, lag_by_model={}) == ()
 
 
 def test_no_more_loads_at_once_than_the_limit() -> None:
     hosts = [host(name, loading="x", x=1, y=1) for name in "ab"] + [host("c", x=1, y=1)]
 
-    assert next_loads(hosts, {"x": 2, "y": 2}, at_once=2, lag_by_model={}) == ()
+    assert next_loads(hosts, {"x": 2, "y": 2}, max_loads=2, lag_by_model={}) == ()
 
 
 def test_without_engines_or_models_nothing_is_loaded() -> None:
-    assert next_loads([], {"m": 2}, at_once=2, lag_by_model={}) == ()
-    assert next_loads([host("a", m=1)], {}, at_once=2, lag_by_model={}) == ()
+    assert next_loads([], {"m": 2}, max_loads=2, lag_by_model={}) == ()
+    assert next_loads([host("a", m=1)], {}, max_loads=2, lag_by_model={}) == ()
     assert hosts_per_model(5, 3) == 2
     assert hosts_per_model(0, 3) == 0
 
 
 def test_loads_grow_with_the_fleet() -> None:
-    assert [loads_at_once(engines) for engines in (1, 5, 12, 24)] == [2, 2, 4, 9]
+    assert [max_concurrent_loads(engines) for engines in (1, 5, 12, 24)] == [2, 2, 4, 9]
 
 
 class _Fleet:
@@ -91,12 +91,12 @@
 
     def __init__(self, engines: int) -> None:
         self.version_by_engine = {f"e{number}": 1 for number in range(engines)}
-        self.load_by_engine: dict[str, tuple[Load, float]] = {}
+        self.load_by_engine: dict[str, tuple[VersionLoad, float]] = {}
         self.loads = 0
         self.lost_engine_s = 0.0
         self.min_serving = engines
 
-    def hosts(self) -> list[Host]:
+    def hosts(self) -> list[EngineVersions]:
         return [
             host(engine, loading="m" if engine in self.load_by_engine else "", m=version)
             for engine, version in self.version_by_engine.items()
--- a/tests/unit/decisions/test_weights.py
+++ b/tests/unit/decisions/test_weights.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from ibisspring_decisions.weights import RETRY_MAX_S, EngineView, plan_wave, retry_at_s
+from ibisspring_decisions.weights import RETRY_MAX_S, EngineLoadState, choose_loads, retry_time_s
 
 
 def test_half_of_the_engines_continue_to_serve() -> None:
@@ -10,20 +10,20 @@
     If all were ordered at once, no engine would serve while they load, and requests would be
     refused.
     """
-    engines = tuple(EngineView(f"n{number}", 1) for number in range(6))
+    engines = tuple(EngineLoadState(f"n{number}", 1) for number in range(6))
 
-    assert len(plan_wave(engines, 2, 10, 0.0)) == 3
+    assert len(choose_loads(engines, 2, 10, 0.0)) == 3
 
 
 def test_no_more_loads_than_the_weight_store_has_free_slots() -> None:
-    engines = tuple(EngineView(f"n{number}", 1) for number in range(10))
+    engines = tuple(EngineLoadState(f"n{number}", 1) for number in range(10))
 
-    assert len(plan_wave(engines, 2, 2, 0.0)) == 2
-    assert plan_wave(engines, 2, 0, 0.0) == ()
+    assert len(choose_loads(engines, 2, 2, 0.0)) == 2
+    assert choose_loads(engines, 2, 0, 0.0) == ()
 
 
 def test_a_single_engine_loads_although_no_other_serves_meanwhile() -> None:
-    assert plan_wave((EngineView("n0", 1),), 2, 1, 0.0) == ("n0",)
+    assert choose_loads((EngineLoadState("n0", 1),), 2, 1, 0.0) == ("n0",)
 
 
 def test_a_failing_engine_does_not_delay_the_others() -> None:
@@ -33,16 +33,20 @@
     If the failing engine were retried at once, it would occupy the store again and again while
     healthy engines serve old weights.
     """
-    failing = EngineView("n0", 1, failures=1, failed_s=0.0)
-    healthy = EngineView("n1", 1)
+    failing = EngineLoadState("n0", 1, failures=1, failed_s=0.0)
+    healthy = EngineLoadState("n1", 1)
 
-    assert plan_wave((failing, healthy), 2, 1, 100.0) == ("n1",)
-    assert plan_wave((failing,), 2, 1, 0.5) == ()
-    assert retry_at_s(50, 0.0) == RETRY_MAX_S
+    assert choose_loads((failing, healthy), 2, 1, 100.0) == ("n1",)
+    assert choose_loads((failing,), 2, 1, 0.5) == ()
+    assert retry_time_s(50, 0.0) == RETRY_MAX_S
 
 
 def test_engines_without_the_adapter_and_those_with_the_fewest_requests_come_first() -> None:
-    engines = (EngineView("a", 0, running=5), EngineView("b", 0, running=1), EngineView("c", None))
-
-    assert plan_wave(engines, 1, 9, 0.0) == ("c",)
-    assert plan_wave((*engines, EngineView("d", 1)), 1, 9, 0.0) == ("c", "b")
+    engines = (
+        EngineLoadState("a", 0, running=5),
+        EngineLoadState("b", 0, running=1),
+        EngineLoadState("c", None),
+    )
+
+    assert choose_loads(engines, 1, 9, 0.0) == ("c",)
+    assert choose_loads((*engines, EngineLoadState("d", 1)), 1, 9, 0.0) == ("c", "b")
--- a/tests/unit/gateway/test_reward_calls.py
+++ b/tests/unit/gateway/test_reward_calls.py
@@ -153,12 +153,12 @@
             asyncio.create_task(calls.score(REWARD_CALL, 3, boot_now() + 30.0)) for _ in range(20)
         ]
         window = None
-        while window is None or window.under_way < int(window.limit):
+        while window is None or window.in_flight < int(window.limit):
             await asyncio.sleep(0.01)
             window = calls._window_by_route.get("ledger-sync")
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    assert window.under_way == 0
+    assert window.in_flight == 0
     assert not calls._queue_by_route["ledger-sync"]
