--- a/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from ibisspring_core.settings import Settings
 
-FOLDER = "consensus"
+CONSENSUS_FOLDER = "consensus"
 SNAPSHOT_EVERY = 1000
 
 AddressOf = Callable[[str], str | None]
@@ -27,7 +27,8 @@
     :param folder: folder of the replica's files; created at its first use.
     :param core: times and sizes.
     :param address_of: returns IP:port for a daemon id; None for a daemon without a known address.
-    :param founders: ids of the daemons that form the cluster when an operator bootstraps it.
+    :param bootstrap_daemons: ids of the daemons that form the cluster when an operator bootstraps
+        it.
     :param snapshot_every: number of log entries between snapshots.
     :param state: name of the service that is the state machine.
     :param process_started_s: start of this process on the lease clock; None for the time at which
@@ -39,7 +40,7 @@
     folder: Path
     core: CoreConfig
     address_of: AddressOf
-    founders: tuple[str, ...] = ()
+    bootstrap_daemons: tuple[str, ...] = ()
     snapshot_every: int = SNAPSHOT_EVERY
     state: str = "state"
     process_started_s: float | None = None
@@ -54,12 +55,12 @@
         """
         return cls(
             daemon=settings.daemon,
-            folder=Path(settings.data_folder) / FOLDER,
+            folder=Path(settings.data_folder) / CONSENSUS_FOLDER,
             core=CoreConfig.from_config(settings.control),
             address_of=settings.control_addresses.get,
-            founders=tuple(sorted(settings.control_addresses)),
+            bootstrap_daemons=tuple(sorted(settings.control_addresses)),
             snapshot_every=settings.control.snapshot_every,
         )
 
 
-__all__ = ["FOLDER", "SNAPSHOT_EVERY", "AddressOf", "ReplicaConfig"]
+__all__ = ["CONSENSUS_FOLDER", "SNAPSHOT_EVERY", "AddressOf", "ReplicaConfig"]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/manage.py
@@ -135,7 +135,7 @@
     so that two operators cannot create two clusters.
     """
     config = node.replica_config
-    bootstrap_daemon = min(config.founders)
+    bootstrap_daemon = min(config.bootstrap_daemons)
     if config.daemon != bootstrap_daemon:
         return ManageResult(
             False,
@@ -143,7 +143,7 @@
             detail=f"only {bootstrap_daemon} can bootstrap the cluster",
         )
     identities = [Identity(node.replica, node.core.is_empty)]
-    for daemon in sorted(config.founders):
+    for daemon in sorted(config.bootstrap_daemons):
         if daemon == config.daemon:
             continue
         address = config.address_of(daemon)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/repair.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class Candidate:
+class ReplacementCandidate:
     """
     A replica that responds, and is a member or can become one.
 
@@ -40,9 +40,9 @@
     data_centre: str
 
 
-def next_change(
+def next_membership_change(
     state: CoreState,
-    candidates: Sequence[Candidate],
+    candidates: Sequence[ReplacementCandidate],
     leaving: Sequence[str],
     wanted_voters: int,
 ) -> Replace | None:
@@ -82,7 +82,9 @@
 
 
 def _from_least_used_data_centre(
-    non_members: Sequence[Candidate], voters: Sequence[ReplicaId], candidates: Sequence[Candidate]
+    non_members: Sequence[ReplacementCandidate],
+    voters: Sequence[ReplicaId],
+    candidates: Sequence[ReplacementCandidate],
 ) -> ReplicaId:
     """
     Choose the candidate whose data centre holds the fewest voters.
@@ -116,4 +118,9 @@
     return state.now - max(replied_at, state.leader_since)
 
 
-__all__ = ["REPLACE_AFTER_SILENCE_S", "Candidate", "next_change", "time_since_reply_s"]
+__all__ = [
+    "REPLACE_AFTER_SILENCE_S",
+    "ReplacementCandidate",
+    "next_membership_change",
+    "time_since_reply_s",
+]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
@@ -77,7 +77,7 @@
 # For logs whose VMs are about a millisecond apart. With these times a failed leader is replaced,
 # and a restarted system serves, 0.5 s sooner than with the defaults above. The random spread of
 # election timeouts is 0.28 s, many times the delivery time of a vote.
-QUICK = CoreConfig(
+LOW_LATENCY_CONFIG = CoreConfig(
     heartbeat_s=0.15, election_timeout_s=0.7, leader_lease_s=0.55, election_spread=0.4
 )
 
@@ -286,7 +286,7 @@
     "CANDIDATE",
     "FOLLOWER",
     "LEADER",
-    "QUICK",
+    "LOW_LATENCY_CONFIG",
     "CoreConfig",
     "CoreState",
     "PendingPersist",
--- a/packages/ibisspring-core/src/ibisspring_core/messages/directory.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/directory.py
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True)
-class Placed:
+class AgedEndpoint:
     """
     An endpoint's record with its age.
 
@@ -144,7 +144,7 @@
     revision: int
     table: RouteTable | None = None
     table_version: int = -1
-    endpoints: tuple[Placed, ...] = ()
+    endpoints: tuple[AgedEndpoint, ...] = ()
     learning: bool = False
     version_by_model: dict[str, int] = field(default_factory=dict)
     loading: tuple[tuple[str, str], ...] = ()
@@ -326,7 +326,7 @@
     "Group",
     "Member",
     "NameVersion",
-    "Placed",
+    "AgedEndpoint",
     "ReadTable",
     "Renew",
     "ReplaceTable",
--- a/packages/ibisspring-directory/src/ibisspring_directory/duties.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/duties.py
@@ -9,7 +9,7 @@
 
 from ibisspring_core.clock import boot_now
 from ibisspring_core.guarded_http import HttpAnswer, HttpRequest, NoAnswer, send_guarded
-from ibisspring_directory.outside import Duty
+from ibisspring_directory.outside import OrderSender
 
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
@@ -71,9 +71,9 @@
         wait_s = WAIT_SHARE_OF_GAP * self._settings.holder_gap_s
         return max(0.0, self._directory.led_since + wait_s - boot_now())
 
-    def duty(self) -> Duty:
+    def sender(self) -> OrderSender:
         """Name and fencing number that this daemon's orders carry."""
-        return Duty(self._settings.daemon, self._consensus.term)
+        return OrderSender(self._settings.daemon, self._consensus.term)
 
     async def send(self, request: HttpRequest, timeout_s: float) -> HttpAnswer | NoAnswer:
         """
--- a/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
@@ -125,7 +125,7 @@
             return False
         order = LoadOrder(load.model, load.version, state.orders)
         self._directory.endpoints.set_loading(record.endpoint, load.model, is_loading=True)
-        request = self._outside.load_order(record, order, self._duties.duty())
+        request = self._outside.load_order(record, order, self._duties.sender())
         answer = await self._duties.send(request, ORDER_TIMEOUT_S)
         status = answer.status if isinstance(answer, HttpAnswer) else 0
         eliot.log_message(
--- a/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
@@ -84,7 +84,7 @@
         if order is None:
             return
         request = self._outside.fleet_order(
-            FleetOrder(terms.name, order.data_centre, order.count), self._duties.duty()
+            FleetOrder(terms.name, order.data_centre, order.count), self._duties.sender()
         )
         answer = await self._duties.send(request, ORDER_TIMEOUT_S)
         status = answer.status if isinstance(answer, HttpAnswer) else 0
--- a/packages/ibisspring-directory/src/ibisspring_directory/founding.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/founding.py
@@ -17,7 +17,7 @@
 RETRY_S = 0.2
 
 
-class Founding:
+class LogBootstrap:
     """
     The task that bootstraps the directory's log.
 
@@ -34,7 +34,7 @@
         self._task: asyncio.Task[None] | None = None
 
     @classmethod
-    def from_config(cls, settings: VmSettings) -> Founding:
+    def from_config(cls, settings: VmSettings) -> LogBootstrap:
         """
         Build the service.
 
@@ -70,4 +70,4 @@
             await asyncio.sleep(RETRY_S)
 
 
-__all__ = ["Founding"]
+__all__ = ["LogBootstrap"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/known_endpoints.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/known_endpoints.py
@@ -14,10 +14,10 @@
 from ibisspring_core.errors import Reason, Refusal
 from ibisspring_core.messages.directory import (
     UNKNOWN_INCARNATION,
+    AgedEndpoint,
     Announce,
     Announced,
     Depart,
-    Placed,
 )
 from ibisspring_directory.commands import EndpointJoins, EndpointLeaves
 
@@ -92,14 +92,14 @@
             eliot.log_message("directory:endpoint_silent", endpoint=endpoint, bound_s=self._ttl_s)
             self._counters.add("directory.endpoint_silent")
 
-    def records_with_ages(self, now: float, with_versions: bool = True) -> tuple[Placed, ...]:
+    def records_with_ages(self, now: float, with_versions: bool = True) -> tuple[AgedEndpoint, ...]:
         """
         Records of all endpoints that are not gone, with the time since their newest announcement.
 
         :param with_versions: whether the records contain the endpoints' weight versions.
         """
         return tuple(
-            Placed(
+            AgedEndpoint(
                 (
                     received.record
                     if with_versions
--- a/packages/ibisspring-directory/src/ibisspring_directory/membership.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/membership.py
@@ -12,7 +12,7 @@
 
 from ibisspring_consensus.messages import ReplicaId
 from ibisspring_consensus.own_member import own_member
-from ibisspring_consensus.repair import Candidate, next_change
+from ibisspring_consensus.repair import ReplacementCandidate, next_membership_change
 from ibisspring_core.leader_client import LeaderClient
 from ibisspring_core.messages.directory import Group, Renew
 from ibisspring_directory.commands import FoundJobs
@@ -99,7 +99,9 @@
             return
         await self._bootstrap_jobs_log(now)
         members = self._directory.sessions.members(now, "control")
-        change = next_change(self._consensus.core.state, to_candidates(members), (), self._wanted)
+        change = next_membership_change(
+            self._consensus.core.state, to_candidates(members), (), self._wanted
+        )
         if change is not None:
             eliot.log_message("membership:change", log="directory", change=str(change))
             self._consensus.dispatch(change)
@@ -124,14 +126,14 @@
         )
 
 
-def to_candidates(members: tuple[Member, ...]) -> list[Candidate]:
+def to_candidates(members: tuple[Member, ...]) -> list[ReplacementCandidate]:
     """
     Convert members into candidates for a log.
 
     :return: one candidate for each member.
     """
     return [
-        Candidate(ReplicaId(member.address, member.disk_id), member.data_centre)
+        ReplacementCandidate(ReplicaId(member.address, member.disk_id), member.data_centre)
         for member in members
     ]
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/outside.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/outside.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Duty:
+class OrderSender:
     """
     Sender of an order, as its receiver sees it.
 
@@ -77,11 +77,11 @@
     name: str
 
     def usage_report(
-        self, window: int, counts: tuple[tuple[str, int], ...], duty: Duty
+        self, window: int, counts: tuple[tuple[str, int], ...], sender: OrderSender
     ) -> HttpRequest:
         """Build the request that reports a closed usage window."""
 
-    def fleet_order(self, order: FleetOrder, duty: Duty) -> HttpRequest:
+    def fleet_order(self, order: FleetOrder, sender: OrderSender) -> HttpRequest:
         """Build the request that sends an order to the platform."""
 
     def engine_state_request(self, record: EndpointRecord) -> HttpRequest:
@@ -93,8 +93,10 @@
         answer.
         """
 
-    def load_order(self, record: EndpointRecord, order: LoadOrder, duty: Duty) -> HttpRequest:
+    def load_order(
+        self, record: EndpointRecord, order: LoadOrder, sender: OrderSender
+    ) -> HttpRequest:
         """Build the request that sends a load order to an engine."""
 
 
-__all__ = ["Duty", "EngineState", "ExternalRequests", "FleetOrder", "LoadOrder"]
+__all__ = ["OrderSender", "EngineState", "ExternalRequests", "FleetOrder", "LoadOrder"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/role.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/role.py
@@ -6,15 +6,15 @@
 from typing import TYPE_CHECKING
 
 from ibisspring_consensus import ConsensusNode, ReplicaConfig
-from ibisspring_consensus.config import FOLDER
+from ibisspring_consensus.config import CONSENSUS_FOLDER
 from ibisspring_consensus.servicer import ConsensusServicer
-from ibisspring_consensus.state import QUICK
+from ibisspring_consensus.state import LOW_LATENCY_CONFIG
 from ibisspring_core.clock import PROCESS_STARTED_S
 from ibisspring_core.connections import Connections
 from ibisspring_directory.duties import Duties
 from ibisspring_directory.engine_loads import EngineLoads
 from ibisspring_directory.fleet import Fleet
-from ibisspring_directory.founding import Founding
+from ibisspring_directory.founding import LogBootstrap
 from ibisspring_directory.membership import ControlMembership
 from ibisspring_directory.service import Directory
 from ibisspring_directory.state import DirectoryState
@@ -35,10 +35,10 @@
     """
     replica = ReplicaConfig(
         daemon=settings.peer_address,
-        folder=Path(settings.data_folder) / FOLDER,
-        core=QUICK,
+        folder=Path(settings.data_folder) / CONSENSUS_FOLDER,
+        core=LOW_LATENCY_CONFIG,
         address_of=lambda daemon: daemon,
-        founders=tuple(sorted(settings.seeds)),
+        bootstrap_daemons=tuple(sorted(settings.seeds)),
         process_started_s=PROCESS_STARTED_S,
     )
     return (
@@ -46,7 +46,7 @@
         ConsensusNode(replica),
         ConsensusServicer(),
         Directory.from_config(settings),
-        Founding.from_config(settings),
+        LogBootstrap.from_config(settings),
         ControlMembership.from_config(settings),
         Duties.from_config(settings),
         UsageReports.from_config(settings),
--- a/packages/ibisspring-directory/src/ibisspring_directory/status.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/status.py
@@ -99,11 +99,11 @@
         if settings.usage_window_s:
             names.append(USAGE_REPORTS)
         may_order = self._duties.may_order()
-        duty = self._duties.duty()
+        sender = self._duties.sender()
         wait_left_s = self._duties.wait_left_s()
         holder = settings.daemon if may_order else ""
         return tuple(
-            DutyStatus(name, holder, duty.fencing, round(wait_left_s, 3)) for name in names
+            DutyStatus(name, holder, sender.fencing, round(wait_left_s, 3)) for name in names
         )
 
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/usage_reports.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/usage_reports.py
@@ -83,7 +83,7 @@
                 return
 
     async def _report(self, window: CloseWindow) -> bool:
-        request = self._outside.usage_report(window.window, window.counts, self._duties.duty())
+        request = self._outside.usage_report(window.window, window.counts, self._duties.sender())
         answer = await self._duties.send(request, REPORT_TIMEOUT_S)
         accepted = isinstance(answer, HttpAnswer) and 200 <= answer.status < 300
         eliot.log_message(
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
@@ -20,7 +20,7 @@
 from ibisspring_jobs.progress import ItemProgress, abandoned_result
 from ibisspring_jobs.runners import Runners
 from ibisspring_jobs.runs import Run
-from ibisspring_jobs.surroundings import Surroundings
+from ibisspring_jobs.surroundings import DispatchContext
 
 if TYPE_CHECKING:
     from ibisspring_core.messages.endpoints import EndpointRecord
@@ -49,7 +49,7 @@
     :param run_by_number: runs in progress by the number of their assignment.
     """
 
-    def __init__(self, state: JobsState, context: Surroundings, epoch: int) -> None:
+    def __init__(self, state: JobsState, context: DispatchContext, epoch: int) -> None:
         self.epoch = epoch
         self.runners = Runners()
         self.run_by_number: dict[int, Run] = {}
@@ -59,7 +59,7 @@
         self.engines = Engines(context)
         self.items = Items(state)
 
-    def take(self, call: TakeWork, now: float) -> Runner:
+    def register_call(self, call: TakeWork, now: float) -> Runner:
         """
         Register a runner's call for work, and compare the runs that it reports with those known.
 
@@ -172,7 +172,7 @@
                 runner.cancelled.append(run.number)
                 runner.wake.set()
 
-    def match(self, now: float) -> None:
+    def assign_waiting_items(self, now: float) -> None:
         """Assign waiting items to engines and available runners, as far as slots are free."""
         if not any(runner.is_available(now) for runner in self.runners.runner_by_address.values()):
             return
@@ -323,7 +323,7 @@
             return None
         return run.job, part
 
-    def report(self, outcome: Outcome, now: float) -> tuple[str, ItemResult] | None:
+    def process_outcome(self, outcome: Outcome, now: float) -> tuple[str, ItemResult] | None:
         """
         Process the outcome of a run that ended.
 
@@ -405,4 +405,4 @@
             runner.sequence_by_number.pop(number, None)
 
 
-__all__ = ["Dispatcher", "Surroundings"]
+__all__ = ["Dispatcher", "DispatchContext"]
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
@@ -16,7 +16,7 @@
     from ibisspring_core.messages.jobs import Job, Outcome
     from ibisspring_core.routes.model import ServiceTerms
     from ibisspring_jobs.runs import Run
-    from ibisspring_jobs.surroundings import Surroundings
+    from ibisspring_jobs.surroundings import DispatchContext
 
 # Seconds for which an engine gets no new runs after a run ended badly, by the kind of the outcome:
 # the stream broke, the engine rejected the run, or it had another weight version than expected. By
@@ -35,7 +35,7 @@
     :param paces: seconds per event of each engine.
     """
 
-    def __init__(self, context: Surroundings) -> None:
+    def __init__(self, context: DispatchContext) -> None:
         self.paces = EnginePaces()
         self._context = context
         self._idle_by_runner = KeptConnections()
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
@@ -10,7 +10,7 @@
 from ibisspring_consensus import events
 from ibisspring_consensus.messages import Members, ReplicaId
 from ibisspring_consensus.own_member import own_member
-from ibisspring_consensus.repair import Candidate, next_change
+from ibisspring_consensus.repair import ReplacementCandidate, next_membership_change
 
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
@@ -94,10 +94,10 @@
             return
         view = self._view.view
         candidates = [
-            Candidate(ReplicaId(store.address, store.disk_id), store.data_centre)
+            ReplacementCandidate(ReplicaId(store.address, store.disk_id), store.data_centre)
             for store in view.stores
         ]
-        change = next_change(
+        change = next_membership_change(
             self._consensus.core.state, candidates, view.retiring, self._target_voters
         )
         if change is not None:
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/role.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/role.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from ibisspring_consensus import ConsensusNode, ReplicaConfig
-from ibisspring_consensus.config import FOLDER
+from ibisspring_consensus.config import CONSENSUS_FOLDER
 from ibisspring_consensus.servicer import ConsensusServicer
-from ibisspring_consensus.state import QUICK
+from ibisspring_consensus.state import LOW_LATENCY_CONFIG
 from ibisspring_core.clock import PROCESS_STARTED_S
 from ibisspring_core.directory_view import DirectoryView
 from ibisspring_jobs.membership import JobMembership
@@ -30,8 +30,8 @@
     """
     replica = ReplicaConfig(
         daemon=settings.peer_address,
-        folder=Path(settings.data_folder) / FOLDER,
-        core=QUICK,
+        folder=Path(settings.data_folder) / CONSENSUS_FOLDER,
+        core=LOW_LATENCY_CONFIG,
         address_of=lambda daemon: daemon,
         state="jobs_state",
         process_started_s=PROCESS_STARTED_S,
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
@@ -44,7 +44,7 @@
     RecordKept,
     RecordResults,
 )
-from ibisspring_jobs.dispatcher import Dispatcher, Surroundings
+from ibisspring_jobs.dispatcher import DispatchContext, Dispatcher
 from ibisspring_jobs.peaks import Peaks
 
 if TYPE_CHECKING:
@@ -138,7 +138,9 @@
         term = self._consensus.term
         if self._dispatcher is None or self._dispatcher.epoch != term:
             view = self._view
-            context = Surroundings(view.serving, self._service_terms, view.wall_s, self._is_loading)
+            context = DispatchContext(
+                view.serving, self._service_terms, view.wall_s, self._is_loading
+            )
             self._dispatcher = Dispatcher(self._state, context, term)
             eliot.log_message("jobs:leads", term=term, daemon=self._settings.daemon)
         return self._dispatcher
@@ -159,7 +161,7 @@
 
     def _match(self) -> None:
         if self.has_leader_lease():
-            self.dispatcher().match(boot_now())
+            self.dispatcher().assign_waiting_items(boot_now())
 
     async def _tick(self, now: float) -> None:
         if not self.has_leader_lease():
@@ -171,7 +173,7 @@
             results_by_job.setdefault(job, []).append(result)
         await self._commit_results(results_by_job)
         await self._remove_expired_jobs()
-        dispatcher.match(now)
+        dispatcher.assign_waiting_items(now)
         dispatcher.move_stragglers(now)
 
     async def _remove_expired_jobs(self) -> None:
@@ -299,12 +301,12 @@
         if call.epoch != dispatcher.epoch:
             # The runner's runs belong to an earlier epoch. The answer contains the current epoch,
             # at which the runner stops these runs and calls again.
-            dispatcher.take(replace(call, running=(), free=0), boot_now())
+            dispatcher.register_call(replace(call, running=(), free=0), boot_now())
             return Work(dispatcher.epoch)
-        runner = dispatcher.take(call, boot_now())
+        runner = dispatcher.register_call(call, boot_now())
         runner.waiting = True
         runner.wake.clear()
-        dispatcher.match(boot_now())
+        dispatcher.assign_waiting_items(boot_now())
         if not (runner.outbox or runner.cancelled or runner.moved):
             try:
                 async with asyncio.timeout(call.hold_s):
@@ -345,10 +347,10 @@
                         parts_by_job.setdefault(job_and_part[0], []).append(job_and_part[1])
                 if outcome.kind == PART:
                     continue
-                job_and_result = dispatcher.report(outcome, now)
+                job_and_result = dispatcher.process_outcome(outcome, now)
                 if job_and_result is not None:
                     results_by_job.setdefault(job_and_result[0], []).append(job_and_result[1])
-        dispatcher.match(now)
+        dispatcher.assign_waiting_items(now)
         # A result without output refers to the parts in the log, so the parts are committed first.
         if not await self._commit_texts(parts_by_job) or not await self._commit_results(
             results_by_job
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/surroundings.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/surroundings.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class Surroundings:
+class DispatchContext:
     """
     Callbacks through which the dispatcher reads the state of its daemon.
 
@@ -30,4 +30,4 @@
     is_loading: Callable[[str, str], bool] = lambda endpoint, model: False
 
 
-__all__ = ["Surroundings"]
+__all__ = ["DispatchContext"]
--- a/tests/unit/consensus/test_repair.py
+++ b/tests/unit/consensus/test_repair.py
@@ -16,12 +16,16 @@
     ReplicaId,
     SnapshotMeta,
 )
-from ibisspring_consensus.repair import REPLACE_AFTER_SILENCE_S, Candidate, next_change
+from ibisspring_consensus.repair import (
+    REPLACE_AFTER_SILENCE_S,
+    ReplacementCandidate,
+    next_membership_change,
+)
 from ibisspring_consensus.state import LEADER, CoreConfig, CoreState, Progress
 from ibisspring_core.messages.codec import encode
 
 VOTERS = tuple(ReplicaId(name, "d") for name in "abc")
-SPARE = Candidate(ReplicaId("s", "d"), "derby")
+SPARE = ReplacementCandidate(ReplicaId("s", "d"), "derby")
 NOW = 100.0
 
 
@@ -54,7 +58,7 @@
     # not added, the loss of one more store would stop the log.
     state = leader_state(MEMBERS_OF_THREE, silent=("b",))
 
-    assert next_change(state, [SPARE], (), 3) == Replace(SPARE.replica, VOTERS[1])
+    assert next_membership_change(state, [SPARE], (), 3) == Replace(SPARE.replica, VOTERS[1])
 
 
 def test_a_replacement_comes_from_the_data_centre_with_the_fewest_voters() -> None:
@@ -62,19 +66,22 @@
     # lost voters, all voters would end up there, and the loss of that data centre would stop the
     # log.
     state = leader_state(MEMBERS_OF_THREE, silent=("c",))
-    responsive_voters = [Candidate(VOTERS[0], "derby"), Candidate(VOTERS[1], "stoke")]
-    same_data_centre_spare = Candidate(ReplicaId("p", "d"), "derby")
-    other_data_centre_spare = Candidate(ReplicaId("q", "d"), "walsall")
-
-    assert next_change(
+    responsive_voters = [
+        ReplacementCandidate(VOTERS[0], "derby"),
+        ReplacementCandidate(VOTERS[1], "stoke"),
+    ]
+    same_data_centre_spare = ReplacementCandidate(ReplicaId("p", "d"), "derby")
+    other_data_centre_spare = ReplacementCandidate(ReplicaId("q", "d"), "walsall")
+
+    assert next_membership_change(
         state, [*responsive_voters, same_data_centre_spare, other_data_centre_spare], (), 3
     ) == Replace(other_data_centre_spare.replica, VOTERS[2])
-    assert next_change(
+    assert next_membership_change(
         state, [*responsive_voters, same_data_centre_spare, other_data_centre_spare], (), 5
     ) == Replace(other_data_centre_spare.replica, None)
-    assert next_change(state, [*responsive_voters, same_data_centre_spare], (), 3) == Replace(
-        same_data_centre_spare.replica, VOTERS[2]
-    )
+    assert next_membership_change(
+        state, [*responsive_voters, same_data_centre_spare], (), 3
+    ) == Replace(same_data_centre_spare.replica, VOTERS[2])
 
 
 def test_silent_voter_stays_while_there_is_no_spare() -> None:
@@ -82,25 +89,25 @@
     # the log.
     state = leader_state(MEMBERS_OF_THREE, silent=("b",))
 
-    assert next_change(state, [], (), 3) is None
+    assert next_membership_change(state, [], (), 3) is None
 
 
 def test_responsive_voter_stays() -> None:
-    assert next_change(leader_state(MEMBERS_OF_THREE), [SPARE], (), 3) is None
+    assert next_membership_change(leader_state(MEMBERS_OF_THREE), [SPARE], (), 3) is None
 
 
 def test_leaving_voter_is_replaced_although_it_responds() -> None:
     state = leader_state(MEMBERS_OF_THREE)
 
-    assert next_change(state, [SPARE], ("c",), 3) == Replace(SPARE.replica, VOTERS[2])
-    assert next_change(state, [SPARE], ("c", "s"), 3) is None
-    assert next_change(state, [SPARE], ("a",), 3) == Replace(SPARE.replica, VOTERS[0])
+    assert next_membership_change(state, [SPARE], ("c",), 3) == Replace(SPARE.replica, VOTERS[2])
+    assert next_membership_change(state, [SPARE], ("c", "s"), 3) is None
+    assert next_membership_change(state, [SPARE], ("a",), 3) == Replace(SPARE.replica, VOTERS[0])
 
 
 def test_voters_are_added_up_to_the_wanted_number() -> None:
     state = leader_state(MEMBERS_OF_THREE)
 
-    assert next_change(state, [SPARE], (), 5) == Replace(SPARE.replica, None)
+    assert next_membership_change(state, [SPARE], (), 5) == Replace(SPARE.replica, None)
 
 
 @pytest.mark.parametrize(
@@ -112,11 +119,11 @@
     ids=["a learner", "a change"],
 )
 def test_one_change_at_a_time(members) -> None:
-    assert next_change(leader_state(members, silent=("b",)), [SPARE], (), 3) is None
+    assert next_membership_change(leader_state(members, silent=("b",)), [SPARE], (), 3) is None
 
 
 def test_new_leader_waits_before_it_replaces_silent_voters() -> None:
     state = leader_state(MEMBERS_OF_THREE, silent=("b",))
     state.leader_since = NOW - 1.0
 
-    assert next_change(state, [SPARE], (), 3) is None
+    assert next_membership_change(state, [SPARE], (), 3) is None
--- a/tests/unit/consensus/test_start.py
+++ b/tests/unit/consensus/test_start.py
@@ -15,7 +15,7 @@
 from ibisspring_consensus.core import Core, StoredState
 from ibisspring_consensus.election import must_withhold_vote
 from ibisspring_consensus.messages import HardState, ReplicaId, SnapshotMeta
-from ibisspring_consensus.state import QUICK, CoreConfig
+from ibisspring_consensus.state import LOW_LATENCY_CONFIG, CoreConfig
 from ibisspring_core.counters import Counters
 from ibisspring_core.kernel import Kernel
 from ibisspring_core.settings import ControlSettings
@@ -30,7 +30,7 @@
     own = ReplicaId("c1", "disk-1")
     snapshot = SnapshotMeta(0, 0)
     stored = StoredState(HardState(term=3), snapshot, 0, 0, ())
-    core = Core.from_stored(own, QUICK, stored, random.Random(1), STARTED_S)
+    core = Core.from_stored(own, LOW_LATENCY_CONFIG, stored, random.Random(1), STARTED_S)
     core.step(events.Tick(), STARTED_S + IMPORTS_S)
     return core
 
@@ -42,12 +42,12 @@
     core = core_after_slow_imports()
     assert must_withhold_vote(core.state)
 
-    core.step(events.Tick(), STARTED_S + QUICK.leader_lease_s)
+    core.step(events.Tick(), STARTED_S + LOW_LATENCY_CONFIG.leader_lease_s)
     assert must_withhold_vote(core.state)
 
-    core.step(events.Tick(), STARTED_S + QUICK.election_timeout_s)
+    core.step(events.Tick(), STARTED_S + LOW_LATENCY_CONFIG.election_timeout_s)
     assert not must_withhold_vote(core.state)
-    assert core.state.election_due_at <= STARTED_S + 2 * QUICK.election_timeout_s
+    assert core.state.election_due_at <= STARTED_S + 2 * LOW_LATENCY_CONFIG.election_timeout_s
 
 
 def test_core_times_come_from_the_settings() -> None:
--- a/tests/unit/directory/test_duties.py
+++ b/tests/unit/directory/test_duties.py
@@ -9,7 +9,7 @@
 from ibisspring_core.settings.vm import CONTROL, VmSettings
 from ibisspring_directory import duties as duties_module
 from ibisspring_directory.duties import WAIT_SHARE_OF_GAP, Duties
-from ibisspring_directory.outside import Duty
+from ibisspring_directory.outside import OrderSender
 
 GAP_S = 3.3
 LEASE_S = 0.55
@@ -113,7 +113,7 @@
 
 
 async def test_the_fencing_number_is_the_term(leader) -> None:
-    assert leader.duties.duty() == Duty("core-1", 7)
+    assert leader.duties.sender() == OrderSender("core-1", 7)
 
 
 async def test_an_order_does_not_go_out_under_a_later_term(leader, monkeypatch) -> None:
--- a/tests/unit/jobs/test_dispatcher.py
+++ b/tests/unit/jobs/test_dispatcher.py
@@ -11,7 +11,7 @@
 from ibisspring_decisions.dispatch import WaitingItem
 from ibisspring_jobs import items as items_module
 from ibisspring_jobs.commands import COMMANDS, AcceptJob, CloseJob, KeepTexts, RecordResults
-from ibisspring_jobs.dispatcher import Dispatcher, Surroundings
+from ibisspring_jobs.dispatcher import DispatchContext, Dispatcher
 from ibisspring_jobs.state import JobsState
 
 ENGINE = EndpointRecord(
@@ -41,7 +41,7 @@
         self.state = JobsState()
         terms = ServiceTerms("scorer", 100, 2, 100_000)
         self.loading: set[tuple[str, str]] = set()
-        context = Surroundings(
+        context = DispatchContext(
             lambda service: self.engines,
             lambda service: terms,
             lambda: self.wall_s,
@@ -60,9 +60,9 @@
         """Make a runner's call for work, and return the assignments in its answer."""
         self.sequence += 1
         call = TakeWork(runner, "derby", "x", 7, self.sequence, tuple(running), 10, 0.4, events)
-        calling_runner = self.dispatcher.take(call, now)
+        calling_runner = self.dispatcher.register_call(call, now)
         calling_runner.waiting = True
-        self.dispatcher.match(now)
+        self.dispatcher.assign_waiting_items(now)
         calling_runner.waiting = False
         assignments = tuple(calling_runner.outbox)
         calling_runner.outbox.clear()
@@ -70,7 +70,7 @@
 
     def end_run(self, number: int, kind: str, now: float = 0.0, **fields):
         """Report the outcome of a run, list the item's result if there is one, and return it."""
-        job_and_result = self.dispatcher.report(Outcome(number, kind, **fields), now)
+        job_and_result = self.dispatcher.process_outcome(Outcome(number, kind, **fields), now)
         if job_and_result is not None:
             self.apply(RecordResults(job_and_result[0], (job_and_result[1],)))
         return job_and_result[1] if job_and_result is not None else None
@@ -249,7 +249,9 @@
     number = harness.poll()[0].number
     item = harness.dispatcher.run_by_number[number].item
 
-    assert harness.dispatcher.report(Outcome(number, "done", "a", 1, (4,)), 0.0) is not None
+    assert (
+        harness.dispatcher.process_outcome(Outcome(number, "done", "a", 1, (4,)), 0.0) is not None
+    )
 
     assert item not in {assignment.item.item for assignment in harness.poll(running=(2,))}
 
--- a/tests/unit/jobs/test_reward_calls.py
+++ b/tests/unit/jobs/test_reward_calls.py
@@ -125,7 +125,7 @@
     broken = Outcome(number, "broken", "a", 1, (4,))
     job_and_part = harness.dispatcher.accept_part(broken)
     harness.apply(KeepTexts(job_and_part[0], (job_and_part[1],)))
-    harness.dispatcher.report(broken, 0.0)
+    harness.dispatcher.process_outcome(broken, 0.0)
     reassigned = harness.poll(now=1.0)[0]
     assert reassigned.resume_after == 1
     harness.report_part(reassigned.number, 0, "b")
--- a/tests/unit/jobs/test_texts_random.py
+++ b/tests/unit/jobs/test_texts_random.py
@@ -94,7 +94,7 @@
                 if job_and_part is not None:
                     harness.apply(KeepTexts(job_and_part[0], (job_and_part[1],)))
                 continue
-            job_and_result = dispatcher.report(part_or_end, self.now)
+            job_and_result = dispatcher.process_outcome(part_or_end, self.now)
             if job_and_result is not None:
                 harness.apply(RecordResults(job_and_result[0], (job_and_result[1],)))
 
@@ -177,7 +177,7 @@
                 self.text_committed = self.text_committed or job_and_part[1].whole
         if outcome.kind == PART:
             return
-        job_and_result = self.harness.dispatcher.report(outcome, self.now)
+        job_and_result = self.harness.dispatcher.process_outcome(outcome, self.now)
         if job_and_result is not None:
             self.harness.apply(RecordResults(job_and_result[0], (job_and_result[1],)))
 
