--- a/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
@@ -15,7 +15,7 @@
 from ibisspring_core.errors import Reason, Refusal
 from ibisspring_core.routes.model import RepeatRule
 from ibisspring_decisions.routing import Candidate, Router
-from ibisspring_gateway.wire import Verdict
+from ibisspring_gateway.wire import ResponseKind
 
 if TYPE_CHECKING:
     from ibisspring_core.connections import Headers
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class EndpointResponse:
     """
     An endpoint's complete response.
 
@@ -60,7 +60,7 @@
     :param endpoint_failures: number of endpoints that ran the request and failed.
     """
 
-    answer: Answer | Refusal
+    answer: EndpointResponse | Refusal
     may_have_run: bool
     endpoint_failures: int
 
@@ -85,7 +85,7 @@
     def __init__(self, data_centre: str) -> None:
         self._router = Router.from_data_centre(data_centre, random.Random())
         self._in_flight_by_endpoint: dict[str, int] = {}
-        self._background_attempts: set[asyncio.Task[Answer | FailedAttempt]] = set()
+        self._background_attempts: set[asyncio.Task[EndpointResponse | FailedAttempt]] = set()
 
     @classmethod
     def from_config(cls, settings: VmSettings) -> Forwarder:
@@ -110,7 +110,7 @@
         for task in self._background_attempts:
             task.cancel()
 
-    async def forward(self, request: CallerRequest, route: Route) -> Answer | Refusal:
+    async def forward(self, request: CallerRequest, route: Route) -> EndpointResponse | Refusal:
         """
         Forward a caller's request, with attempts at other endpoints where the route allows them.
 
@@ -118,13 +118,13 @@
         :return: an endpoint's complete response, or a refusal; its `not_run` is True only where no
             endpoint can have run the request.
         """
-        time_limit_s = min(route.timeout_s, request.left_s or route.timeout_s)
+        time_limit_s = min(route.timeout_s, request.remaining_s or route.timeout_s)
         started_at_s = boot_now()
         exchange = _Exchange(
             self, request, route, started_at_s + time_limit_s, started_at_s + time_limit_s
         )
         answer = await exchange.run()
-        if exchange.may_have_run or isinstance(answer, Answer):
+        if exchange.may_have_run or isinstance(answer, EndpointResponse):
             self._usage.count_request(request.client_account, boot_now() - started_at_s)
         took_s = boot_now() - started_at_s
         self._counters.observe("request_seconds", took_s, _outcome_of(answer))
@@ -132,7 +132,7 @@
             self._counters.refused(answer.reason)
             eliot.log_message(
                 "forward:refused",
-                request=request.request,
+                request=request.request_id,
                 route=route.name,
                 reason=answer.reason.value,
                 not_run=answer.not_run,
@@ -144,11 +144,11 @@
         """
         Send a request of the system itself, which counts for no account's usage.
 
-        :param request: its `left_s` determines the deadline that is sent to endpoints.
+        :param request: its `remaining_s` determines the deadline that is sent to endpoints.
         :param time_limit_s: seconds after which this call returns without a response.
         """
         started_at_s = boot_now()
-        left_s = request.left_s or time_limit_s
+        left_s = request.remaining_s or time_limit_s
         exchange = _Exchange(
             self, request, route, started_at_s + time_limit_s, started_at_s + left_s
         )
@@ -190,7 +190,9 @@
         """Count an attempt that was started because the first endpoint was slow."""
         self._counters.add("forward.hedged")
 
-    def finish_in_background(self, attempts: set[asyncio.Task[Answer | FailedAttempt]]) -> None:
+    def finish_in_background(
+        self, attempts: set[asyncio.Task[EndpointResponse | FailedAttempt]]
+    ) -> None:
         """
         Let attempts end whose responses are no longer needed.
 
@@ -207,7 +209,7 @@
         record: EndpointRecord,
         deadline_at_s: float,
         endpoint_deadline_at_s: float,
-    ) -> Answer | FailedAttempt:
+    ) -> EndpointResponse | FailedAttempt:
         """
         Send a request to one endpoint and read its complete response.
 
@@ -238,17 +240,17 @@
         self,
         request: CallerRequest,
         record: EndpointRecord,
-        answer: Answer | FailedAttempt,
+        answer: EndpointResponse | FailedAttempt,
         took_s: float,
     ) -> None:
         self._counters.observe("try_seconds", took_s, _outcome_of(answer))
-        if isinstance(answer, Answer):
+        if isinstance(answer, EndpointResponse):
             self._router.record_success(record.endpoint, took_s)
             return
         self._counters.retried(answer.reason)
         eliot.log_message(
             "forward:try_failed",
-            request=request.request,
+            request=request.request_id,
             endpoint=record.endpoint,
             reason=answer.reason.value,
             ran=answer.may_have_run,
@@ -258,24 +260,26 @@
 
     async def _send_attempt(
         self, request: CallerRequest, record: EndpointRecord, endpoint_deadline_at_s: float
-    ) -> Answer | FailedAttempt:
+    ) -> EndpointResponse | FailedAttempt:
         headers = self._wire.call_headers(request, record, endpoint_deadline_at_s - boot_now())
         request_context = self._connections.request(
             request.method, record.address, request.target, headers, request.body
         )
         async with request_context as response:
             response_headers = headers_of(response)
-            verdict = self._wire.call_verdict(request, response.status, response_headers)
-            if verdict is Verdict.NOT_OURS:
+            response_kind = self._wire.classify_call_response(
+                request, response.status, response_headers
+            )
+            if response_kind is ResponseKind.OTHER_REQUEST:
                 # An extra response to an earlier request. Later responses on this connection could
                 # not be matched to their requests either, so it is closed.
                 response.close()
                 return FailedAttempt(Reason.MISMATCHED_ANSWER, True)
             body = await response.read()
             self._connections.released(record.address, response_headers)
-            if verdict in (Verdict.TURNED_AWAY, Verdict.OTHER_ENDPOINT):
+            if response_kind in (ResponseKind.REJECTED, ResponseKind.OTHER_ENDPOINT):
                 return FailedAttempt(Reason.ENDPOINT_REFUSED, False)
-            return Answer(response.status, response_headers, body)
+            return EndpointResponse(response.status, response_headers, body)
 
 
 class _Exchange:
@@ -299,12 +303,12 @@
         self._hedged = False
         self._hedge_delay_s = route.target_s * HEDGE_DELAY_IN_TARGETS
         self._last_reason = Reason.NO_ENDPOINT
-        self._error_answer: Answer | None = None
+        self._error_answer: EndpointResponse | None = None
         self.tried_endpoints: list[str] = []
 
-    async def run(self) -> Answer | Refusal:
+    async def run(self) -> EndpointResponse | Refusal:
         """Start attempts until an endpoint answers or no further attempt is allowed or possible."""
-        attempts: set[asyncio.Task[Answer | FailedAttempt]] = set()
+        attempts: set[asyncio.Task[EndpointResponse | FailedAttempt]] = set()
         try:
             answer = await self._run_attempts(attempts)
         except asyncio.CancelledError:
@@ -316,8 +320,8 @@
         return answer
 
     async def _run_attempts(
-        self, attempts: set[asyncio.Task[Answer | FailedAttempt]]
-    ) -> Answer | Refusal:
+        self, attempts: set[asyncio.Task[EndpointResponse | FailedAttempt]]
+    ) -> EndpointResponse | Refusal:
         while True:
             if not attempts and not self._start_attempt(attempts):
                 return self._final_answer()
@@ -342,7 +346,7 @@
             if may_hedge and self._start_attempt(attempts):
                 self._forwarder.count_hedge()
 
-    def _evaluate(self, answer: Answer | FailedAttempt) -> Answer | None:
+    def _evaluate(self, answer: EndpointResponse | FailedAttempt) -> EndpointResponse | None:
         """Return the response if it ends the exchange; None where another attempt may follow."""
         if isinstance(answer, FailedAttempt):
             self.may_have_run = self.may_have_run or answer.may_have_run
@@ -357,12 +361,12 @@
             return None
         return answer
 
-    def _may_hedge(self, attempts: set[asyncio.Task[Answer | FailedAttempt]]) -> bool:
+    def _may_hedge(self, attempts: set[asyncio.Task[EndpointResponse | FailedAttempt]]) -> bool:
         if self._route.repeat is not RepeatRule.IDEMPOTENT or len(attempts) != 1:
             return False
         return not self._hedged and len(self.tried_endpoints) < self._route.max_attempts
 
-    def _start_attempt(self, attempts: set[asyncio.Task[Answer | FailedAttempt]]) -> bool:
+    def _start_attempt(self, attempts: set[asyncio.Task[EndpointResponse | FailedAttempt]]) -> bool:
         """Start an attempt at another endpoint; return False where none is allowed or possible."""
         at_most_once = self._route.repeat is RepeatRule.ONCE
         if len(self.tried_endpoints) >= self._route.max_attempts or (
@@ -372,7 +376,7 @@
         if self._deadline_at_s - boot_now() < MIN_ATTEMPT_S:
             return False
         record = self._forwarder.choose_endpoint(
-            pick_service(self._route), self.tried_endpoints, at_most_once
+            choose_service(self._route), self.tried_endpoints, at_most_once
         )
         if record is None:
             return False
@@ -383,7 +387,7 @@
         attempts.add(asyncio.create_task(attempt))
         return True
 
-    def _final_answer(self) -> Answer | Refusal:
+    def _final_answer(self) -> EndpointResponse | Refusal:
         if self._error_answer is not None:
             return self._error_answer
         if self._last_reason is Reason.TIMEOUT:
@@ -393,11 +397,11 @@
         )
 
 
-def _outcome_of(answer: Answer | FailedAttempt | Refusal) -> str:
-    return "answered" if isinstance(answer, Answer) else answer.reason.value
+def _outcome_of(answer: EndpointResponse | FailedAttempt | Refusal) -> str:
+    return "answered" if isinstance(answer, EndpointResponse) else answer.reason.value
 
 
-def pick_service(route: Route) -> str:
+def choose_service(route: Route) -> str:
     """
     Choose one of a route's services at random, in proportion to their weights.
 
@@ -408,4 +412,4 @@
     return random.choices(names, weights)[0]
 
 
-__all__ = ["Answer", "Forwarder", "SendResult", "pick_service"]
+__all__ = ["EndpointResponse", "Forwarder", "SendResult", "choose_service"]
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/item_run.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/item_run.py
@@ -12,12 +12,12 @@
 from ibisspring_core.clock import boot_now
 from ibisspring_core.connections import headers_of
 from ibisspring_core.messages.jobs import Outcome
-from ibisspring_gateway.wire import Verdict
+from ibisspring_gateway.wire import ResponseKind
 
 if TYPE_CHECKING:
     from ibisspring_core.connections import Connections
     from ibisspring_core.messages.jobs import Assignment
-    from ibisspring_gateway.wire import EndpointWire
+    from ibisspring_gateway.wire import EndpointAdapter
 
 # Longest wait for the response headers and then for the first event: the run may have to wait for
 # everything in the engine's queue.
@@ -75,7 +75,7 @@
 
 
 async def run_item(
-    assignment: Assignment, connections: Connections, wire: EndpointWire, progress: RunProgress
+    assignment: Assignment, connections: Connections, wire: EndpointAdapter, progress: RunProgress
 ) -> Outcome:
     """
     Run an item at the endpoint that it is assigned to.
@@ -99,7 +99,7 @@
 async def _stream(
     assignment: Assignment,
     connections: Connections,
-    wire: EndpointWire,
+    wire: EndpointAdapter,
     progress: RunProgress,
     start_and_deadline_s: tuple[float, float],
 ) -> str:
@@ -112,11 +112,11 @@
     try:
         headers = headers_of(response)
         kind = _outcome_kind(
-            wire.run_verdict(assignment, response.status, headers), response.status
+            wire.classify_run_response(assignment, response.status, headers), response.status
         )
         if kind != "done":
             return kind
-        progress.version = wire.run_version(headers)
+        progress.version = wire.initial_version(headers)
         await _read_events(assignment, response, wire, progress, *start_and_deadline_s)
         return "done"
     finally:
@@ -129,14 +129,14 @@
             response.close()
 
 
-def _outcome_kind(verdict: Verdict, status: int) -> str:
-    kind_by_verdict = {
-        Verdict.TURNED_AWAY: "turned_away",
-        Verdict.OTHER_ENDPOINT: "stale",
-        Verdict.NOT_OURS: "broken",
+def _outcome_kind(response_kind: ResponseKind, status: int) -> str:
+    outcome_by_response_kind = {
+        ResponseKind.REJECTED: "turned_away",
+        ResponseKind.OTHER_ENDPOINT: "stale",
+        ResponseKind.OTHER_REQUEST: "broken",
     }
-    if verdict in kind_by_verdict:
-        return kind_by_verdict[verdict]
+    if response_kind in outcome_by_response_kind:
+        return outcome_by_response_kind[response_kind]
     if status == 200:
         return "done"
     return "impossible" if status == 422 else "failed"
@@ -145,7 +145,7 @@
 async def _read_events(
     assignment: Assignment,
     response: aiohttp.ClientResponse,
-    wire: EndpointWire,
+    wire: EndpointAdapter,
     progress: RunProgress,
     started_at_s: float,
     deadline_at_s: float,
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/result_reads.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/result_reads.py
@@ -68,7 +68,7 @@
         store_address = self._nearby_store()
         if store_address:
             message = replace(message, inline_bytes=INLINE_BYTES)
-        answer = await self._runner.call_jobs(message, message.hold_s)
+        answer = await self._runner.call_jobs_leader(message, message.hold_s)
         if not isinstance(answer, ResultsListed):
             return answer
         store_request = ReadListed(
@@ -94,7 +94,7 @@
             max_bytes=remaining_bytes,
             inline_bytes=None,
         )
-        from_leader = await self._runner.call_jobs(remaining)
+        from_leader = await self._runner.call_jobs_leader(remaining)
         if not isinstance(from_leader, ResultsRead):
             return from_leader
         return ResultsRead(answer.total, (*from_store.results, *from_leader.results))
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
@@ -91,7 +91,7 @@
                 continue
             sent = await self._send(call, route, deadline_at_s)
             if not isinstance(sent.answer, Refusal) and sent.answer.status // 100 == 2:
-                score = self._wire.score(sent.answer.headers)
+                score = self._wire.read_score(sent.answer.headers)
                 if score:
                     return score
             failures += sent.endpoint_failures
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/runner.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/runner.py
@@ -125,7 +125,7 @@
         hint = (view.job_leader,) if view.job_leader else ()
         return tuple(dict.fromkeys((*hint, *replicas, *(founder.address for founder in founders))))
 
-    async def call_jobs(self, message: Any, hold_s: float = 0.0) -> Any:
+    async def call_jobs_leader(self, message: Any, hold_s: float = 0.0) -> Any:
         """
         Forward a caller's request to the leader of the jobs log.
 
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/wire.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/wire.py
@@ -17,41 +17,41 @@
     """
     A caller's request, or a reward call, that is forwarded to an endpoint.
 
-    :param request: id that the caller gave this attempt.
+    :param request_id: id that the caller gave this attempt.
     :param target: path and query exactly as in the request line.
-    :param headers: headers as the caller sent them; `EndpointWire.call_headers` removes those that
-        concern only the caller's connection.
+    :param headers: headers as the caller sent them; `EndpointAdapter.call_headers` removes those
+        that concern only the caller's connection.
     :param client_account: account whose key authenticated the request; empty on a public route.
-    :param left_s: seconds until the caller's deadline, counted from the arrival of the request;
-        None where the caller sent no deadline.
+    :param remaining_s: seconds until the caller's deadline, counted from the arrival of the
+        request; None where the caller sent no deadline.
     """
 
-    request: str
+    request_id: str
     method: str
     target: str
     headers: Headers
     body: bytes
     client_account: str
-    left_s: float | None
+    remaining_s: float | None
 
 
-class Verdict(enum.Enum):
+class ResponseKind(enum.Enum):
     """
     Classification of an endpoint's response by its status and headers.
 
     ANSWERED: the response is the endpoint's own answer to the request.
-    TURNED_AWAY: the endpoint rejected the request and guarantees that it did not run it.
+    REJECTED: the endpoint rejected the request and guarantees that it did not run it.
     OTHER_ENDPOINT: the request was not run either, because another endpoint now has the address or
     the endpoint has other weights than expected.
     FAILED: the endpoint ran the request and failed; another endpoint may be tried.
-    NOT_OURS: the response belongs to another request.
+    OTHER_REQUEST: the response belongs to another request.
     """
 
     ANSWERED = "answered"
-    TURNED_AWAY = "turned_away"
+    REJECTED = "turned_away"
     OTHER_ENDPOINT = "other_endpoint"
     FAILED = "failed"
-    NOT_OURS = "not_ours"
+    OTHER_REQUEST = "not_ours"
 
 
 @dataclass(frozen=True)
@@ -69,39 +69,45 @@
     version: int | None
 
 
-class EndpointWire(Protocol):
+class EndpointAdapter(Protocol):
     """The service `endpoint_wire`: builds requests to endpoints and interprets their responses."""
 
     name: str
 
-    def call_headers(self, request: CallerRequest, to: EndpointRecord, left_s: float) -> Headers:
+    def call_headers(
+        self, request: CallerRequest, record: EndpointRecord, remaining_s: float
+    ) -> Headers:
         """
         Build the headers of a forwarded request.
 
-        :param to: endpoint that the request is sent to.
-        :param left_s: seconds that the endpoint may work on the request.
+        :param record: endpoint that the request is sent to.
+        :param remaining_s: seconds that the endpoint may work on the request.
         """
 
-    def call_verdict(self, request: CallerRequest, status: int, headers: Headers) -> Verdict:
+    def classify_call_response(
+        self, request: CallerRequest, status: int, headers: Headers
+    ) -> ResponseKind:
         """Classify the response to a forwarded request by its status and headers."""
 
     def run_headers(self, assignment: Assignment) -> Headers:
         """Build the headers of the request that runs a job's item."""
 
-    def run_verdict(self, assignment: Assignment, status: int, headers: Headers) -> Verdict:
+    def classify_run_response(
+        self, assignment: Assignment, status: int, headers: Headers
+    ) -> ResponseKind:
         """Classify the response to an item's run by its status and headers."""
 
-    def run_version(self, headers: Headers) -> int | None:
+    def initial_version(self, headers: Headers) -> int | None:
         """Read the weight version at the start of a run; None where the headers do not give it."""
 
-    def reward_request(self, call: RewardCall, left_s: float) -> CallerRequest:
+    def reward_request(self, call: RewardCall, remaining_s: float) -> CallerRequest:
         """
         Convert a reward call to a request that the forwarder can send.
 
-        :param left_s: seconds that endpoints may work on the call.
+        :param remaining_s: seconds that endpoints may work on the call.
         """
 
-    def score(self, headers: Headers) -> str:
+    def read_score(self, headers: Headers) -> str:
         """Read the score from the headers of the response to a reward call; empty for none."""
 
     def read_event(self, block: bytes) -> Event | None:
@@ -113,4 +119,4 @@
         """
 
 
-__all__ = ["CallerRequest", "EndpointWire", "Event", "Verdict"]
+__all__ = ["CallerRequest", "EndpointAdapter", "Event", "ResponseKind"]
--- a/tests/unit/gateway/test_forward.py
+++ b/tests/unit/gateway/test_forward.py
@@ -13,8 +13,8 @@
 from ibisspring_core.kernel import Kernel
 from ibisspring_core.messages.endpoints import EndpointLoad, EndpointRecord
 from ibisspring_core.routes import RepeatRule, Route, Share
-from ibisspring_gateway.forward import Answer, Forwarder
-from ibisspring_gateway.wire import CallerRequest, Verdict
+from ibisspring_gateway.forward import EndpointResponse, Forwarder
+from ibisspring_gateway.wire import CallerRequest, ResponseKind
 
 REQUEST = CallerRequest("r1", "POST", "/lookup/7", (("Host", "a"),), b"body", "forge", 2.0)
 LOOKUP_ROUTE = Route(
@@ -41,14 +41,14 @@
 
     async def stop(self) -> None: ...
 
-    def call_headers(self, request, to, left_s):
-        return (*request.headers, ("Left", f"{left_s:.2f}"), ("To", to.endpoint))
+    def call_headers(self, request, record, remaining_s):
+        return (*request.headers, ("Left", f"{remaining_s:.2f}"), ("To", record.endpoint))
 
-    def call_verdict(self, request, status, headers):
+    def classify_call_response(self, request, status, headers):
         value_by_name = {name.lower(): value for name, value in headers}
-        if value_by_name.get("id") != request.request:
-            return Verdict.NOT_OURS
-        return Verdict.TURNED_AWAY if "turned-away" in value_by_name else Verdict.ANSWERED
+        if value_by_name.get("id") != request.request_id:
+            return ResponseKind.OTHER_REQUEST
+        return ResponseKind.REJECTED if "turned-away" in value_by_name else ResponseKind.ANSWERED
 
 
 def response_bytes(body: bytes = b"whole", status: int = 200, head: str = "Id: r1\r\n") -> bytes:
@@ -139,7 +139,7 @@
             async with forwarder_to(*endpoints) as forwarder:
                 for _ in range(3):
                     result = await forwarder.forward(REQUEST, LOOKUP_ROUTE)
-                    assert isinstance(result, Answer)
+                    assert isinstance(result, EndpointResponse)
                     assert (result.status, result.body) == (200, b"whole")
 
 
--- a/tests/unit/gateway/test_item_run.py
+++ b/tests/unit/gateway/test_item_run.py
@@ -8,7 +8,7 @@
 from ibisspring_core.messages.jobs import Assignment, JobItem
 from ibisspring_gateway import item_run
 from ibisspring_gateway.item_run import RunProgress, run_item
-from ibisspring_gateway.wire import Event, Verdict
+from ibisspring_gateway.wire import Event, ResponseKind
 
 HEAD = b"HTTP/1.1 200 OK\r\nVersion: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
@@ -20,12 +20,12 @@
     def run_headers(self, assignment):
         return (("After", str(assignment.resume_after)),)
 
-    def run_verdict(self, assignment, status, headers):
+    def classify_run_response(self, assignment, status, headers):
         if status == 421:
-            return Verdict.OTHER_ENDPOINT
-        return Verdict.TURNED_AWAY if status == 503 else Verdict.ANSWERED
+            return ResponseKind.OTHER_ENDPOINT
+        return ResponseKind.REJECTED if status == 503 else ResponseKind.ANSWERED
 
-    def run_version(self, headers):
+    def initial_version(self, headers):
         value_by_name = {name.lower(): value for name, value in headers}
         return int(value_by_name["version"]) if "version" in value_by_name else None
 
--- a/tests/unit/gateway/test_result_reads.py
+++ b/tests/unit/gateway/test_result_reads.py
@@ -33,7 +33,7 @@
         self.calls: list[tuple[str, int]] = []
         self.responds = True
 
-    async def call_jobs(self, message: ReadResults, hold_s: float = 0.0) -> object:
+    async def call_jobs_leader(self, message: ReadResults, hold_s: float = 0.0) -> object:
         self.calls.append(("leader", message.after))
         results = ALL_RESULTS[message.after :][: message.max_bytes // 2000]
         size = sum(len(result.output) for result in results)
@@ -133,7 +133,7 @@
     stores = _Stores(applied=40)
     refusal = Refusal(Reason.NO_LEADER, False, 0.1)
     reader = reader_of(stores, LEADER_STORE, NEARBY_STORE)
-    reader._runner = SimpleNamespace(call_jobs=_call_that_returns(refusal))
+    reader._runner = SimpleNamespace(call_jobs_leader=_call_that_returns(refusal))
 
     assert await reader.read(READ_ALL) is refusal
 
--- a/tests/unit/gateway/test_reward_calls.py
+++ b/tests/unit/gateway/test_reward_calls.py
@@ -30,11 +30,11 @@
 
 
 class _RewardWire(_Wire):
-    def reward_request(self, call, left_s):
+    def reward_request(self, call, remaining_s):
         headers = (("Host", call.host), ("Id", call.request))
-        return CallerRequest(call.request, "POST", call.path, headers, call.body, "", left_s)
+        return CallerRequest(call.request, "POST", call.path, headers, call.body, "", remaining_s)
 
-    def score(self, headers):
+    def read_score(self, headers):
         return {name.lower(): value for name, value in headers}.get("score", "")
 
 
--- a/tests/unit/platform/test_batch_jobs.py
+++ b/tests/unit/platform/test_batch_jobs.py
@@ -6,7 +6,7 @@
 from ibisspring_core.messages.jobs import COMPLETED, ItemResult, Job, ResultsRead, RewardCall
 from ibisspring_core.routes import JobTerms, RepeatRule, Route, Share
 from ibisspring_platform.batch_jobs import read_job, write_results
-from ibisspring_platform.engines import EngineWire
+from ibisspring_platform.engines import EngineAdapter
 
 ROUTE = Route(
     name="notes",
@@ -58,13 +58,13 @@
 
 
 def test_a_reward_call_carries_neither_key_nor_account() -> None:
-    engine_wire = EngineWire()
+    engine_wire = EngineAdapter()
     request = engine_wire.reward_request(read_scored_job(SCORER).items[0].reward, 7.0)
 
     assert (request.method, request.target, request.body) == ("POST", "/sync/1", b"note")
     assert request.headers == (("Host", "ledger.example"), ("Attempt-Id", "r1"))
     assert request.client_account == ""
-    assert engine_wire.score((("Server-Stamp", "3e1b"),)) == "3e1b"
+    assert engine_wire.read_score((("Server-Stamp", "3e1b"),)) == "3e1b"
 
 
 def test_only_scored_results_are_written_with_a_score() -> None:
--- a/tests/unit/platform/test_engines.py
+++ b/tests/unit/platform/test_engines.py
@@ -4,9 +4,9 @@
 
 from ibisspring_core.messages.directory import UNKNOWN_INCARNATION, Depart
 from ibisspring_core.messages.jobs import Assignment, JobItem
-from ibisspring_gateway.wire import CallerRequest, Event, Verdict
+from ibisspring_gateway.wire import CallerRequest, Event, ResponseKind
 from ibisspring_platform.announcements import read_departure, read_heartbeat
-from ibisspring_platform.engines import EngineWire, find_header
+from ibisspring_platform.engines import EngineAdapter, find_header
 
 HEARTBEAT = {
     "service": "scorer",
@@ -20,9 +20,9 @@
     "sequence": 4,
     "born": 1_767_292_501_206,
 }
-WIRE = EngineWire()
+WIRE = EngineAdapter()
 REQUEST = CallerRequest(
-    request="9c41",
+    request_id="9c41",
     method="POST",
     target="/lookup/2f",
     headers=(
@@ -38,7 +38,7 @@
     ),
     body=b"",
     client_account="forge",
-    left_s=2.0,
+    remaining_s=2.0,
 )
 ANSWER = (("Attempt-Id", "9c41"), ("Server-Stamp", "3e1b"))
 
@@ -93,16 +93,16 @@
 def test_answers_are_told_apart() -> None:
     # A late extra answer arrives on a connection where the answer to the next request is expected.
     # If it were forwarded, a caller would receive another client account's data.
-    def classify(status: int, *headers: tuple[str, str]) -> Verdict:
-        return WIRE.call_verdict(REQUEST, status, headers)
-
-    assert classify(200, *ANSWER) is Verdict.ANSWERED
-    assert classify(500, *ANSWER) is Verdict.ANSWERED
-    assert classify(200, ("Attempt-Id", "other"), ANSWER[1]) is Verdict.NOT_OURS
-    assert classify(200, ANSWER[0]) is Verdict.NOT_OURS
-    assert classify(200) is Verdict.NOT_OURS
-    assert classify(503, ("Not-Executed", "1")) is Verdict.TURNED_AWAY
-    assert classify(421, ("Instance-Id", "i-2")) is Verdict.OTHER_ENDPOINT
+    def classify(status: int, *headers: tuple[str, str]) -> ResponseKind:
+        return WIRE.classify_call_response(REQUEST, status, headers)
+
+    assert classify(200, *ANSWER) is ResponseKind.ANSWERED
+    assert classify(500, *ANSWER) is ResponseKind.ANSWERED
+    assert classify(200, ("Attempt-Id", "other"), ANSWER[1]) is ResponseKind.OTHER_REQUEST
+    assert classify(200, ANSWER[0]) is ResponseKind.OTHER_REQUEST
+    assert classify(200) is ResponseKind.OTHER_REQUEST
+    assert classify(503, ("Not-Executed", "1")) is ResponseKind.REJECTED
+    assert classify(421, ("Instance-Id", "i-2")) is ResponseKind.OTHER_ENDPOINT
 
 
 def test_run_headers_state_resume_position_and_weight_version() -> None:
