--- a/packages/ibisspring-cli/src/ibisspring_cli/explanations.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/explanations.py
@@ -8,7 +8,7 @@
 
 from ibisspring_cli.log_lines import merge_in_time_order
 from ibisspring_core.errors import Reason
-from ibisspring_core.logs import LEFT_OUT
+from ibisspring_core.logs import DROPPED_LINES_KIND
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -101,7 +101,7 @@
     dropped_by_kind: dict[str, int] = {}
     for (at_s, line), is_direct in zip(timed, direct_flags, strict=True):
         in_period = first_s - CONTEXT_BEFORE_S <= at_s <= last_s + CONTEXT_AFTER_S
-        if line.kind == LEFT_OUT and in_period:
+        if line.kind == DROPPED_LINES_KIND and in_period:
             _add_counts(dropped_by_kind, line.fields.get("count"))
         if is_direct or (in_period and _is_context(line, related)):
             explained.append(ExplainedLine(round(at_s - first_s, 4), is_direct, line))
@@ -143,7 +143,7 @@
         )
     if "endpoint" in line.fields:
         return _is_in(line.fields["endpoint"], related)
-    return line.kind != LEFT_OUT
+    return line.kind != DROPPED_LINES_KIND
 
 
 def _is_in(value: Any, ids: frozenset[str]) -> bool:
--- a/packages/ibisspring-control/src/ibisspring_control/state/requests.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/requests.py
@@ -13,7 +13,7 @@
 
 from ibisspring_core.errors import Reason
 from ibisspring_core.messages.commands import Refused
-from ibisspring_core.request_ids import created_s_of
+from ibisspring_core.request_ids import creation_time_s
 
 if TYPE_CHECKING:
     from ibisspring_control.state.moment import LogPosition
@@ -67,7 +67,7 @@
 
         :return: a refusal, or None if the command may be applied.
         """
-        created_s = created_s_of(request_id)
+        created_s = creation_time_s(request_id)
         if created_s is None:
             return Refused(Reason.BAD_REQUEST.value, "the request id contains no creation time")
         if created_s > position.stamped_s + MAX_CLOCK_SKEW_S:
@@ -86,7 +86,7 @@
         self.result_by_id[result.request_id] = result
         while self.result_by_id:
             oldest = next(iter(self.result_by_id))
-            created_s = created_s_of(oldest) or 0.0
+            created_s = creation_time_s(oldest) or 0.0
             too_many = len(self.result_by_id) > MAX_RESULTS
             if not too_many and created_s > position.stamped_s - RESEND_WINDOW_S:
                 return
--- a/packages/ibisspring-core/src/ibisspring_core/caller_leaving.py
+++ b/packages/ibisspring-core/src/ibisspring_core/caller_leaving.py
@@ -15,7 +15,7 @@
 DISCONNECT = "http.disconnect"
 
 
-def end_with_caller(application: Application, silence_s: float) -> Application:
+def cancel_on_disconnect(application: Application, read_timeout_s: float) -> Application:
     """
     Wrap an application so that a request is cancelled when its caller disconnects.
 
@@ -24,8 +24,8 @@
     which cancels the request at the engine.
 
     :param application: the ASGI application.
-    :param silence_s: seconds after which a send to a caller that reads nothing is cancelled. The
-        path may have lost the connection's state; the request would continue and be billed.
+    :param read_timeout_s: seconds after which a send to a caller that reads nothing is cancelled.
+        The path may have lost the connection's state; the request would continue and be billed.
     :return: the wrapped application.
     """
 
@@ -36,7 +36,7 @@
         body = _Body(receive)
 
         async def send_with_timeout(event: Event) -> None:
-            async with asyncio.timeout(silence_s):
+            async with asyncio.timeout(read_timeout_s):
                 await send(event)
 
         request_task = asyncio.ensure_future(application(scope, body.receive, send_with_timeout))
@@ -83,4 +83,4 @@
                 self._disconnected.set()
 
 
-__all__ = ["Application", "end_with_caller"]
+__all__ = ["Application", "cancel_on_disconnect"]
--- a/packages/ibisspring-core/src/ibisspring_core/connections.py
+++ b/packages/ibisspring-core/src/ibisspring_core/connections.py
@@ -11,7 +11,7 @@
 
 from ibisspring_core.clock import boot_now
 from ibisspring_core.guarded_http import HttpAnswer, NoAnswer
-from ibisspring_core.kept_connections import KeptConnections
+from ibisspring_core.kept_connections import IdleConnections
 
 if TYPE_CHECKING:
     from ibisspring_core.guarded_http import HttpRequest
@@ -41,7 +41,7 @@
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
-        self._kept = KeptConnections()
+        self._kept = IdleConnections()
 
     async def start(self, kernel: Kernel) -> None:
         """Create the pool; connections open with the first requests."""
@@ -75,7 +75,7 @@
         :param body: request body; empty for none.
         :return: an asynchronous context manager that yields the response.
         """
-        self._kept.taken((address,), boot_now())
+        self._kept.use((address,), boot_now())
         return self._session.request(
             method,
             URL(f"http://{address}{target}", encoded=True),
@@ -84,7 +84,7 @@
             allow_redirects=False,
         )
 
-    async def ask(self, request: HttpRequest, timeout_s: float) -> HttpAnswer | NoAnswer:
+    async def fetch(self, request: HttpRequest, timeout_s: float) -> HttpAnswer | NoAnswer:
         """
         Send a read-only request over a pooled connection.
 
@@ -104,16 +104,16 @@
                 ) as response,
             ):
                 body = await response.read()
-                self.released(address, headers_of(response))
+                self.record_idle(address, headers_of(response))
                 return HttpAnswer(response.status, body)
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             return NoAnswer(True, repr(error))
 
     def idle(self, address: str) -> bool:
         """Whether the pool holds an open, idle connection to an endpoint."""
-        return self._kept.idle((address,), boot_now()) > 0
+        return self._kept.count_idle((address,), boot_now()) > 0
 
-    def released(self, address: str, headers: Headers) -> float:
+    def record_idle(self, address: str, headers: Headers) -> float:
         """
         Record that a response was read completely and its connection is idle.
 
@@ -122,7 +122,7 @@
         :return: seconds that the endpoint keeps the connection open; 0.0 if it closes it.
         """
         keep_s = keep_alive_s(headers)
-        self._kept.released((address,), boot_now(), keep_s)
+        self._kept.add((address,), boot_now(), keep_s)
         return keep_s
 
 
--- a/packages/ibisspring-core/src/ibisspring_core/directory_view.py
+++ b/packages/ibisspring-core/src/ibisspring_core/directory_view.py
@@ -87,7 +87,7 @@
         """Register a callback that runs after each change of the view."""
         self._on_change.append(callback)
 
-    def send_usage(self, source: UsageSource) -> None:
+    def set_usage_source(self, source: UsageSource) -> None:
         """
         Set the source of the usage counts that each renewal carries.
 
@@ -96,7 +96,7 @@
         """
         self._usage_source = source
 
-    async def tell_usage(self) -> Any:
+    async def send_usage_now(self) -> Any:
         """
         Send the usage counts to the leader immediately, outside of the renewals.
 
@@ -106,7 +106,7 @@
         message = CountUsage(self._settings.peer_address, self._incarnation, usage)
         return await self._usage_leader.call(message, CALL_TIMEOUT_S, CALL_TIMEOUT_S)
 
-    def describe(self, complete: CompleteRenewal) -> None:
+    def add_renew_fields(self, complete: CompleteRenewal) -> None:
         """Set a function that completes each renewal, for example with the daemon's disk."""
         self._complete_renewal = complete
 
@@ -198,9 +198,9 @@
         now = boot_now()
         table = self.endpoints if view.learning else EndpointTable(KEEP_ENDPOINTS_S)
         for placed in view.endpoints:
-            table.take(placed.record, now)
-        before = {one.record.endpoint for one in self.endpoints.heard()}
-        after = {one.record.endpoint for one in table.heard() if one.record.state == SERVING}
+            table.merge(placed.record, now)
+        before = {one.record.endpoint for one in self.endpoints.records()}
+        after = {one.record.endpoint for one in table.records() if one.record.state == SERVING}
         if before != after:
             eliot.log_message("directory_view:endpoints", serving=sorted(after))
         self.endpoints = table
--- a/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
+++ b/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
@@ -22,9 +22,9 @@
 SERVING = "serving"
 LEAVING = "leaving"
 GONE = "gone"
-STATES = (SERVING, LEAVING)
-ROLES = ("engine", "plain", "scorer")
-KINDS = ("standard", "cheap")
+ANNOUNCED_STATES = (SERVING, LEAVING)
+ENDPOINT_ROLES = ("engine", "plain", "scorer")
+ENDPOINT_KINDS = ("standard", "cheap")
 
 DELETE_AFTER_TTLS = 12
 """
@@ -36,19 +36,19 @@
 
 
 @dataclass(frozen=True)
-class Heard:
+class ReceivedRecord:
     """
     A record with the time of its endpoint's last announcement to any entry.
 
     :param record: the newest announcement.
-    :param heard_at: time of that announcement, in seconds on this entry's boot clock.
-    :param first_hand: True if the endpoint announced itself to this entry, False if a peer relayed
+    :param received_at: time of that announcement, in seconds on this entry's boot clock.
+    :param direct: True if the endpoint announced itself to this entry, False if a peer relayed
         the record.
     """
 
     record: EndpointRecord
-    heard_at: float
-    first_hand: bool
+    received_at: float
+    direct: bool
 
 
 class EndpointTable:
@@ -60,38 +60,38 @@
 
     def __init__(self, ttl_s: float) -> None:
         self._ttl_s = ttl_s
-        self._received_by_endpoint: dict[str, Heard] = {}
+        self._received_by_endpoint: dict[str, ReceivedRecord] = {}
         self.changed: set[str] = set()
 
-    def take(self, record: EndpointRecord, heard_at: float, first_hand: bool = True) -> str:
+    def merge(self, record: EndpointRecord, received_at: float, direct: bool = True) -> str:
         """
         Merge an announcement into the table.
 
         :param record: the announcement.
-        :param heard_at: when an entry received it, in seconds on this entry's boot clock.
-        :param first_hand: True if the endpoint announced itself to this entry, False if a peer
+        :param received_at: when an entry received it, in seconds on this entry's boot clock.
+        :param direct: True if the endpoint announced itself to this entry, False if a peer
             relayed the record.
         :return: empty if the announcement was accepted, else the reason for its rejection.
         """
         known = self._received_by_endpoint.get(record.endpoint)
         if known is None:
-            self._put(Heard(record, heard_at, first_hand), None)
+            self._put(ReceivedRecord(record, received_at, direct), None)
             return ""
         if record.order() < known.record.order():
             return "a newer announcement is already recorded"
         if record.order() == known.record.order():
-            return self._update_received_at(known, heard_at)
+            return self._update_received_at(known, received_at)
         same_incarnation = record.incarnation == known.record.incarnation
         # A leaving endpoint gets no new work. Neither a SERVING announcement that was sent earlier
         # and arrives late, nor one that a faulty endpoint sends afterwards, may revert this; only a
         # new incarnation may.
         if same_incarnation and known.record.state == LEAVING and record.state != LEAVING:
             return "this incarnation has already announced that it is leaving"
-        self._put(Heard(record, heard_at, first_hand), known)
+        self._put(ReceivedRecord(record, received_at, direct), known)
         return ""
 
     def refresh(
-        self, start: tuple[str, int], sequence: int, load: EndpointLoad, heard_at: float
+        self, start: tuple[str, int], sequence: int, load: EndpointLoad, received_at: float
     ) -> None:
         """
         Apply a peer's refresh of an endpoint whose record is unchanged except for its load.
@@ -103,14 +103,14 @@
         :param start: the endpoint's id and incarnation.
         :param sequence: sequence number of its newest announcement.
         :param load: load reported by that announcement.
-        :param heard_at: when an entry received it, in seconds on this entry's boot clock.
+        :param received_at: when an entry received it, in seconds on this entry's boot clock.
         """
         endpoint, incarnation = start
         known = self._received_by_endpoint.get(endpoint)
         if known is None or known.record.incarnation != incarnation:
             return
         changes = {"sequence": sequence, "load": load, "state": SERVING}
-        self.take(dataclasses.replace(known.record, **changes), heard_at, first_hand=False)
+        self.merge(dataclasses.replace(known.record, **changes), received_at, direct=False)
 
     def set_versions(self, endpoint: str, version_by_adapter: dict[str, int]) -> None:
         """
@@ -123,14 +123,14 @@
         record = dataclasses.replace(received.record, version_by_adapter=version_by_adapter)
         self._put(dataclasses.replace(received, record=record), received)
 
-    def _update_received_at(self, known: Heard, heard_at: float) -> str:
-        if heard_at > known.heard_at:
+    def _update_received_at(self, known: ReceivedRecord, received_at: float) -> str:
+        if received_at > known.received_at:
             self._received_by_endpoint[known.record.endpoint] = dataclasses.replace(
-                known, heard_at=heard_at
+                known, received_at=received_at
             )
         return ""
 
-    def _put(self, received: Heard, known: Heard | None) -> None:
+    def _put(self, received: ReceivedRecord, known: ReceivedRecord | None) -> None:
         endpoint = received.record.endpoint
         self._received_by_endpoint[endpoint] = received
         if known is None or comparable_fields(received.record) != comparable_fields(known.record):
@@ -149,7 +149,7 @@
         """
         expired = []
         for endpoint, received in list(self._received_by_endpoint.items()):
-            age_s = now - received.heard_at
+            age_s = now - received.received_at
             if age_s > self._ttl_s * DELETE_AFTER_TTLS:
                 del self._received_by_endpoint[endpoint]
                 self.changed.discard(endpoint)
@@ -176,7 +176,7 @@
             record = received.record
             if record.service != service or record.state != SERVING:
                 continue
-            if now - received.heard_at > self._ttl_s:
+            if now - received.received_at > self._ttl_s:
                 continue
             if newest_by_address[record.address] > record.incarnation:
                 continue
@@ -196,11 +196,11 @@
             newest[record.address] = max(newest.get(record.address, 0), record.incarnation)
         return newest
 
-    def heard(self) -> tuple[Heard, ...]:
+    def records(self) -> tuple[ReceivedRecord, ...]:
         """Return all records, including those of GONE endpoints."""
         return tuple(self._received_by_endpoint.values())
 
-    def unheard(self, now: float) -> tuple[str, ...]:
+    def stale_endpoints(self, now: float) -> tuple[str, ...]:
         """
         List the endpoints without an announcement for more than half a TTL.
 
@@ -211,11 +211,11 @@
         """
         found = []
         for received in self._received_by_endpoint.values():
-            if now - received.heard_at > self._ttl_s / 2 and received.record.state != LEAVING:
+            if now - received.received_at > self._ttl_s / 2 and received.record.state != LEAVING:
                 found.append(received.record.endpoint)
         return tuple(found)
 
-    def heard_lately(self, endpoints: Iterable[str], now: float) -> tuple[Heard, ...]:
+    def recent_records(self, endpoints: Iterable[str], now: float) -> tuple[ReceivedRecord, ...]:
         """
         Return the records that a peer asks for, if they are recent.
 
@@ -226,7 +226,7 @@
         found = []
         for endpoint in endpoints:
             received = self._received_by_endpoint.get(endpoint)
-            if received is not None and now - received.heard_at <= self._ttl_s / 2:
+            if received is not None and now - received.received_at <= self._ttl_s / 2:
                 found.append(received)
         return tuple(found)
 
@@ -267,4 +267,13 @@
     )
 
 
-__all__ = ["GONE", "KINDS", "LEAVING", "ROLES", "SERVING", "STATES", "EndpointTable", "Heard"]
+__all__ = [
+    "GONE",
+    "ENDPOINT_KINDS",
+    "LEAVING",
+    "ENDPOINT_ROLES",
+    "SERVING",
+    "ANNOUNCED_STATES",
+    "EndpointTable",
+    "ReceivedRecord",
+]
--- a/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
+++ b/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
@@ -16,7 +16,7 @@
 LEASE_POLL_S = 0.05
 _LINGER_RESET = struct.pack("ii", 1, 0)
 
-LeaseLeft = Callable[[], float]
+RemainingLease = Callable[[], float]
 
 
 @dataclass(frozen=True)
@@ -74,14 +74,14 @@
     is frozen: bytes sent during a network partition do not arrive after it heals.
     """
 
-    lease_left: LeaseLeft
-    least_left_s: float
+    lease_left: RemainingLease
+    min_lease_left_s: float
     sent: bool
 
     def send(self, data: Any, flags: int = 0) -> int:
         bound_ms = max(1, int(self.lease_left() * 1000))
         self.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, bound_ms)
-        if self.lease_left() < self.least_left_s:
+        if self.lease_left() < self.min_lease_left_s:
             raise ConnectionAbortedError("too little of the lease is left to send the order")
         self.sent = True
         return super().send(data, flags)
@@ -90,10 +90,10 @@
 class _GuardedConnector(aiohttp.TCPConnector):
     """Opens a single new guarded connection, which can be aborted."""
 
-    def __init__(self, lease_left: LeaseLeft, least_left_s: float) -> None:
+    def __init__(self, lease_left: RemainingLease, min_lease_left_s: float) -> None:
         super().__init__(force_close=True, socket_factory=self._open_socket)
         self._lease_left = lease_left
-        self._least_left_s = least_left_s
+        self._min_lease_left_s = min_lease_left_s
         self.sockets: list[_GuardedSocket] = []
         self.transport: asyncio.Transport | None = None
 
@@ -101,7 +101,7 @@
         family, kind, protocol, _, _ = address
         opened = _GuardedSocket(family, kind, protocol)
         opened.lease_left = self._lease_left
-        opened.least_left_s = self._least_left_s
+        opened.min_lease_left_s = self._min_lease_left_s
         opened.sent = False
         opened.setblocking(False)
         opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -131,7 +131,7 @@
 
 
 async def send_guarded(
-    request: HttpRequest, lease_left: LeaseLeft, least_left_s: float, timeout_s: float
+    request: HttpRequest, lease_left: RemainingLease, min_lease_left_s: float, timeout_s: float
 ) -> HttpAnswer | NoAnswer:
     """
     Send a request once, on a new connection, while a lease is valid.
@@ -139,13 +139,13 @@
     :param request: the request.
     :param lease_left: returns the remaining time of the lease in seconds, from a clock that counts
         suspension.
-    :param least_left_s: minimum remaining time of the lease, in seconds, when bytes are sent.
+    :param min_lease_left_s: minimum remaining time of the lease, in seconds, when bytes are sent.
     :param timeout_s: seconds to wait for the response; the wait also ends when the lease lapses.
     :return: the response, or the reason why there is none.
     """
-    if lease_left() < least_left_s:
+    if lease_left() < min_lease_left_s:
         return NoAnswer(False, "too little of the lease is left to send the order")
-    connector = _GuardedConnector(lease_left, least_left_s)
+    connector = _GuardedConnector(lease_left, min_lease_left_s)
     async with aiohttp.ClientSession(connector=connector) as session:
         exchange = asyncio.create_task(_exchange(session, request))
         try:
@@ -162,7 +162,7 @@
 
 
 async def _wait_until_done(
-    exchange: asyncio.Task[HttpAnswer], lease_left: LeaseLeft, timeout_s: float
+    exchange: asyncio.Task[HttpAnswer], lease_left: RemainingLease, timeout_s: float
 ) -> str:
     # The event loop's timers stop while the VM is suspended, so the clocks are polled.
     end_s = boot_now() + timeout_s
@@ -186,4 +186,4 @@
         return HttpAnswer(response.status, await response.read())
 
 
-__all__ = ["HttpAnswer", "HttpRequest", "LeaseLeft", "NoAnswer", "send_guarded"]
+__all__ = ["HttpAnswer", "HttpRequest", "RemainingLease", "NoAnswer", "send_guarded"]
--- a/packages/ibisspring-core/src/ibisspring_core/kept_connections.py
+++ b/packages/ibisspring-core/src/ibisspring_core/kept_connections.py
@@ -19,13 +19,13 @@
 MARGIN_S = 0.5
 
 
-class KeptConnections:
+class IdleConnections:
     """The idle connections by key; `now` is in seconds on a monotonic clock."""
 
     def __init__(self) -> None:
         self._expiries_by_key: dict[tuple[str, ...], deque[float]] = {}
 
-    def released(self, key: tuple[str, ...], now: float, keep_s: float) -> None:
+    def add(self, key: tuple[str, ...], now: float, keep_s: float) -> None:
         """
         Record that a connection became idle.
 
@@ -37,7 +37,7 @@
         if keep_s > MARGIN_S:
             self._expiries_by_key.setdefault(key, deque()).append(now + keep_s - MARGIN_S)
 
-    def taken(self, key: tuple[str, ...], now: float) -> bool:
+    def use(self, key: tuple[str, ...], now: float) -> bool:
         """
         Record that a request uses an idle connection: the one that became idle first.
 
@@ -45,12 +45,12 @@
 
         :return: False if there was none, so that a new connection is opened.
         """
-        if not self.idle(key, now):
+        if not self.count_idle(key, now):
             return False
         self._expiries_by_key[key].popleft()
         return True
 
-    def idle(self, key: tuple[str, ...], now: float) -> int:
+    def count_idle(self, key: tuple[str, ...], now: float) -> int:
         """Return the number of idle connections that the endpoint still keeps open."""
         expiries = self._expiries_by_key.get(key)
         if expiries is None:
@@ -62,4 +62,4 @@
         return len(expiries)
 
 
-__all__ = ["KeptConnections"]
+__all__ = ["IdleConnections"]
--- a/packages/ibisspring-core/src/ibisspring_core/logs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/logs.py
@@ -18,7 +18,7 @@
 from ibisspring_core.clock import boot_now
 from ibisspring_core.log_budget import LogBudget
 
-LEFT_OUT = "log:left_out"
+DROPPED_LINES_KIND = "log:left_out"
 # A line in which one of these fields is not empty reports a failure.
 FAILURE_FIELDS = ("reason", "error")
 # Lines that arrive within this time are written in one call. A process that is killed loses them.
@@ -93,7 +93,11 @@
     def _report_dropped(self) -> None:
         count_by_kind = self._budget.reset_dropped()
         if count_by_kind:
-            fields = {"message_type": LEFT_OUT, "timestamp": time.time(), "count": count_by_kind}
+            fields = {
+                "message_type": DROPPED_LINES_KIND,
+                "timestamp": time.time(),
+                "count": count_by_kind,
+            }
             self._enqueue(fields, boot_now())
 
     def _write_buffered(self) -> None:
@@ -154,4 +158,4 @@
     return writer
 
 
-__all__ = ["FAILURE_FIELDS", "LEFT_OUT", "LineWriter", "log_to", "start_logging"]
+__all__ = ["FAILURE_FIELDS", "DROPPED_LINES_KIND", "LineWriter", "log_to", "start_logging"]
--- a/packages/ibisspring-core/src/ibisspring_core/request_ids.py
+++ b/packages/ibisspring-core/src/ibisspring_core/request_ids.py
@@ -23,7 +23,7 @@
     return f"{int(wall_now() * _MS):013d}-{secrets.token_hex(8)}"
 
 
-def created_s_of(request_id: str) -> float | None:
+def creation_time_s(request_id: str) -> float | None:
     """
     Return the creation time in a request id.
 
@@ -36,4 +36,4 @@
     return int(match.group(1)) / _MS
 
 
-__all__ = ["created_s_of", "new_request_id"]
+__all__ = ["creation_time_s", "new_request_id"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
@@ -83,7 +83,7 @@
             return
         directory = self._directory
         record_by_engine = {}
-        for received in directory.endpoints.table.heard():
+        for received in directory.endpoints.table.records():
             record = received.record
             if record.state == SERVING and record.version_by_adapter:
                 record_by_engine[record.endpoint] = record
@@ -166,7 +166,7 @@
 
     async def _poll(self, record: EndpointRecord) -> EngineState | None:
         request = self._outside.engine_state_request(record)
-        answer = await self._connections.ask(request, POLL_TIMEOUT_S)
+        answer = await self._connections.fetch(request, POLL_TIMEOUT_S)
         if not isinstance(answer, HttpAnswer):
             return None
         state = self._outside.engine_state(answer)
--- a/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
@@ -105,7 +105,7 @@
 
     def _count_serving(self, service: str) -> dict[str, int]:
         present: dict[str, int] = {}
-        for received in self._directory.endpoints.table.heard():
+        for received in self._directory.endpoints.table.records():
             record = received.record
             if record.service == service and record.state == SERVING:
                 present[record.data_centre] = present.get(record.data_centre, 0) + 1
--- a/packages/ibisspring-directory/src/ibisspring_directory/known_endpoints.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/known_endpoints.py
@@ -80,7 +80,7 @@
         # announced itself. Endpoints that joined before the restart are therefore used at once; the
         # records of those that failed expire.
         for record in self._state.joined_by_endpoint.values():
-            self.table.take(record, led_since)
+            self.table.merge(record, led_since)
 
     def is_learning(self, now: float) -> bool:
         """Whether this leader may still lack the announcements of some endpoints."""
@@ -105,9 +105,9 @@
                     if with_versions
                     else replace(received.record, version_by_adapter={})
                 ),
-                now - received.heard_at,
+                now - received.received_at,
             )
-            for received in self.table.heard()
+            for received in self.table.records()
             if received.record.state != GONE
         )
 
@@ -153,7 +153,7 @@
         known = self.table.record_of(record.endpoint)
         if known is not None and known.incarnation == record.incarnation:
             record = replace(record, version_by_adapter=_merge_versions(known, record))
-        drop_reason = self.table.take(record, now)
+        drop_reason = self.table.merge(record, now)
         if drop_reason:
             self._counters.add("directory.announcement_dropped")
         joined = self._state.joined_by_endpoint.get(record.endpoint)
--- a/packages/ibisspring-directory/src/ibisspring_directory/service.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/service.py
@@ -158,7 +158,7 @@
     def _entry_view_key(self) -> tuple[Any, ...]:
         now = boot_now()
         leader = self.sessions.job_leader(now)
-        records = (received.record for received in self.endpoints.table.heard())
+        records = (received.record for received in self.endpoints.table.records())
         return (
             self._term,
             self.state.table_version,
--- a/packages/ibisspring-directory/src/ibisspring_directory/status.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/status.py
@@ -59,7 +59,7 @@
         now = boot_now()
         state = directory.state
         voters = self._consensus.core.members.voters
-        received = directory.endpoints.table.heard()
+        received = directory.endpoints.table.records()
         return DirectoryStatus(
             leader=self._settings.daemon,
             term=self._consensus.term,
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/service.py
@@ -8,7 +8,7 @@
 import eliot
 import falcon.asgi
 
-from ibisspring_core.caller_leaving import end_with_caller
+from ibisspring_core.caller_leaving import cancel_on_disconnect
 from ibisspring_core.errors import Reason
 from ibisspring_entry.http.announce import AnnounceResource
 from ibisspring_entry.http.generate import GenerateResource
@@ -77,7 +77,7 @@
         for path, resource in self._resource_by_path.items():
             app.add_route(path, resource)
         self._server = make_server(
-            end_with_caller(app, self._settings.caller_silence_s), self._settings, counters
+            cancel_on_disconnect(app, self._settings.caller_silence_s), self._settings, counters
         )
         self._server_task = asyncio.create_task(self._server.serve())
         listening = asyncio.ensure_future(self._server.listening.wait())
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/announcement.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/announcement.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ibisspring_core.endpoint_table import KINDS, ROLES, STATES
+from ibisspring_core.endpoint_table import ANNOUNCED_STATES, ENDPOINT_KINDS, ENDPOINT_ROLES
 from ibisspring_core.errors import Finding
 from ibisspring_core.json_input import decode_json
 from ibisspring_core.messages.endpoints import EndpointRecord
@@ -30,7 +30,11 @@
     for field in ("endpoint", "service", "data_centre"):
         if not 0 < len(getattr(record, field)) <= MAX_NAME_LENGTH:
             findings.append(_finding(field, f"must have 1 to {MAX_NAME_LENGTH} characters"))
-    for field, allowed in (("role", ROLES), ("kind", KINDS), ("state", STATES)):
+    for field, allowed in (
+        ("role", ENDPOINT_ROLES),
+        ("kind", ENDPOINT_KINDS),
+        ("state", ANNOUNCED_STATES),
+    ):
         if getattr(record, field) not in allowed:
             findings.append(_finding(field, f"must be one of {', '.join(allowed)}"))
     if record.incarnation < 0 or record.sequence < 0:
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from ibisspring_core.endpoint_table import Heard
+    from ibisspring_core.endpoint_table import ReceivedRecord
 
 
 @dataclass(frozen=True)
@@ -26,7 +26,7 @@
     :param refreshes: updates of records of which only the sequence and the load changed.
     """
 
-    whole: tuple[Heard, ...]
+    whole: tuple[ReceivedRecord, ...]
     refreshes: tuple[entry_peer_pb2.Refresh, ...]
 
 
@@ -43,7 +43,7 @@
     sent_until: float = 0.0
     content_by_endpoint: dict[str, tuple] = field(default_factory=dict)
 
-    def delta(self, received: Iterable[Heard], now: float) -> Delta:
+    def delta(self, received: Iterable[ReceivedRecord], now: float) -> Delta:
         """
         Select the records and refreshes that the peer lacks.
 
@@ -57,14 +57,14 @@
         complete = []
         refreshes = []
         for item in received:
-            if not item.first_hand or item.heard_at < self.sent_until:
+            if not item.direct or item.received_at < self.sent_until:
                 continue
             record = item.record
             known = self.content_by_endpoint.get(record.endpoint)
             if record.state != SERVING or known != content_of(record):
                 complete.append(item)
                 continue
-            refreshes.append(refresh_of(record, now - item.heard_at))
+            refreshes.append(refresh_of(record, now - item.received_at))
         return Delta(tuple(complete), tuple(refreshes))
 
     def acknowledged(self, delta: Delta, began: float) -> None:
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_wire.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_wire.py
@@ -12,10 +12,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-    from ibisspring_core.endpoint_table import EndpointTable, Heard
+    from ibisspring_core.endpoint_table import EndpointTable, ReceivedRecord
 
 
-def pack(received: Iterable[Heard], now: float) -> tuple[list[bytes], list[float]]:
+def pack(received: Iterable[ReceivedRecord], now: float) -> tuple[list[bytes], list[float]]:
     """
     Encode records.
 
@@ -27,7 +27,7 @@
     ages_s = []
     for item in received:
         records.append(encode(item.record))
-        ages_s.append(max(0.0, now - item.heard_at))
+        ages_s.append(max(0.0, now - item.received_at))
     return records, ages_s
 
 
@@ -55,7 +55,7 @@
         except msgspec.DecodeError:
             broken += 1
             continue
-        table.take(record, now - max(0.0, age_s), first_hand=False)
+        table.merge(record, now - max(0.0, age_s), direct=False)
     return broken
 
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peers.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peers.py
@@ -178,7 +178,7 @@
         self, daemon: str, channel: grpc.aio.Channel, sent: SentToPeer, with_digest: bool
     ) -> bool:
         began = boot_now()
-        delta = sent.delta(self._table.heard(), began)
+        delta = sent.delta(self._table.records(), began)
         records, ages_s = pack(delta.whole, began)
         request = entry_peer_pb2.ExchangeRequest(
             daemon=self._daemon,
@@ -186,7 +186,7 @@
             ages_s=ages_s,
             refreshes=delta.refreshes,
             digest=self._table.digest() if with_digest else 0,
-            unheard=self._table.unheard(began) if with_digest else (),
+            unheard=self._table.stale_endpoints(began) if with_digest else (),
             demand_by_client_account=self.demand_by_client_account,
             wanted_by_service=self.wanted_by_service,
         )
@@ -235,15 +235,15 @@
             now, dict(request.demand_by_client_account), dict(request.wanted_by_service)
         )
         sent = self._sent_in_replies_by_daemon.setdefault(request.daemon, SentToPeer())
-        delta = sent.delta(self._table.heard(), now)
+        delta = sent.delta(self._table.records(), now)
         # Whether the reply arrives is unknown here. If it is lost, the digests of a later exchange
         # differ, and the records are sent again.
         sent.acknowledged(delta, now)
-        known = [*delta.whole, *self._table.heard_lately(request.unheard, now)]
+        known = [*delta.whole, *self._table.recent_records(request.unheard, now)]
         differs = request.digest not in (0, self._table.digest())
         if differs:
             self._counters.add("peer_digest_repaired")
-            known = self._table.heard()
+            known = self._table.records()
         records, ages_s = pack(known, now)
         return entry_peer_pb2.ExchangeReply(
             endpoints=records,
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
@@ -69,7 +69,7 @@
         :param record: the validated announcement.
         :return: an empty text if the record was accepted, else the reason of its rejection.
         """
-        rejection = self.table.take(record, boot_now())
+        rejection = self.table.merge(record, boot_now())
         if rejection:
             self._counters.add("announcement_refused")
         return rejection
@@ -99,7 +99,7 @@
             are all records of the table.
         """
         if self._all_pending:
-            return tuple(received.record for received in self.table.heard()), True
+            return tuple(received.record for received in self.table.records()), True
         records = []
         for endpoint in sorted(self.table.changed | self._draining()):
             record = self.table.record_of(endpoint)
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
@@ -276,7 +276,7 @@
                 response.close()
                 return FailedAttempt(Reason.MISMATCHED_ANSWER, True)
             body = await response.read()
-            self._connections.released(record.address, response_headers)
+            self._connections.record_idle(record.address, response_headers)
             if response_kind in (ResponseKind.REJECTED, ResponseKind.OTHER_ENDPOINT):
                 return FailedAttempt(Reason.ENDPOINT_REFUSED, False)
             return EndpointResponse(response.status, response_headers, body)
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/item_run.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/item_run.py
@@ -124,7 +124,9 @@
         # taken for a later response, and the engine must not go on with a run that is not read.
         if progress.complete:
             response.release()
-            progress.keep_alive_s = connections.released(assignment.address, headers_of(response))
+            progress.keep_alive_s = connections.record_idle(
+                assignment.address, headers_of(response)
+            )
         else:
             response.close()
 
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
@@ -52,7 +52,7 @@
     async def start(self, kernel: Kernel) -> None:
         """Add the counts to the renewals and start the task that reports increased counts."""
         self._view = kernel.find("directory_view")
-        self._view.send_usage(self.open_counts)
+        self._view.set_usage_source(self.open_counts)
         self._report_task = asyncio.create_task(self._report_increases(), name="usage_counts")
 
     async def stop(self) -> None:
@@ -64,7 +64,7 @@
         while True:
             await self._counts_increased.wait()
             self._counts_increased.clear()
-            answer = await self._view.tell_usage()
+            answer = await self._view.send_usage_now()
             accepted = isinstance(answer, UsageCounted)
             await asyncio.sleep(answer.pause_s if accepted else DEFAULT_PAUSE_S)
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from ibisspring_core.kept_connections import KeptConnections
+from ibisspring_core.kept_connections import IdleConnections
 from ibisspring_decisions.dispatch import EngineCapacity
 from ibisspring_jobs.paces import EnginePaces
 
@@ -38,8 +38,8 @@
     def __init__(self, context: DispatchContext) -> None:
         self.paces = EnginePaces()
         self._context = context
-        self._idle_by_runner = KeptConnections()
-        self._idle = KeptConnections()
+        self._idle_by_runner = IdleConnections()
+        self._idle = IdleConnections()
         self._groups_by_engine: dict[str, set[tuple[str, str]]] = {}
         self._paused_until_by_engine: dict[tuple[str, str], float] = {}
 
@@ -118,7 +118,7 @@
                     running=len(engine_runs),
                     slowness=self.paces.slowness(engine),
                     groups_with_prompt=self._groups_by_engine.get(engine, set()),
-                    idle_connections=self._idle.idle((engine,), now),
+                    idle_connections=self._idle.count_idle((engine,), now),
                 )
             )
         return capacities
@@ -129,7 +129,7 @@
 
         :param runner: address of the runner.
         """
-        return self._idle_by_runner.idle((runner, engine), now) > 0
+        return self._idle_by_runner.count_idle((runner, engine), now) > 0
 
     def run_started(self, runner: str, engine: str, group: tuple[str, str], now: float) -> None:
         """
@@ -138,15 +138,15 @@
         :param runner: address of the runner.
         :param group: job id and group of the item.
         """
-        self._idle_by_runner.taken((runner, engine), now)
-        self._idle.taken((engine,), now)
+        self._idle_by_runner.use((runner, engine), now)
+        self._idle.use((engine,), now)
         self._groups_by_engine.setdefault(engine, set()).add(group)
 
     def connection_released(self, run: Run, outcome: Outcome, now: float) -> None:
         """Record that a run ended and that its connection is idle, if the engine keeps it open."""
         if outcome.kept_s:
-            self._idle_by_runner.released((run.runner, run.endpoint), now, outcome.kept_s)
-            self._idle.released((run.endpoint,), now, outcome.kept_s)
+            self._idle_by_runner.add((run.runner, run.endpoint), now, outcome.kept_s)
+            self._idle.add((run.endpoint,), now, outcome.kept_s)
 
 
 def _slot_count(record: EndpointRecord, terms: ServiceTerms | None) -> int:
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
@@ -50,7 +50,7 @@
         self._consensus = kernel.find("consensus")
         self._jobs = kernel.find("jobs")
         self._view = kernel.find("directory_view")
-        self._view.describe(self._describe)
+        self._view.add_renew_fields(self._describe)
         self._view.subscribe(self._bootstrap)
         self._ticks = kernel.find("timer").subscribe("job_membership", TICK_S, self._tick)
 
--- a/tests/unit/core/test_endpoint_table.py
+++ b/tests/unit/core/test_endpoint_table.py
@@ -35,12 +35,12 @@
     # SERVING again.
     table = EndpointTable(TTL_S)
     leaving = after(FIRST, state="leaving")
-    table.take(leaving, 10.0)
+    table.merge(leaving, 10.0)
 
-    assert table.take(FIRST, 10.1) != ""
-    assert table.take(after(leaving, state="serving"), 10.2) != ""
+    assert table.merge(FIRST, 10.1) != ""
+    assert table.merge(after(leaving, state="serving"), 10.2) != ""
     assert not serves(table, 10.2)
-    assert table.take(dataclasses.replace(FIRST, incarnation=2), 10.3) == ""
+    assert table.merge(dataclasses.replace(FIRST, incarnation=2), 10.3) == ""
     assert serves(table, 10.3)
 
 
@@ -48,12 +48,12 @@
     # An engine dies. If two entries renewed each other's record of it, requests would be sent to a
     # dead machine until the entries are restarted.
     tables = [EndpointTable(TTL_S), EndpointTable(TTL_S)]
-    tables[0].take(FIRST, 0.0)
+    tables[0].merge(FIRST, 0.0)
 
     for step in range(1, 40):
         now = step * 0.25
         for sender, receiver in (tables, tables[::-1]):
-            take_all(receiver, *pack(sender.heard(), now), now)
+            take_all(receiver, *pack(sender.records(), now), now)
             receiver.expire(now)
 
     assert not any(serves(table, 10.0) for table in tables)
@@ -69,8 +69,8 @@
     for step in range(20):
         now = step * 1.0
         record = after(record, load=EndpointLoad(running=step))
-        sender.take(record, now)
-        delta = sent.delta(sender.heard(), now)
+        sender.merge(record, now)
+        delta = sent.delta(sender.records(), now)
         assert len(delta.whole) == (1 if step == 0 else 0)
         sent.acknowledged(delta, now)
         take_all(known, *pack(delta.whole, now), now)
@@ -83,15 +83,15 @@
     assert known.serving("scorer-lm", 19.0)[0].load.running == 19
     assert not serves(restarted, 19.0)
     assert restarted.digest() not in (0, known.digest())
-    assert sent.delta(sender.heard(), 20.0).whole == ()
+    assert sent.delta(sender.records(), 20.0).whole == ()
     sent.lost()
-    sender.take(after(record), 20.0)
-    assert len(sent.delta(sender.heard(), 20.0).whole) == 1
+    sender.merge(after(record), 20.0)
+    assert len(sent.delta(sender.records(), 20.0).whole) == 1
 
 
 def test_refresh_does_not_bring_a_leaving_endpoint_back() -> None:
     table = EndpointTable(TTL_S)
-    table.take(after(FIRST, state="leaving"), 0.0)
+    table.merge(after(FIRST, state="leaving"), 0.0)
 
     table.refresh(("scorer-1", 1), 9, EndpointLoad(), 1.0)
 
@@ -102,7 +102,7 @@
     # An endpoint restarted with other weights. Its refresh must not renew the record of the earlier
     # incarnation.
     table = EndpointTable(TTL_S)
-    table.take(FIRST, 0.0)
+    table.merge(FIRST, 0.0)
 
     table.refresh(("scorer-1", 2), 9, EndpointLoad(running=7), 1.0)
 
@@ -111,27 +111,27 @@
 
 def test_gone_endpoint_that_was_only_cut_off_comes_back() -> None:
     table = EndpointTable(TTL_S)
-    table.take(FIRST, 0.0)
+    table.merge(FIRST, 0.0)
 
     assert table.expire(TTL_S + 1) == ("scorer-1",)
-    table.take(after(FIRST), TTL_S + 2)
+    table.merge(after(FIRST), TTL_S + 2)
 
     assert serves(table, TTL_S + 2)
 
 
 def test_load_alone_is_not_told_to_the_leader_unless_it_leaves() -> None:
     table = EndpointTable(TTL_S)
-    table.take(FIRST, 0.0)
+    table.merge(FIRST, 0.0)
     table.changed.clear()
 
     busy = after(FIRST, load=EndpointLoad(running=3))
-    table.take(busy, 0.5)
+    table.merge(busy, 0.5)
     assert not table.changed
 
     leaving = after(busy, state="leaving")
-    table.take(leaving, 1.0)
+    table.merge(leaving, 1.0)
     table.changed.clear()
-    table.take(after(leaving, load=EndpointLoad(running=0)), 1.5)
+    table.merge(after(leaving, load=EndpointLoad(running=0)), 1.5)
     assert table.changed == {"scorer-1"}
 
 
@@ -140,8 +140,8 @@
     tables = [EndpointTable(TTL_S), EndpointTable(TTL_S)]
     for table, records in zip(tables, [(FIRST, second), (second, after(FIRST))], strict=True):
         for record in records:
-            table.take(record, 0.0)
+            table.merge(record, 0.0)
 
     assert tables[0].digest() == tables[1].digest()
-    tables[1].take(after(after(FIRST), state="leaving"), 0.1)
+    tables[1].merge(after(after(FIRST), state="leaving"), 0.1)
     assert tables[0].digest() != tables[1].digest()
--- a/tests/unit/core/test_logs.py
+++ b/tests/unit/core/test_logs.py
@@ -5,7 +5,7 @@
 import threading
 
 from ibisspring_core.log_budget import ROUTINE_PER_S
-from ibisspring_core.logs import LEFT_OUT, LineWriter
+from ibisspring_core.logs import DROPPED_LINES_KIND, LineWriter
 
 PIPE_BYTES = 1 << 20
 
@@ -61,7 +61,7 @@
     os.close(reading)
 
     dropped = sum(
-        line["count"]["runner:ended"] for line in read if line["message_type"] == LEFT_OUT
+        line["count"]["runner:ended"] for line in read if line["message_type"] == DROPPED_LINES_KIND
     )
     written = sum(line["message_type"] == "runner:ended" for line in read)
     assert 0 < written < sent
--- a/tests/unit/directory/test_duties.py
+++ b/tests/unit/directory/test_duties.py
@@ -126,7 +126,7 @@
     leader.now = 200.0
     lease_left = []
 
-    async def send(request, lease_left_s, least_left_s, timeout_s):
+    async def send(request, lease_left_s, min_lease_left_s, timeout_s):
         lease_left.append(lease_left_s())
         leader.consensus.term = 9
         lease_left.append(lease_left_s())
--- a/tests/unit/directory/test_service.py
+++ b/tests/unit/directory/test_service.py
@@ -260,7 +260,7 @@
 
     await directory.endpoints.announce(Announce(dataclasses.replace(ENGINE, sequence=9)))
 
-    assert directory.endpoints.table.heard() == ()
+    assert directory.endpoints.table.records() == ()
 
 
 async def test_a_new_leader_knows_the_endpoints_that_joined(directory) -> None:
