--- a/packages/ibisspring-entry/src/ibisspring_entry/admission/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/admission/service.py
@@ -50,7 +50,7 @@
     async def stop(self) -> None:
         """No-op: the timer service stops the scheduled callback."""
 
-    def ask(self, client_account: str) -> Refusal | None:
+    def admit(self, client_account: str) -> Refusal | None:
         """
         Admit or reject one request.
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/claims/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/claims/service.py
@@ -12,7 +12,7 @@
 
 from ibisspring_core.errors import Reason, Refusal
 from ibisspring_core.messages.commands import ClaimKey, ClaimState, Refused, SettleClaim
-from ibisspring_entry.proxy.messages import PlainAnswer, PlainRequest
+from ibisspring_entry.proxy.messages import CompleteAnswer, PlainRequest
 
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
@@ -35,7 +35,7 @@
 """Seconds between two attempts to settle a claim."""
 
 ResultT = TypeVar("ResultT")
-SendCall = Callable[[], Awaitable[PlainAnswer | Refusal]]
+SendCall = Callable[[], Awaitable[CompleteAnswer | Refusal]]
 
 
 @dataclass(frozen=True)
@@ -109,7 +109,7 @@
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=self._drain_s)
 
-    async def call(self, request: PlainRequest, key: str) -> PlainAnswer | Refusal:
+    async def call(self, request: PlainRequest, key: str) -> CompleteAnswer | Refusal:
         """
         Call a plain service under the caller's key.
 
@@ -122,7 +122,7 @@
         keyed = KeyedCall.from_parts(request.client_account, key, request.request_id, parts)
         return await self.run_once(keyed, lambda: self._endpoints.call(request))
 
-    async def run_once(self, call: KeyedCall, send: SendCall) -> PlainAnswer | Refusal:
+    async def run_once(self, call: KeyedCall, send: SendCall) -> CompleteAnswer | Refusal:
         """
         Claim the key, send the call and settle the claim.
 
@@ -137,7 +137,7 @@
         # claim would stay "running" although it is unknown whether the call ran.
         return await asyncio.shield(self._track(self._claim_and_run(call, send)))
 
-    async def _claim_and_run(self, call: KeyedCall, send: SendCall) -> PlainAnswer | Refusal:
+    async def _claim_and_run(self, call: KeyedCall, send: SendCall) -> CompleteAnswer | Refusal:
         claim = ClaimKey(
             client_account=call.client_account,
             key=call.key,
@@ -164,7 +164,7 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def _run_claimed(self, claim: ClaimKey, send: SendCall) -> PlainAnswer | Refusal:
+    async def _run_claimed(self, claim: ClaimKey, send: SendCall) -> CompleteAnswer | Refusal:
         answer = await send()
         settling = self._track(self._settle(settlement_of(claim, answer)))
         # While the control group has no leader the claim cannot be settled. The caller gets its
@@ -183,7 +183,7 @@
         self._counters.add("claim_not_settled")
 
 
-def settlement_of(claim: ClaimKey, answer: PlainAnswer | Refusal) -> SettleClaim:
+def settlement_of(claim: ClaimKey, answer: CompleteAnswer | Refusal) -> SettleClaim:
     """
     Build the command that settles a claim.
 
@@ -214,7 +214,7 @@
     return Refusal(result.reason, True, retry_after_s, result.detail)
 
 
-def answer_of_earlier_call(call: KeyedCall, state: ClaimState) -> PlainAnswer | Refusal:
+def answer_of_earlier_call(call: KeyedCall, state: ClaimState) -> CompleteAnswer | Refusal:
     """
     Answer a call whose key was already claimed by an earlier call.
 
@@ -230,7 +230,7 @@
         return Refusal(Reason.CONFLICT, True, None, detail)
     if state.state == "done" and state.stored:
         headers = (("content-type", state.content_type),) if state.content_type else ()
-        return PlainAnswer(call.request_id, state.status, state.answer, headers, replayed=True)
+        return CompleteAnswer(call.request_id, state.status, state.answer, headers, replayed=True)
     if state.state == "done":
         detail = f"the first call ran (status {state.status}); its answer was too large to store"
         return Refusal(Reason.CONFLICT, False, None, detail)
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/access.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/access.py
@@ -25,7 +25,10 @@
         return rules
     if rules.allows(client_account, service):
         return rules
-    known = kernel.find("registry").records_of(service) or service in rules.placement_by_service
+    known = (
+        kernel.find("registry").available_endpoints(service)
+        or service in rules.placement_by_service
+    )
     if not known:
         detail = f"no endpoint and no rule is for {service!r}"
         return Refusal(Reason.UNKNOWN_SERVICE, True, None, detail)
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/announce.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/announce.py
@@ -38,7 +38,7 @@
         if isinstance(record, Refusal):
             refuse(response, record, request.context.request_id, self._counters)
             return
-        reason = self._registry.announce(record)
+        reason = self._registry.register_announcement(record)
         response.content_type = falcon.MEDIA_JSON
         response.data = msgspec.json.encode({"accepted": not reason, "reason": reason})
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/callers.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/callers.py
@@ -67,7 +67,7 @@
     caller = identify(kernel, request)
     if isinstance(caller, Refusal):
         return caller
-    refusal = kernel.find("admission").ask(caller.client_account)
+    refusal = kernel.find("admission").admit(caller.client_account)
     if refusal is not None:
         return refusal
     open_request = kernel.find("http").open_work.register(caller.key, caller.client_account)
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/generate.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/generate.py
@@ -19,7 +19,12 @@
 from ibisspring_entry.http.keyed_generation import KeyedGeneration
 from ibisspring_entry.http.refusals import refuse
 from ibisspring_entry.http.usage import bill
-from ibisspring_entry.proxy.messages import End, Failed, GenerateRequest, TokenRun
+from ibisspring_entry.proxy.messages import (
+    GenerateRequest,
+    GenerationEnd,
+    GenerationFailed,
+    TokenRun,
+)
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator
@@ -84,7 +89,7 @@
             adapter=body.adapter,
             deadline_s=min(body.deadline_s, self._settings.request_timeout_s),
             correlation_id=request.context.correlation_id,
-            may_start=lambda: is_key_valid(self._kernel, caller),
+            is_still_allowed=lambda: is_key_valid(self._kernel, caller),
         )
         return body, endpoint_request
 
@@ -121,19 +126,19 @@
                 raise
             self._counters.refused(refusal.reason)
             request_id = request.context.request_id
-            yield encode_line(request_id, Failed(request_id, refusal))
+            yield encode_line(request_id, GenerationFailed(request_id, refusal))
 
     async def _serve_stream(
         self,
         request: falcon.asgi.Request,
         response: falcon.asgi.Response,
         endpoint_request: GenerateRequest,
-        pieces: AsyncGenerator[TokenRun | End | Failed, None],
+        pieces: AsyncGenerator[TokenRun | GenerationEnd | GenerationFailed, None],
     ) -> None:
         # The first piece determines the HTTP status: a refusal before any token is sent with the
         # status and body of its reason.
         first = await anext(pieces)
-        if isinstance(first, Failed):
+        if isinstance(first, GenerationFailed):
             refuse(response, first.refusal, endpoint_request.request_id, self._counters)
             return
         response.content_type = NDJSON
@@ -143,21 +148,21 @@
     async def _stream_lines(
         self,
         endpoint_request: GenerateRequest,
-        first: TokenRun | End,
-        pieces: AsyncGenerator[TokenRun | End | Failed, None],
+        first: TokenRun | GenerationEnd,
+        pieces: AsyncGenerator[TokenRun | GenerationEnd | GenerationFailed, None],
     ) -> AsyncGenerator[bytes, None]:
         total = 0
         endpoint_s: float | None = None
         started_at = boot_now()
-        piece: TokenRun | End | Failed | None = first
+        piece: TokenRun | GenerationEnd | GenerationFailed | None = first
         try:
             async with aclosing(pieces):
                 while piece is not None:
                     if isinstance(piece, TokenRun):
                         total += len(piece.tokens)
-                    if isinstance(piece, End):
+                    if isinstance(piece, GenerationEnd):
                         endpoint_s = piece.endpoint_s
-                    if isinstance(piece, Failed):
+                    if isinstance(piece, GenerationFailed):
                         self._counters.refused(piece.refusal.reason)
                     yield encode_line(endpoint_request.request_id, piece)
                     piece = await anext(pieces, None)
@@ -174,7 +179,7 @@
         self,
         response: falcon.asgi.Response,
         endpoint_request: GenerateRequest,
-        pieces: AsyncGenerator[TokenRun | End | Failed, None],
+        pieces: AsyncGenerator[TokenRun | GenerationEnd | GenerationFailed, None],
     ) -> None:
         runs: list[TokenRun] = []
         endpoint_s = 0.0
@@ -182,7 +187,7 @@
             async for piece in pieces:
                 if isinstance(piece, TokenRun):
                     runs.append(piece)
-                elif isinstance(piece, End):
+                elif isinstance(piece, GenerationEnd):
                     endpoint_s = piece.endpoint_s
                 else:
                     refuse(response, piece.refusal, endpoint_request.request_id, self._counters)
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/generate_wire.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/generate_wire.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ibisspring_entry.http.refusals import error_body
-from ibisspring_entry.proxy.messages import End, Failed, TokenRun
+from ibisspring_entry.proxy.messages import GenerationEnd, GenerationFailed, TokenRun
 
 NDJSON = "application/x-ndjson"
 
@@ -24,7 +24,7 @@
     deadline_s: float = 60.0
 
 
-def encode_line(request_id: str, piece: TokenRun | End | Failed) -> bytes:
+def encode_line(request_id: str, piece: TokenRun | GenerationEnd | GenerationFailed) -> bytes:
     """
     Encode one piece of a streamed response.
 
@@ -40,7 +40,7 @@
             "text": piece.text,
             "version": piece.version,
         }
-    elif isinstance(piece, End):
+    elif isinstance(piece, GenerationEnd):
         line = {"request_id": request_id, "done": True, "total": piece.total}
     else:
         line = {"request_id": request_id, **error_body(piece.refusal, request_id)}
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/keyed_generation.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/keyed_generation.py
@@ -11,7 +11,7 @@
 from ibisspring_entry.claims import KeyedCall
 from ibisspring_entry.http.generate_wire import NDJSON, complete_answer, encode_line
 from ibisspring_entry.http.usage import bill
-from ibisspring_entry.proxy.messages import Failed, PlainAnswer, TokenRun
+from ibisspring_entry.proxy.messages import CompleteAnswer, GenerationFailed, TokenRun
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator
@@ -40,7 +40,7 @@
         self._endpoint_request = endpoint_request
         self._line_queue: asyncio.Queue[bytes | None] = asyncio.Queue()
 
-    async def start(self, key: str) -> PlainAnswer | Refusal | None:
+    async def start(self, key: str) -> CompleteAnswer | Refusal | None:
         """
         Claim the key and start the generation.
 
@@ -80,7 +80,7 @@
             yield line
             line = await self._line_queue.get()
 
-    async def _run(self) -> PlainAnswer | Refusal:
+    async def _run(self) -> CompleteAnswer | Refusal:
         # The run continues without its caller, but is cancelled if the key is withdrawn.
         open_request = self._kernel.find("http").open_work.register(
             self._caller.key, self._caller.client_account
@@ -97,10 +97,10 @@
             self._line_queue.put_nowait(None)
             return refusal
 
-    def _failure(self, refusal: Refusal) -> Failed:
-        return Failed(self._endpoint_request.request_id, refusal)
+    def _failure(self, refusal: Refusal) -> GenerationFailed:
+        return GenerationFailed(self._endpoint_request.request_id, refusal)
 
-    async def _generate(self) -> PlainAnswer | Refusal:
+    async def _generate(self) -> CompleteAnswer | Refusal:
         endpoint_s = 0.0
         request_id = self._endpoint_request.request_id
         runs: list[TokenRun] = []
@@ -108,11 +108,11 @@
         pieces = self._kernel.find("endpoints").generate(self._endpoint_request)
         async with aclosing(pieces):
             async for piece in pieces:
-                if isinstance(piece, Failed) and not runs:
+                if isinstance(piece, GenerationFailed) and not runs:
                     return piece.refusal
                 line = encode_line(request_id, piece)
                 self._line_queue.put_nowait(line)
-                if isinstance(piece, Failed):
+                if isinstance(piece, GenerationFailed):
                     self._line_queue.put_nowait(None)
                     return piece.refusal
                 stored_lines.append(line)
@@ -135,8 +135,8 @@
             return self._plain_answer(b"".join(stored_lines), NDJSON)
         return self._plain_answer(complete_answer(request_id, runs), falcon.MEDIA_JSON)
 
-    def _plain_answer(self, body: bytes, content_type: str) -> PlainAnswer:
-        return PlainAnswer(
+    def _plain_answer(self, body: bytes, content_type: str) -> CompleteAnswer:
+        return CompleteAnswer(
             self._endpoint_request.request_id, 200, body, (("content-type", content_type),)
         )
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/services.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/services.py
@@ -14,7 +14,7 @@
 from ibisspring_entry.http.ending import serve_cancellable
 from ibisspring_entry.http.refusals import refuse
 from ibisspring_entry.http.usage import bill
-from ibisspring_entry.proxy.messages import PlainAnswer, PlainRequest
+from ibisspring_entry.proxy.messages import CompleteAnswer, PlainRequest
 from ibisspring_entry.proxy.plain_wire import request_headers
 
 if TYPE_CHECKING:
@@ -110,10 +110,12 @@
             idempotent=rules.is_idempotent(service, request.method, path),
             deadline_s=min(timeout_s, self._settings.request_timeout_s),
             correlation_id=request.context.correlation_id,
-            may_start=lambda: is_key_valid(self._kernel, caller),
+            is_still_allowed=lambda: is_key_valid(self._kernel, caller),
         )
 
-    async def _send(self, endpoint_request: PlainRequest, key: str | None) -> PlainAnswer | Refusal:
+    async def _send(
+        self, endpoint_request: PlainRequest, key: str | None
+    ) -> CompleteAnswer | Refusal:
         if key is None:
             return await self._kernel.find("endpoints").call(endpoint_request)
         return await self._kernel.find("claims").call(endpoint_request, key)
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/__init__.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 from ibisspring_entry.proxy.messages import (
-    End,
-    Failed,
+    CompleteAnswer,
     GenerateRequest,
-    PlainAnswer,
+    GenerationEnd,
+    GenerationFailed,
     PlainRequest,
     TokenRun,
 )
 from ibisspring_entry.proxy.service import Endpoints
 
 __all__ = [
-    "End",
+    "GenerationEnd",
     "Endpoints",
-    "Failed",
+    "GenerationFailed",
     "GenerateRequest",
-    "PlainAnswer",
+    "CompleteAnswer",
     "PlainRequest",
     "TokenRun",
 ]
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
@@ -39,7 +39,7 @@
         self,
         service: str,
         prompt: str,
-        avoid: Collection[str] = (),
+        excluded_endpoints: Collection[str] = (),
         failed_on: Collection[EndpointStart] = (),
         unreachable: Collection[EndpointStart] = (),
         repeatable: bool = True,
@@ -50,7 +50,7 @@
         :param service: the model or plain service.
         :param prompt: the prompt, used to prefer endpoints that have its prefix cached; empty for
             plain calls.
-        :param avoid: ids of endpoints that must not be used.
+        :param excluded_endpoints: ids of endpoints that must not be used.
         :param failed_on: endpoint starts that failed this request; used only if no other endpoint
             is available.
         :param unreachable: endpoint starts to which a connection attempt failed; never used.
@@ -60,9 +60,9 @@
         """
         record_by_endpoint = {}
         not_failed = []
-        for record in self._registry.records_of(service):
+        for record in self._registry.available_endpoints(service):
             start = (record.endpoint, record.incarnation)
-            if record.endpoint in avoid or start in unreachable:
+            if record.endpoint in excluded_endpoints or start in unreachable:
                 continue
             record_by_endpoint[record.endpoint] = record
             if start not in failed_on:
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/generation.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/generation.py
@@ -10,7 +10,12 @@
 from ibisspring_core.clock import boot_now
 from ibisspring_core.errors import Reason, Refusal
 from ibisspring_entry.proxy.engine_try import EngineTry, TryOutcome
-from ibisspring_entry.proxy.messages import End, Failed, GenerateRequest, TokenRun
+from ibisspring_entry.proxy.messages import (
+    GenerateRequest,
+    GenerationEnd,
+    GenerationFailed,
+    TokenRun,
+)
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -56,12 +61,12 @@
         self._not_run = True
         self._deadline = deadline
 
-    async def stream(self) -> AsyncIterator[TokenRun | End | Failed]:
+    async def stream(self) -> AsyncIterator[TokenRun | GenerationEnd | GenerationFailed]:
         """
         Run the generation and stream its tokens.
 
-        :return: runs of tokens in order, then exactly one `End` if the answer is complete, else one
-            `Failed`.
+        :return: runs of tokens in order, then exactly one `GenerationEnd` if the answer is
+            complete, else one `GenerationFailed`.
         """
         record: EndpointRecord | None = None
         while True:
@@ -69,8 +74,8 @@
             if record is None:
                 yield self._failed(Reason.NO_ENDPOINT)
                 return
-            if self._request.note_endpoint is not None:
-                self._request.note_endpoint(record.endpoint)
+            if self._request.on_endpoint_chosen is not None:
+                self._request.on_endpoint_chosen(record.endpoint)
             self._tries += 1
             tokens_before = len(self._received)
             began = boot_now()
@@ -86,7 +91,7 @@
             if outcome.reason is None:
                 new_tokens = max(1, len(self._received) - tokens_before)
                 self._endpoints.record_answer(record.endpoint, (boot_now() - began) / new_tokens)
-                yield End(
+                yield GenerationEnd(
                     self._request.request_id, len(self._received), record.endpoint, self._tries
                 )
                 return
@@ -102,7 +107,7 @@
             record = self._endpoints.pick(
                 self._request.model,
                 self._request.prompt,
-                self._request.avoid,
+                self._request.excluded_endpoints,
                 self._failed_on,
                 self._unreachable,
             )
@@ -159,7 +164,7 @@
         charged = outcome.reason is not Reason.ENDPOINT_FAILED and not outcome.same_engine
         return self._endpoints.may_retry(outcome.reason, charged)
 
-    def _failed(self, reason: Reason) -> Failed:
+    def _failed(self, reason: Reason) -> GenerationFailed:
         retry_after_s = None if reason is Reason.TIMEOUT else RETRY_AFTER_S
         refusal = Refusal(
             reason,
@@ -167,7 +172,7 @@
             retry_after_s=retry_after_s,
             detail=f"{self._request.model}: no complete answer after {self._tries} tries",
         )
-        return Failed(self._request.request_id, refusal, len(self._received))
+        return GenerationFailed(self._request.request_id, refusal, len(self._received))
 
 
 __all__ = ["Generation"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/messages.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/messages.py
@@ -25,11 +25,12 @@
     :param priority: the engine schedules higher priorities first.
     :param deadline_s: seconds from the call within which the complete answer is needed.
     :param correlation_id: written to logs and sent to the engine.
-    :param avoid: ids of endpoints that must not be used, such as the one that runs a straggler.
-    :param note_endpoint: called with each engine's id before the engine is tried, so also for an
-        engine that never returns a token.
-    :param may_start: called when the request has got a slot; False rejects it, because its key may
-        have been withdrawn while it waited.
+    :param excluded_endpoints: ids of endpoints that must not be used, such as the one that runs a
+        straggler.
+    :param on_endpoint_chosen: called with each engine's id before the engine is tried, so also for
+        an engine that never returns a token.
+    :param is_still_allowed: called when the request has got a slot; False rejects it, because its
+        key may have been withdrawn while it waited.
     """
 
     request_id: str
@@ -41,9 +42,9 @@
     priority: int = 0
     deadline_s: float = 60.0
     correlation_id: str = ""
-    avoid: tuple[str, ...] = ()
-    note_endpoint: Callable[[str], None] | None = None
-    may_start: Callable[[], bool] | None = None
+    excluded_endpoints: tuple[str, ...] = ()
+    on_endpoint_chosen: Callable[[str], None] | None = None
+    is_still_allowed: Callable[[], bool] | None = None
 
 
 @dataclass(frozen=True)
@@ -68,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class End:
+class GenerationEnd:
     """
     The end mark of a complete answer.
 
@@ -87,7 +88,7 @@
 
 
 @dataclass(frozen=True)
-class Failed:
+class GenerationFailed:
     """
     The end of a generation that failed; its answer stays incomplete.
 
@@ -109,8 +110,8 @@
     :param headers: the caller's headers that are forwarded; never its API key.
     :param idempotent: whether the call may be sent again although an earlier try may have run.
     :param deadline_s: seconds from the call within which the complete answer is needed.
-    :param may_start: called when the request has got a slot; False rejects it, because its key may
-        have been withdrawn while it waited.
+    :param is_still_allowed: called when the request has got a slot; False rejects it, because its
+        key may have been withdrawn while it waited.
     """
 
     request_id: str
@@ -123,11 +124,11 @@
     idempotent: bool = False
     deadline_s: float = 60.0
     correlation_id: str = ""
-    may_start: Callable[[], bool] | None = None
+    is_still_allowed: Callable[[], bool] | None = None
 
 
 @dataclass(frozen=True)
-class PlainAnswer:
+class CompleteAnswer:
     """
     A complete answer of a plain service, or of a generation under an Idempotency-Key.
 
@@ -146,4 +147,11 @@
     endpoint_s: float = 0.0
 
 
-__all__ = ["End", "Failed", "GenerateRequest", "PlainAnswer", "PlainRequest", "TokenRun"]
+__all__ = [
+    "GenerationEnd",
+    "GenerationFailed",
+    "GenerateRequest",
+    "CompleteAnswer",
+    "PlainRequest",
+    "TokenRun",
+]
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_call.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_call.py
@@ -7,7 +7,7 @@
 
 from ibisspring_core.clock import boot_now
 from ibisspring_core.errors import Reason, Refusal
-from ibisspring_entry.proxy.messages import PlainAnswer, PlainRequest
+from ibisspring_entry.proxy.messages import CompleteAnswer, PlainRequest
 from ibisspring_entry.proxy.plain_try import send_try
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
         detail = f"no endpoint of {request.service} accepts requests"
         self._last_refusal = Refusal(Reason.NO_ENDPOINT, True, RETRY_AFTER_S, detail)
 
-    async def answer(self) -> PlainAnswer | Refusal:
+    async def answer(self) -> CompleteAnswer | Refusal:
         """
         Send the call until it is answered or must not be sent again.
 
@@ -42,7 +42,7 @@
             return await self._call_hedged()
         return await self._call_at_most_once()
 
-    async def _call_at_most_once(self) -> PlainAnswer | Refusal:
+    async def _call_at_most_once(self) -> CompleteAnswer | Refusal:
         """
         Send a call that must run at most once.
 
@@ -52,12 +52,12 @@
         """
         while True:
             answer = await self._try()
-            if isinstance(answer, PlainAnswer):
+            if isinstance(answer, CompleteAnswer):
                 return answer
             if not answer.not_run or not self._may_try_again(answer):
                 return self._final_refusal()
 
-    async def _call_hedged(self) -> PlainAnswer | Refusal:
+    async def _call_hedged(self) -> CompleteAnswer | Refusal:
         """
         Send a call that may be repeated, with hedged tries.
 
@@ -65,7 +65,7 @@
         slow, which cannot be told apart. The first try therefore continues while a second one is
         sent to another endpoint over a new connection; the first complete answer is returned.
         """
-        running: set[asyncio.Task[PlainAnswer | Refusal]] = set()
+        running: set[asyncio.Task[CompleteAnswer | Refusal]] = set()
         try:
             while True:
                 running.add(asyncio.create_task(self._try()))
@@ -85,8 +85,8 @@
                 task.cancel()
 
     async def _first_answer(
-        self, running: set[asyncio.Task[PlainAnswer | Refusal]], wait_s: float | None = None
-    ) -> PlainAnswer | None:
+        self, running: set[asyncio.Task[CompleteAnswer | Refusal]], wait_s: float | None = None
+    ) -> CompleteAnswer | None:
         """
         Wait for the first complete answer and remove failed tries from `running`.
 
@@ -101,11 +101,11 @@
             )
             for task in done:
                 running.discard(task)
-                if isinstance(task.result(), PlainAnswer):
+                if isinstance(task.result(), CompleteAnswer):
                     return task.result()
         return None
 
-    async def _try(self) -> PlainAnswer | Refusal:
+    async def _try(self) -> CompleteAnswer | Refusal:
         record = self._endpoints.pick(
             self._request.service,
             "",
@@ -123,7 +123,7 @@
             answer = await send_try(
                 self._endpoints.session, record, self._request, try_id, self._deadline
             )
-        if isinstance(answer, PlainAnswer):
+        if isinstance(answer, CompleteAnswer):
             self._endpoints.record_answer(record.endpoint, boot_now() - began)
         if isinstance(answer, Refusal):
             self._not_run = self._not_run and answer.not_run
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_try.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_try.py
@@ -11,7 +11,7 @@
 from ibisspring_core.clock import boot_now
 from ibisspring_core.errors import Reason, Refusal
 from ibisspring_entry.proxy.connections import CONNECT_FAILURES, request_timeout
-from ibisspring_entry.proxy.messages import PlainAnswer, PlainRequest
+from ibisspring_entry.proxy.messages import CompleteAnswer, PlainRequest
 from ibisspring_entry.proxy.plain_wire import answer_headers
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
     request: PlainRequest,
     try_id: str,
     deadline: float,
-) -> PlainAnswer | Refusal:
+) -> CompleteAnswer | Refusal:
     """
     Send a call once.
 
@@ -86,7 +86,7 @@
 
 async def _read_answer(
     record: EndpointRecord, request: PlainRequest, try_id: str, response: aiohttp.ClientResponse
-) -> PlainAnswer | Refusal:
+) -> CompleteAnswer | Refusal:
     # The echoed id is checked before anything else in the answer is used, including a refusal: an
     # answer that belongs to another call says nothing about this one.
     if response.headers.get("X-Request-Id") != try_id:
@@ -114,7 +114,7 @@
             return Refusal(
                 Reason.TOO_LARGE, False, None, "the endpoint's answer exceeds the size limit"
             )
-    return PlainAnswer(
+    return CompleteAnswer(
         request.request_id,
         response.status,
         bytes(body),
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/service.py
@@ -12,7 +12,7 @@
 from ibisspring_entry.proxy.connections import open_session
 from ibisspring_entry.proxy.endpoint_use import EndpointClient
 from ibisspring_entry.proxy.generation import Generation
-from ibisspring_entry.proxy.messages import End, Failed
+from ibisspring_entry.proxy.messages import GenerationEnd, GenerationFailed
 from ibisspring_entry.proxy.plain_call import PlainCall
 from ibisspring_entry.proxy.turn_taking import SlotAllocator
 
@@ -22,8 +22,8 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings import Settings
     from ibisspring_entry.proxy.messages import (
+        CompleteAnswer,
         GenerateRequest,
-        PlainAnswer,
         PlainRequest,
         TokenRun,
     )
@@ -67,14 +67,14 @@
 
     async def generate(
         self, request: GenerateRequest
-    ) -> AsyncGenerator[TokenRun | End | Failed, None]:
+    ) -> AsyncGenerator[TokenRun | GenerationEnd | GenerationFailed, None]:
         """
         Wait for a slot, then run a generation.
 
         Ending the iteration early (by `aclose` or cancellation) cancels the engine's work.
 
         :param request: the generation.
-        :return: runs of tokens in order, then exactly one `End` or `Failed`.
+        :return: runs of tokens in order, then exactly one `GenerationEnd` or `GenerationFailed`.
         """
         began = boot_now()
         slots = self._slot_allocator
@@ -82,11 +82,11 @@
             request.model, request.client_account, request.max_tokens, request.deadline_s
         )
         if isinstance(slot, Refusal):
-            yield Failed(request.request_id, slot)
+            yield GenerationFailed(request.request_id, slot)
             return
-        if not _may_start(request):
+        if not _is_still_allowed(request):
             slots.release(request.model, slot, 1, 0.0, False)
-            yield Failed(request.request_id, KEY_WITHDRAWN_REFUSAL)
+            yield GenerationFailed(request.request_id, KEY_WITHDRAWN_REFUSAL)
             return
         self._budget.count_request(boot_now())
         started = boot_now()
@@ -95,7 +95,7 @@
         try:
             async with aclosing(events):
                 async for event in events:
-                    if isinstance(event, End):
+                    if isinstance(event, GenerationEnd):
                         complete = True
                         event = dataclasses.replace(event, endpoint_s=boot_now() - started)
                     yield event
@@ -103,7 +103,7 @@
             work_s = boot_now() - started
             slots.release(request.model, slot, request.max_tokens, work_s, complete)
 
-    async def call(self, request: PlainRequest) -> PlainAnswer | Refusal:
+    async def call(self, request: PlainRequest) -> CompleteAnswer | Refusal:
         """
         Wait for a slot, then call a plain service.
 
@@ -115,7 +115,7 @@
         slot = await slots.acquire(request.service, request.client_account, 1, request.deadline_s)
         if isinstance(slot, Refusal):
             return slot
-        if not _may_start(request):
+        if not _is_still_allowed(request):
             slots.release(request.service, slot, 1, 0.0, False)
             return KEY_WITHDRAWN_REFUSAL
         self._budget.count_request(boot_now())
@@ -136,8 +136,8 @@
 )
 
 
-def _may_start(request: GenerateRequest | PlainRequest) -> bool:
-    return request.may_start is None or request.may_start()
+def _is_still_allowed(request: GenerateRequest | PlainRequest) -> bool:
+    return request.is_still_allowed is None or request.is_still_allowed()
 
 
 __all__ = ["Endpoints"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/turn_taking.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/turn_taking.py
@@ -78,7 +78,7 @@
         self._registry.set_wanted(wanted_by_service)
 
     def _slot_count(self, service: str, wanted: int) -> int:
-        records = self._registry.records_of(service)
+        records = self._registry.available_endpoints(service)
         capacity = sum(record.load.capacity for record in records)
         elsewhere = self._registry.peer_wanted().values()
         wanted_elsewhere = tuple(by_service.get(service, 0.0) for by_service in elsewhere)
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
@@ -22,11 +22,11 @@
     """
     The endpoint records that one exchange carries.
 
-    :param whole: complete records that the peer may lack or whose content changed.
+    :param complete: complete records that the peer may lack or whose content changed.
     :param refreshes: updates of records of which only the sequence and the load changed.
     """
 
-    whole: tuple[ReceivedRecord, ...]
+    complete: tuple[ReceivedRecord, ...]
     refreshes: tuple[entry_peer_pb2.Refresh, ...]
 
 
@@ -67,7 +67,7 @@
             refreshes.append(refresh_of(record, now - item.received_at))
         return Delta(tuple(complete), tuple(refreshes))
 
-    def acknowledged(self, delta: Delta, began: float) -> None:
+    def record_acknowledged(self, delta: Delta, began: float) -> None:
         """
         Record that the peer received a delta.
 
@@ -75,10 +75,10 @@
         :param began: boot-clock time at which the exchange began.
         """
         self.sent_until = began
-        for item in delta.whole:
+        for item in delta.complete:
             self.content_by_endpoint[item.record.endpoint] = content_of(item.record)
 
-    def lost(self) -> None:
+    def forget_all(self) -> None:
         """Forget all acknowledged records: the peer may have restarted and lost them."""
         self.content_by_endpoint.clear()
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_wire.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_wire.py
@@ -15,7 +15,9 @@
     from ibisspring_core.endpoint_table import EndpointTable, ReceivedRecord
 
 
-def pack(received: Iterable[ReceivedRecord], now: float) -> tuple[list[bytes], list[float]]:
+def encode_records(
+    received: Iterable[ReceivedRecord], now: float
+) -> tuple[list[bytes], list[float]]:
     """
     Encode records.
 
@@ -31,7 +33,7 @@
     return records, ages_s
 
 
-def take_all(
+def merge_records(
     table: EndpointTable, records: Sequence[bytes], ages_s: Sequence[float], now: float
 ) -> int:
     """
@@ -59,4 +61,4 @@
     return broken
 
 
-__all__ = ["pack", "take_all"]
+__all__ = ["encode_records", "merge_records"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peers.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peers.py
@@ -15,7 +15,7 @@
 from ibisspring_core.messages.endpoints import EndpointLoad
 from ibisspring_core.pb import entry_peer_pb2, entry_peer_pb2_grpc
 from ibisspring_entry.registry.peer_sent import SentToPeer
-from ibisspring_entry.registry.peer_wire import pack, take_all
+from ibisspring_entry.registry.peer_wire import encode_records, merge_records
 from ibisspring_entry.rollouts.peer_batches import serve_batch
 
 if TYPE_CHECKING:
@@ -179,7 +179,7 @@
     ) -> bool:
         began = boot_now()
         delta = sent.delta(self._table.records(), began)
-        records, ages_s = pack(delta.whole, began)
+        records, ages_s = encode_records(delta.complete, began)
         request = entry_peer_pb2.ExchangeRequest(
             daemon=self._daemon,
             endpoints=records,
@@ -196,17 +196,17 @@
         except grpc.aio.AioRpcError as error:
             self._counters.add("peer_exchange_failed")
             eliot.log_message("registry:peer_failed", code=error.code().name)
-            sent.lost()
+            sent.forget_all()
             return False
-        sent.acknowledged(delta, began)
-        broken = take_all(self._table, reply.endpoints, reply.ages_s, began)
+        sent.record_acknowledged(delta, began)
+        broken = merge_records(self._table, reply.endpoints, reply.ages_s, began)
         self._counters.add("peer_record_broken", broken)
         self._apply_refreshes(reply.refreshes, began)
         if reply.differs:
             # The peer may have restarted between two exchanges. It ignores refreshes of records
             # that it lacks, and it never initiates an exchange of this pair, so the next request
             # must carry complete records.
-            sent.lost()
+            sent.forget_all()
         self._report_by_daemon[daemon] = PeerReport(
             began, dict(reply.demand_by_client_account), dict(reply.wanted_by_service)
         )
@@ -228,7 +228,7 @@
         :return: this entry's demand, with its new records or, if the digests differ, all records.
         """
         now = boot_now()
-        broken = take_all(self._table, request.endpoints, request.ages_s, now)
+        broken = merge_records(self._table, request.endpoints, request.ages_s, now)
         self._counters.add("peer_record_broken", broken)
         self._apply_refreshes(request.refreshes, now)
         self._report_by_daemon[request.daemon] = PeerReport(
@@ -238,13 +238,13 @@
         delta = sent.delta(self._table.records(), now)
         # Whether the reply arrives is unknown here. If it is lost, the digests of a later exchange
         # differ, and the records are sent again.
-        sent.acknowledged(delta, now)
-        known = [*delta.whole, *self._table.recent_records(request.unheard, now)]
+        sent.record_acknowledged(delta, now)
+        known = [*delta.complete, *self._table.recent_records(request.unheard, now)]
         differs = request.digest not in (0, self._table.digest())
         if differs:
             self._counters.add("peer_digest_repaired")
             known = self._table.records()
-        records, ages_s = pack(known, now)
+        records, ages_s = encode_records(known, now)
         return entry_peer_pb2.ExchangeReply(
             endpoints=records,
             ages_s=ages_s,
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
@@ -62,7 +62,7 @@
             self._counters.add("endpoint_silent")
             eliot.log_message("registry:endpoint_gone", endpoint=endpoint)
 
-    def announce(self, record: EndpointRecord) -> str:
+    def register_announcement(self, record: EndpointRecord) -> str:
         """
         Register an announcement that an endpoint sent to this entry.
 
@@ -74,7 +74,7 @@
             self._counters.add("announcement_refused")
         return rejection
 
-    def records_of(self, service: str) -> tuple[EndpointRecord, ...]:
+    def available_endpoints(self, service: str) -> tuple[EndpointRecord, ...]:
         """
         Find the endpoints that may get new requests: not expired, not leaving and not draining.
 
@@ -107,7 +107,7 @@
                 records.append(record)
         return tuple(records), False
 
-    def disprove(self, disproof: Disproof) -> None:
+    def report_false_version(self, disproof: Disproof) -> None:
         """
         Record that an engine's tokens contradicted its announcement, for the next renewal.
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ibisspring_decisions.sampling import is_stale
-from ibisspring_entry.proxy import End, Failed, GenerateRequest, TokenRun
+from ibisspring_entry.proxy import GenerateRequest, GenerationEnd, GenerationFailed, TokenRun
 from ibisspring_entry.rollouts.samples import LabelRun, Sample, add_run
 
 if TYPE_CHECKING:
@@ -114,9 +114,9 @@
     stream = endpoints.generate(plan.request)
     try:
         async for item in stream:
-            if isinstance(item, Failed):
+            if isinstance(item, GenerationFailed):
                 return Discarded("failed", item.refusal.reason, item.refusal.retry_after_s)
-            if isinstance(item, End):
+            if isinstance(item, GenerationEnd):
                 return _complete_sample(plan, tokens, runs, item)
             if not isinstance(item, TokenRun) or not item.tokens:
                 continue
@@ -141,7 +141,7 @@
     plan: AttemptPlan,
     tokens: list[int],
     runs: tuple[LabelRun, ...],
-    end: End,
+    end: GenerationEnd,
 ) -> Sample | Discarded:
     if end.total != len(tokens) or not tokens:
         return Discarded("short")
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/engine_choice.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/engine_choice.py
@@ -89,12 +89,12 @@
             announced = record.version_by_adapter.get(self._trainer)
             if record.endpoint != endpoint or announced is None or announced <= version:
                 continue
-            self._registry.disprove(
+            self._registry.report_false_version(
                 Disproof(endpoint, record.incarnation, self._trainer, announced)
             )
 
     def _engines(self) -> tuple[EndpointRecord, ...]:
-        records = self._registry.records_of(self._model)
+        records = self._registry.available_endpoints(self._model)
         return tuple(record for record in records if record.role == "engine")
 
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
@@ -213,9 +213,10 @@
             adapter=key.trainer,
             prompt=group.prompt,
             max_tokens=self.request.max_tokens,
-            avoid=self._context.engines.excluded(time.monotonic()) + member.engines_in_use(),
+            excluded_endpoints=self._context.engines.excluded(time.monotonic())
+            + member.engines_in_use(),
             deadline_s=ATTEMPT_TIMEOUT_S,
-            note_endpoint=engine.set_endpoint,
+            on_endpoint_chosen=engine.set_endpoint,
         )
         return AttemptPlan(sample_id, group.group, member.member, group.prompt, request)
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
@@ -302,7 +302,7 @@
         return is_owner_lost(self._lease, state)
 
     def _scorer_addresses(self, service: str) -> tuple[str, ...]:
-        records = self._registry.records_of(service)
+        records = self._registry.available_endpoints(service)
         return tuple(record.address for record in records if record.role == "scorer")
 
 
--- a/tests/unit/core/test_endpoint_table.py
+++ b/tests/unit/core/test_endpoint_table.py
@@ -5,7 +5,7 @@
 from ibisspring_core.endpoint_table import EndpointTable
 from ibisspring_core.messages.endpoints import EndpointLoad, EndpointRecord
 from ibisspring_entry.registry.peer_sent import SentToPeer
-from ibisspring_entry.registry.peer_wire import pack, take_all
+from ibisspring_entry.registry.peer_wire import encode_records, merge_records
 
 TTL_S = 5.0
 FIRST = EndpointRecord(
@@ -53,7 +53,7 @@
     for step in range(1, 40):
         now = step * 0.25
         for sender, receiver in (tables, tables[::-1]):
-            take_all(receiver, *pack(sender.records(), now), now)
+            merge_records(receiver, *encode_records(sender.records(), now), now)
             receiver.expire(now)
 
     assert not any(serves(table, 10.0) for table in tables)
@@ -71,9 +71,9 @@
         record = after(record, load=EndpointLoad(running=step))
         sender.merge(record, now)
         delta = sent.delta(sender.records(), now)
-        assert len(delta.whole) == (1 if step == 0 else 0)
-        sent.acknowledged(delta, now)
-        take_all(known, *pack(delta.whole, now), now)
+        assert len(delta.complete) == (1 if step == 0 else 0)
+        sent.record_acknowledged(delta, now)
+        merge_records(known, *encode_records(delta.complete, now), now)
         for refresh in delta.refreshes:
             load = EndpointLoad(refresh.running, refresh.queued, refresh.capacity)
             start = (refresh.endpoint, refresh.incarnation)
@@ -83,10 +83,10 @@
     assert known.serving("scorer-lm", 19.0)[0].load.running == 19
     assert not serves(restarted, 19.0)
     assert restarted.digest() not in (0, known.digest())
-    assert sent.delta(sender.records(), 20.0).whole == ()
-    sent.lost()
+    assert sent.delta(sender.records(), 20.0).complete == ()
+    sent.forget_all()
     sender.merge(after(record), 20.0)
-    assert len(sent.delta(sender.records(), 20.0).whole) == 1
+    assert len(sent.delta(sender.records(), 20.0).complete) == 1
 
 
 def test_refresh_does_not_bring_a_leaving_endpoint_back() -> None:
--- a/tests/unit/entry/rollouts/stand_ins.py
+++ b/tests/unit/entry/rollouts/stand_ins.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ibisspring_core.counters import Counters
-from ibisspring_entry.proxy import End, GenerateRequest, TokenRun
+from ibisspring_entry.proxy import GenerateRequest, GenerationEnd, TokenRun
 from ibisspring_entry.rollouts.attempt import StalenessBound
 from ibisspring_entry.rollouts.gathering import Gathering, GatheringContext, StepKey
 from ibisspring_entry.rollouts.step_request import GroupRequest, StepRequest
@@ -37,7 +37,7 @@
                 yield TokenRun(request.request_id, offset, (offset,), "", version, "n0")
             if request.request_id in self.end_event_by_sample:
                 await self.end_event_by_sample[request.request_id].wait()
-            yield End(request.request_id, len(labels), "n0", endpoint_s=self.endpoint_s)
+            yield GenerationEnd(request.request_id, len(labels), "n0", endpoint_s=self.endpoint_s)
         finally:
             self.closed.append(request.request_id)
 
--- a/tests/unit/entry/rollouts/test_engine_choice.py
+++ b/tests/unit/entry/rollouts/test_engine_choice.py
@@ -28,10 +28,10 @@
         self.records = records
         self.disproofs: list[Disproof] = []
 
-    def records_of(self, service: str) -> tuple[EndpointRecord, ...]:
+    def available_endpoints(self, service: str) -> tuple[EndpointRecord, ...]:
         return tuple(self.records)
 
-    def disprove(self, disproof: Disproof) -> None:
+    def report_false_version(self, disproof: Disproof) -> None:
         self.disproofs.append(disproof)
 
 
--- a/tests/unit/entry/rollouts/test_service.py
+++ b/tests/unit/entry/rollouts/test_service.py
@@ -81,7 +81,7 @@
     def rules(self) -> Rules:
         return self.control.state.rules.rules
 
-    def records_of(self, service: str) -> tuple[EndpointRecord, ...]:
+    def available_endpoints(self, service: str) -> tuple[EndpointRecord, ...]:
         return (ENGINE,)
 
     def generate(self, request: Any) -> Any:
