--- a/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/config.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from ibisspring_core.settings import Settings
 
-FOLDER = "consensus"
+CONSENSUS_FOLDER = "consensus"
 SNAPSHOT_EVERY = 1000
 
 AddressOf = Callable[[str], str | None]
@@ -28,7 +28,8 @@
     :param core: times and sizes of the consensus core, such as the election timeout.
     :param address_of: returns the IP:port at which a daemon, given by its id, can be reached; None
         if its address is not known.
-    :param founders: ids of the daemons that form the cluster when an operator bootstraps it.
+    :param bootstrap_daemons: ids of the daemons that form the cluster when an operator bootstraps
+        it.
     :param snapshot_every: number of log entries applied since the last snapshot after which the
         replica takes the next one.
     :param state: name of the daemon's service to which committed commands are applied (the state
@@ -43,7 +44,7 @@
     folder: Path
     core: CoreConfig
     address_of: AddressOf
-    founders: tuple[str, ...] = ()
+    bootstrap_daemons: tuple[str, ...] = ()
     snapshot_every: int = SNAPSHOT_EVERY
     state: str = "state"
     process_started_s: float | None = None
@@ -57,12 +58,12 @@
         """
         return cls(
             daemon=settings.daemon,
-            folder=Path(settings.data_folder) / FOLDER,
+            folder=Path(settings.data_folder) / CONSENSUS_FOLDER,
             core=CoreConfig.from_config(settings.control),
             address_of=settings.control_addresses.get,
-            founders=tuple(sorted(settings.control_addresses)),
+            bootstrap_daemons=tuple(sorted(settings.control_addresses)),
             snapshot_every=settings.control.snapshot_every,
         )
 
 
-__all__ = ["FOLDER", "SNAPSHOT_EVERY", "AddressOf", "ReplicaConfig"]
+__all__ = ["CONSENSUS_FOLDER", "SNAPSHOT_EVERY", "AddressOf", "ReplicaConfig"]
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/state.py
@@ -80,7 +80,7 @@
 # a failed leader is replaced, and a restarted system serves requests, 0.5 s sooner than with the
 # defaults above. The random spread of election timeouts is 0.28 s, many times the delivery time of
 # a vote.
-QUICK = CoreConfig(
+LOW_LATENCY_CONFIG = CoreConfig(
     heartbeat_s=0.15, election_timeout_s=0.7, leader_lease_s=0.55, election_spread=0.4
 )
 
@@ -295,7 +295,7 @@
     "CANDIDATE",
     "FOLLOWER",
     "LEADER",
-    "QUICK",
+    "LOW_LATENCY_CONFIG",
     "CoreConfig",
     "CoreState",
     "PendingPersist",
--- a/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
@@ -8,7 +8,7 @@
 
 from ibisspring_core.endpoint_table import SERVING
 from ibisspring_core.guarded_http import HttpAnswer
-from ibisspring_decisions.fleet_size import Market, ServiceFleet, next_order, wanted_count
+from ibisspring_decisions.fleet_size import OrderHistory, PlatformOffer, next_order, wanted_count
 from ibisspring_directory.commands import SetFleet
 from ibisspring_directory.outside import FleetOrder
 
@@ -31,7 +31,7 @@
 
     def __init__(self, settings: VmSettings) -> None:
         self._may_scale = settings.scales
-        self._fleet_by_service: dict[str, ServiceFleet] = {}
+        self._fleet_by_service: dict[str, OrderHistory] = {}
 
     @classmethod
     def from_config(cls, settings: VmSettings) -> Fleet:
@@ -78,13 +78,13 @@
         demand = self._directory.sessions.demand(terms.name, now)
         wanted = wanted_count(wanted, demand, terms.capacity)
         scaling = terms.scaling
-        market = Market(scaling.most, scaling.boot_s, scaling.price_by_data_centre)
-        fleet = self._fleet_by_service.setdefault(terms.name, ServiceFleet())
+        market = PlatformOffer(scaling.most, scaling.boot_s, scaling.price_by_data_centre)
+        fleet = self._fleet_by_service.setdefault(terms.name, OrderHistory())
         order = next_order(fleet, market, wanted, present, now)
         if order is None:
             return
         request = self._outside.fleet_order(
-            FleetOrder(terms.name, order.data_centre, order.count), self._duties.duty()
+            FleetOrder(terms.name, order.data_centre, order.count), self._duties.sender()
         )
         answer = await self._duties.send(request, ORDER_TIMEOUT_S)
         status = answer.status if isinstance(answer, HttpAnswer) else 0
@@ -99,13 +99,13 @@
         )
         self._counters.add(f"fleet.answer_{status}")
         if 200 <= status < 300:
-            fleet.ordered(order, market, now)
+            fleet.record_order(order, market, now)
             return
-        fleet.refused(order.data_centre, now)
+        fleet.record_refusal(order.data_centre, now)
 
     def _count_serving(self, service: str) -> dict[str, int]:
         present: dict[str, int] = {}
-        for received in self._directory.endpoints.table.heard():
+        for received in self._directory.endpoints.table.records():
             record = received.record
             if record.service == service and record.state == SERVING:
                 present[record.data_centre] = present.get(record.data_centre, 0) + 1
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
@@ -39,7 +39,7 @@
         self,
         service: str,
         prompt: str,
-        avoid: Collection[str] = (),
+        excluded_endpoints: Collection[str] = (),
         failed_on: Collection[EndpointStart] = (),
         unreachable: Collection[EndpointStart] = (),
         repeatable: bool = True,
@@ -50,7 +50,7 @@
         :param service: the model or plain service.
         :param prompt: the prompt, used to prefer endpoints that have its prefix cached; empty for
             plain calls.
-        :param avoid: ids of endpoints that must not be used.
+        :param excluded_endpoints: ids of endpoints that must not be used.
         :param failed_on: endpoint starts that failed this request; used only if no other endpoint
             is available.
         :param unreachable: endpoint starts to which a connection attempt failed; never used.
@@ -60,9 +60,9 @@
         """
         record_by_endpoint = {}
         not_failed = []
-        for record in self._registry.records_of(service):
+        for record in self._registry.available_endpoints(service):
             start = (record.endpoint, record.incarnation)
-            if record.endpoint in avoid or start in unreachable:
+            if record.endpoint in excluded_endpoints or start in unreachable:
                 continue
             record_by_endpoint[record.endpoint] = record
             if start not in failed_on:
@@ -82,8 +82,8 @@
             queued=record.load.queued,
             capacity=record.load.capacity,
             in_flight=self._in_flight_by_endpoint.get(record.endpoint, 0),
-            sent_since=self._sent_since(record),
-            cached=prefix in record.prefixes,
+            sent_since_report=self._sent_since(record),
+            has_cached_prefix=prefix in record.prefixes,
         )
 
     def _sent_since(self, record: EndpointRecord) -> int:
@@ -115,7 +115,7 @@
 
         :param endpoint: the endpoint's id.
         """
-        self._router.failed(endpoint, boot_now())
+        self._router.record_failure(endpoint, boot_now())
 
     def record_answer(self, endpoint: str, unit_s: float) -> None:
         """
@@ -124,7 +124,7 @@
         :param endpoint: the endpoint's id.
         :param unit_s: seconds that each token or call took.
         """
-        self._router.answered(endpoint, unit_s)
+        self._router.record_success(endpoint, unit_s)
 
     def may_retry(self, reason: Reason, charged: bool = True) -> bool:
         """
@@ -135,7 +135,7 @@
             retry budget.
         :return: True if the retry may be sent.
         """
-        if charged and not self._budget.take(boot_now()):
+        if charged and not self._budget.take_retry(boot_now()):
             self._counters.add("retry_budget_empty")
             return False
         self._counters.retried(reason)
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from ibisspring_core.endpoint_table import Heard
+    from ibisspring_core.endpoint_table import ReceivedRecord
 
 
 @dataclass(frozen=True)
@@ -22,11 +22,11 @@
     """
     The endpoint records that one exchange carries.
 
-    :param whole: complete records that the peer may lack or whose content changed.
+    :param complete: complete records that the peer may lack or whose content changed.
     :param refreshes: updates of records of which only the sequence and the load changed.
     """
 
-    whole: tuple[Heard, ...]
+    complete: tuple[ReceivedRecord, ...]
     refreshes: tuple[entry_peer_pb2.Refresh, ...]
 
 
@@ -43,7 +43,7 @@
     sent_until: float = 0.0
     content_by_endpoint: dict[str, tuple] = field(default_factory=dict)
 
-    def delta(self, received: Iterable[Heard], now: float) -> Delta:
+    def delta(self, received: Iterable[ReceivedRecord], now: float) -> Delta:
         """
         Select the records and refreshes that the peer lacks.
 
@@ -57,17 +57,17 @@
         complete = []
         refreshes = []
         for item in received:
-            if not item.first_hand or item.heard_at < self.sent_until:
+            if not item.direct or item.received_at < self.sent_until:
                 continue
             record = item.record
             known = self.content_by_endpoint.get(record.endpoint)
             if record.state != SERVING or known != content_of(record):
                 complete.append(item)
                 continue
-            refreshes.append(refresh_of(record, now - item.heard_at))
+            refreshes.append(refresh_of(record, now - item.received_at))
         return Delta(tuple(complete), tuple(refreshes))
 
-    def acknowledged(self, delta: Delta, began: float) -> None:
+    def record_acknowledged(self, delta: Delta, began: float) -> None:
         """
         Record that the peer received a delta.
 
@@ -75,10 +75,10 @@
         :param began: boot-clock time at which the exchange began.
         """
         self.sent_until = began
-        for item in delta.whole:
+        for item in delta.complete:
             self.content_by_endpoint[item.record.endpoint] = content_of(item.record)
 
-    def lost(self) -> None:
+    def forget_all(self) -> None:
         """Forget all acknowledged records: the peer may have restarted and lost them."""
         self.content_by_endpoint.clear()
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
@@ -62,19 +62,19 @@
             self._counters.add("endpoint_silent")
             eliot.log_message("registry:endpoint_gone", endpoint=endpoint)
 
-    def announce(self, record: EndpointRecord) -> str:
+    def register_announcement(self, record: EndpointRecord) -> str:
         """
         Register an announcement that an endpoint sent to this entry.
 
         :param record: the validated announcement.
         :return: an empty text if the record was accepted, else the reason of its rejection.
         """
-        rejection = self.table.take(record, boot_now())
+        rejection = self.table.merge(record, boot_now())
         if rejection:
             self._counters.add("announcement_refused")
         return rejection
 
-    def records_of(self, service: str) -> tuple[EndpointRecord, ...]:
+    def available_endpoints(self, service: str) -> tuple[EndpointRecord, ...]:
         """
         Find the endpoints that may get new requests: not expired, not leaving and not draining.
 
@@ -99,7 +99,7 @@
             are all records of the table.
         """
         if self._all_pending:
-            return tuple(received.record for received in self.table.heard()), True
+            return tuple(received.record for received in self.table.records()), True
         records = []
         for endpoint in sorted(self.table.changed | self._draining()):
             record = self.table.record_of(endpoint)
@@ -107,7 +107,7 @@
                 records.append(record)
         return tuple(records), False
 
-    def disprove(self, disproof: Disproof) -> None:
+    def report_false_version(self, disproof: Disproof) -> None:
         """
         Record that an engine's tokens contradicted its announcement, for the next renewal.
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
@@ -13,14 +13,14 @@
 import eliot
 
 from ibisspring_core.messages.jobs import PART, Assignment, ItemResult, Outcome, TextPart
-from ibisspring_decisions.dispatch import place
-from ibisspring_decisions.stragglers import LEAST_LEFT, MovableRun, choose_moves
+from ibisspring_decisions.dispatch import place_items
+from ibisspring_decisions.stragglers import MIN_REMAINING_EVENTS, MovableRun, choose_moves
 from ibisspring_jobs.engines import Engines
 from ibisspring_jobs.items import ItemKey, Items, memory_tokens_of
 from ibisspring_jobs.progress import ItemProgress, abandoned_result
 from ibisspring_jobs.runners import Runners
 from ibisspring_jobs.runs import Run
-from ibisspring_jobs.surroundings import Surroundings
+from ibisspring_jobs.surroundings import DispatchContext
 
 if TYPE_CHECKING:
     from ibisspring_core.messages.endpoints import EndpointRecord
@@ -49,7 +49,7 @@
     :param run_by_number: runs in progress by the number of their assignment.
     """
 
-    def __init__(self, state: JobsState, context: Surroundings, epoch: int) -> None:
+    def __init__(self, state: JobsState, context: DispatchContext, epoch: int) -> None:
         self.epoch = epoch
         self.runners = Runners()
         self.run_by_number: dict[int, Run] = {}
@@ -59,7 +59,7 @@
         self.engines = Engines(context)
         self.items = Items(state)
 
-    def take(self, call: TakeWork, now: float) -> Runner:
+    def register_call(self, call: TakeWork, now: float) -> Runner:
         """
         Register a runner's call for work, and compare the runs that it reports with those known.
 
@@ -95,7 +95,9 @@
             capacities = self.engines.free_capacities(
                 service, records, self.run_by_number.values(), now
             )
-            free_by_engine = {capacity.engine: max(0, capacity.slots) for capacity in capacities}
+            free_by_engine = {
+                capacity.engine: max(0, capacity.free_slots) for capacity in capacities
+            }
             movable = [
                 MovableRun(
                     run.number,
@@ -115,14 +117,14 @@
         """
         Estimate the events that a run still has to produce.
 
-        :return: the expected total minus the events so far, and at least LEAST_LEFT; 0.0 if the
-            item is listed or its job has ended.
+        :return: the expected total minus the events so far, and at least MIN_REMAINING_EVENTS; 0.0
+            if the item is listed or its job has ended.
         """
         item = self.items.item_of(run)
         if item is None:
             return 0.0
         produced = run.resume_after + run.events
-        return max(item.expected_tokens / TOKENS_PER_EVENT - produced, LEAST_LEFT)
+        return max(item.expected_tokens / TOKENS_PER_EVENT - produced, MIN_REMAINING_EVENTS)
 
     def _request_move(self, run: Run) -> None:
         run.moved = True
@@ -170,7 +172,7 @@
                 runner.cancelled.append(run.number)
                 runner.wake.set()
 
-    def match(self, now: float) -> None:
+    def assign_waiting_items(self, now: float) -> None:
         """Assign waiting items to engines and available runners, as far as slots are free."""
         if not any(runner.is_available(now) for runner in self.runners.runner_by_address.values()):
             return
@@ -199,7 +201,7 @@
         if not self.engines.any_free_slot(service, records, runs):
             return
         capacities = self.engines.free_capacities(service, records, runs, now)
-        for placement in place(self.items.waiting(service, self.engines, now), capacities):
+        for placement in place_items(self.items.waiting(service, self.engines, now), capacities):
             record = record_by_engine[placement.engine]
             runner = self._choose_runner(record, now)
             if runner is None:
@@ -321,7 +323,7 @@
             return None
         return run.job, part
 
-    def report(self, outcome: Outcome, now: float) -> tuple[str, ItemResult] | None:
+    def process_outcome(self, outcome: Outcome, now: float) -> tuple[str, ItemResult] | None:
         """
         Process the outcome of a run that ended.
 
@@ -403,4 +405,4 @@
             runner.sequence_by_number.pop(number, None)
 
 
-__all__ = ["Dispatcher", "Surroundings"]
+__all__ = ["Dispatcher", "DispatchContext"]
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
@@ -10,7 +10,7 @@
 from ibisspring_consensus import events
 from ibisspring_consensus.messages import Members, ReplicaId
 from ibisspring_consensus.own_member import own_member
-from ibisspring_consensus.repair import Candidate, next_change
+from ibisspring_consensus.repair import ReplacementCandidate, next_membership_change
 
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
@@ -50,7 +50,7 @@
         self._consensus = kernel.find("consensus")
         self._jobs = kernel.find("jobs")
         self._view = kernel.find("directory_view")
-        self._view.describe(self._describe)
+        self._view.add_renew_fields(self._describe)
         self._view.subscribe(self._bootstrap)
         self._ticks = kernel.find("timer").subscribe("job_membership", TICK_S, self._tick)
 
@@ -94,10 +94,10 @@
             return
         view = self._view.view
         candidates = [
-            Candidate(ReplicaId(store.address, store.disk_id), store.data_centre)
+            ReplacementCandidate(ReplicaId(store.address, store.disk_id), store.data_centre)
             for store in view.stores
         ]
-        change = next_change(
+        change = next_membership_change(
             self._consensus.core.state, candidates, view.retiring, self._target_voters
         )
         if change is not None:
--- a/tests/unit/core/test_endpoint_table.py
+++ b/tests/unit/core/test_endpoint_table.py
@@ -5,7 +5,7 @@
 from ibisspring_core.endpoint_table import EndpointTable
 from ibisspring_core.messages.endpoints import EndpointLoad, EndpointRecord
 from ibisspring_entry.registry.peer_sent import SentToPeer
-from ibisspring_entry.registry.peer_wire import pack, take_all
+from ibisspring_entry.registry.peer_wire import encode_records, merge_records
 
 TTL_S = 5.0
 FIRST = EndpointRecord(
@@ -35,12 +35,12 @@
     # SERVING again.
     table = EndpointTable(TTL_S)
     leaving = after(FIRST, state="leaving")
-    table.take(leaving, 10.0)
+    table.merge(leaving, 10.0)
 
-    assert table.take(FIRST, 10.1) != ""
-    assert table.take(after(leaving, state="serving"), 10.2) != ""
+    assert table.merge(FIRST, 10.1) != ""
+    assert table.merge(after(leaving, state="serving"), 10.2) != ""
     assert not serves(table, 10.2)
-    assert table.take(dataclasses.replace(FIRST, incarnation=2), 10.3) == ""
+    assert table.merge(dataclasses.replace(FIRST, incarnation=2), 10.3) == ""
     assert serves(table, 10.3)
 
 
@@ -48,12 +48,12 @@
     # An engine dies. If two entries renewed each other's record of it, requests would be sent to a
     # dead machine until the entries are restarted.
     tables = [EndpointTable(TTL_S), EndpointTable(TTL_S)]
-    tables[0].take(FIRST, 0.0)
+    tables[0].merge(FIRST, 0.0)
 
     for step in range(1, 40):
         now = step * 0.25
         for sender, receiver in (tables, tables[::-1]):
-            take_all(receiver, *pack(sender.heard(), now), now)
+            merge_records(receiver, *encode_records(sender.records(), now), now)
             receiver.expire(now)
 
     assert not any(serves(table, 10.0) for table in tables)
@@ -69,11 +69,11 @@
     for step in range(20):
         now = step * 1.0
         record = after(record, load=EndpointLoad(running=step))
-        sender.take(record, now)
-        delta = sent.delta(sender.heard(), now)
-        assert len(delta.whole) == (1 if step == 0 else 0)
-        sent.acknowledged(delta, now)
-        take_all(known, *pack(delta.whole, now), now)
+        sender.merge(record, now)
+        delta = sent.delta(sender.records(), now)
+        assert len(delta.complete) == (1 if step == 0 else 0)
+        sent.record_acknowledged(delta, now)
+        merge_records(known, *encode_records(delta.complete, now), now)
         for refresh in delta.refreshes:
             load = EndpointLoad(refresh.running, refresh.queued, refresh.capacity)
             start = (refresh.endpoint, refresh.incarnation)
@@ -83,15 +83,15 @@
     assert known.serving("scorer-lm", 19.0)[0].load.running == 19
     assert not serves(restarted, 19.0)
     assert restarted.digest() not in (0, known.digest())
-    assert sent.delta(sender.heard(), 20.0).whole == ()
-    sent.lost()
-    sender.take(after(record), 20.0)
-    assert len(sent.delta(sender.heard(), 20.0).whole) == 1
+    assert sent.delta(sender.records(), 20.0).complete == ()
+    sent.forget_all()
+    sender.merge(after(record), 20.0)
+    assert len(sent.delta(sender.records(), 20.0).complete) == 1
 
 
 def test_a_refresh_does_not_make_a_leaving_endpoint_serve_again() -> None:
     table = EndpointTable(TTL_S)
-    table.take(after(FIRST, state="leaving"), 0.0)
+    table.merge(after(FIRST, state="leaving"), 0.0)
 
     table.refresh(("scorer-1", 1), 9, EndpointLoad(), 1.0)
 
@@ -102,7 +102,7 @@
     # An endpoint restarted with other weights. Its refresh must not renew the record of the earlier
     # incarnation.
     table = EndpointTable(TTL_S)
-    table.take(FIRST, 0.0)
+    table.merge(FIRST, 0.0)
 
     table.refresh(("scorer-1", 2), 9, EndpointLoad(running=7), 1.0)
 
@@ -111,27 +111,27 @@
 
 def test_an_expired_endpoint_serves_again_after_its_next_announcement() -> None:
     table = EndpointTable(TTL_S)
-    table.take(FIRST, 0.0)
+    table.merge(FIRST, 0.0)
 
     assert table.expire(TTL_S + 1) == ("scorer-1",)
-    table.take(after(FIRST), TTL_S + 2)
+    table.merge(after(FIRST), TTL_S + 2)
 
     assert serves(table, TTL_S + 2)
 
 
 def test_a_load_change_is_sent_to_the_leader_only_for_a_leaving_endpoint() -> None:
     table = EndpointTable(TTL_S)
-    table.take(FIRST, 0.0)
+    table.merge(FIRST, 0.0)
     table.changed.clear()
 
     busy = after(FIRST, load=EndpointLoad(running=3))
-    table.take(busy, 0.5)
+    table.merge(busy, 0.5)
     assert not table.changed
 
     leaving = after(busy, state="leaving")
-    table.take(leaving, 1.0)
+    table.merge(leaving, 1.0)
     table.changed.clear()
-    table.take(after(leaving, load=EndpointLoad(running=0)), 1.5)
+    table.merge(after(leaving, load=EndpointLoad(running=0)), 1.5)
     assert table.changed == {"scorer-1"}
 
 
@@ -140,8 +140,8 @@
     tables = [EndpointTable(TTL_S), EndpointTable(TTL_S)]
     for table, records in zip(tables, [(FIRST, second), (second, after(FIRST))], strict=True):
         for record in records:
-            table.take(record, 0.0)
+            table.merge(record, 0.0)
 
     assert tables[0].digest() == tables[1].digest()
-    tables[1].take(after(after(FIRST), state="leaving"), 0.1)
+    tables[1].merge(after(after(FIRST), state="leaving"), 0.1)
     assert tables[0].digest() != tables[1].digest()
--- a/tests/unit/directory/test_service.py
+++ b/tests/unit/directory/test_service.py
@@ -260,7 +260,7 @@
 
     await directory.endpoints.announce(Announce(dataclasses.replace(ENGINE, sequence=9)))
 
-    assert directory.endpoints.table.heard() == ()
+    assert directory.endpoints.table.records() == ()
 
 
 async def test_a_new_leader_lists_the_endpoints_announced_to_its_predecessor(directory) -> None:
