--- a/tests/integration/duties_system.py
+++ b/tests/integration/duties_system.py
@@ -94,14 +94,16 @@
         """Return the orders that the platform received, in the order of their arrival."""
         return (await self.log("platform"))["sent"]
 
-    async def wait_sent(self, count: int, but: str = "") -> list[dict[str, Any]]:
-        """Wait until the platform has received `count` orders from daemons other than `but`."""
+    async def wait_sent(self, count: int, other_than: str = "") -> list[dict[str, Any]]:
+        """Wait until the platform has received `count` orders from daemons other than `other_than`."""
 
         async def arrived() -> list[dict[str, Any]]:
-            sent = [order for order in await self.sent() if not _sent_by(order, but)]
+            sent = [order for order in await self.sent() if not _sent_by(order, other_than)]
             return sent if len(sent) >= count else []
 
-        return await wait_until(arrived, f"{count} orders from daemons other than {but!r}", 120.0)
+        return await wait_until(
+            arrived, f"{count} orders from daemons other than {other_than!r}", 120.0
+        )
 
     async def wait_no_open_orders(self) -> None:
         """Wait until no committed order is unresolved."""
--- a/tests/integration/replicas.py
+++ b/tests/integration/replicas.py
@@ -106,12 +106,12 @@
         """Return a replica's own state without a confirmed read, or None if it does not answer."""
         return await self._http(daemon, "GET", "/local")
 
-    async def leader(self, but: str = "") -> str:
-        """Wait for a leader other than `but` that holds its lease, and return its daemon id."""
+    async def leader(self, other_than: str = "") -> str:
+        """Wait for a leader other than `other_than` that holds its lease, and return its daemon id."""
 
         async def find_leader() -> str:
             for daemon, process in self.cluster.process_by_name.items():
-                if daemon == but or not process.alive():
+                if daemon == other_than or not process.alive():
                     continue
                 local = await self.local(daemon)
                 if local and local["is_leader"] and local["lease_left_s"] > 0:
@@ -124,7 +124,7 @@
         """Propose a line once and return the answer, or None if there is none."""
         return await self._http(daemon, "POST", "/propose", line.encode())
 
-    async def accept(self, line: str, but: str = "") -> int:
+    async def accept(self, line: str, other_than: str = "") -> int:
         """
         Propose a line to the leader until it is accepted, and return its index.
 
@@ -132,7 +132,7 @@
         """
 
         async def accepted() -> int:
-            answer = await self.propose(await self.leader(but), line)
+            answer = await self.propose(await self.leader(other_than), line)
             return answer["index"] if answer and "index" in answer else 0
 
         return await wait_until(accepted, f"{line!r} to be accepted")
--- a/tests/integration/rules_system.py
+++ b/tests/integration/rules_system.py
@@ -84,15 +84,15 @@
         assert result.returncode == 0, result.stderr + result.stdout
         return json.loads(result.stdout)
 
-    async def leader(self, but: str = "") -> str:
-        """Wait for a leader other than `but` and return its daemon id."""
+    async def leader(self, other_than: str = "") -> str:
+        """Wait for a leader other than `other_than` and return its daemon id."""
 
         async def found() -> str:
             result = await self.run("status", "--json")
             leader = json.loads(result.stdout)["leader"] if result.returncode == 0 else ""
-            return leader if leader != but else ""
+            return leader if leader != other_than else ""
 
-        return await wait_until(found, f"a leader other than {but!r}")
+        return await wait_until(found, f"a leader other than {other_than!r}")
 
     def stop_all(self) -> None:
         self.cluster.stop_all()
--- a/tests/integration/test_consensus_basics.py
+++ b/tests/integration/test_consensus_basics.py
@@ -32,7 +32,7 @@
         await replicas.found()
         old = await replicas.leader()
         assert await replicas.process(old).terminate() == 0
-        assert await replicas.leader(but=old) != old
+        assert await replicas.leader(other_than=old) != old
     finally:
         replicas.stop_all()
 
--- a/tests/integration/test_consensus_disks.py
+++ b/tests/integration/test_consensus_disks.py
@@ -65,8 +65,8 @@
         leader = await replicas.leader()
         lost = second if leader != second else leader
         wipe(replicas, lost)
-        await replicas.accept("after both", but=lost)
-        answer = await replicas.read(await replicas.leader(but=lost))
+        await replicas.accept("after both", other_than=lost)
+        answer = await replicas.read(await replicas.leader(other_than=lost))
         assert answer["lines"][:30] == lines
         replicas.start(lost)
         await replicas.wait_up(lost)
--- a/tests/integration/test_consensus_faults.py
+++ b/tests/integration/test_consensus_faults.py
@@ -127,8 +127,8 @@
         old = await replicas.leader()
         replicas.process(old).freeze()
         reading = asyncio.create_task(replicas.read(old))
-        new = await replicas.leader(but=old)
-        await replicas.accept("after", but=old)
+        new = await replicas.leader(other_than=old)
+        await replicas.accept("after", other_than=old)
         replicas.process(old).thaw()
         answer = await reading
         assert answer is None or "after" in answer.get("lines", ["after"])
@@ -175,8 +175,8 @@
         old = await replicas.leader()
         for proxy in replicas.paths_of(old, inward=True, outward=False):
             await proxy.silence()
-        assert await replicas.leader(but=old) != old
-        await replicas.accept("after", but=old)
+        assert await replicas.leader(other_than=old) != old
+        await replicas.accept("after", other_than=old)
         assert (await replicas.local(old))["lease_left_s"] == 0
         refused = await replicas.propose(old, "to the old leader")
         assert refused is None or refused["reason"] in ("no_leader", "may_have_run")
--- a/tests/integration/test_duties_orders.py
+++ b/tests/integration/test_duties_orders.py
@@ -23,7 +23,7 @@
         await system.wait_sent(3)
         system.cluster.process_by_name[killed].kill()
 
-        await system.wait_sent(1, but=killed)
+        await system.wait_sent(1, other_than=killed)
         await wait_until(
             lambda: _all_endpoints_started(system), "all endpoints to be started", 60.0
         )
@@ -50,7 +50,7 @@
         await wait_until(lambda: _has_open_order(system), "an open order")
         system.cluster.process_by_name[old_leader].freeze()
         await proxy.reopen()
-        await system.wait_sent(2, but=old_leader)
+        await system.wait_sent(2, other_than=old_leader)
         system.cluster.process_by_name[old_leader].thaw()
 
         await system.wait_no_open_orders()
@@ -76,7 +76,7 @@
         await system.wait_sent(2)
         await _hold_next_order(system, old_leader)
         await system.cut_off(old_leader)
-        await system.wait_sent(2, but=old_leader)
+        await system.wait_sent(2, other_than=old_leader)
         await system.heal(old_leader)
 
         await system.wait_no_open_orders()
--- a/tests/integration/test_duties_usage.py
+++ b/tests/integration/test_duties_usage.py
@@ -104,8 +104,8 @@
         await system.heal(daemon)
 
 
-async def _other_reporter(system: DutiesSystem, but: str) -> bool:
-    return any(report["reporter"] != but for report in await _reports(system))
+async def _other_reporter(system: DutiesSystem, other_than: str) -> bool:
+    return any(report["reporter"] != other_than for report in await _reports(system))
 
 
 async def _all_reported(system: DutiesSystem, calls: int) -> bool:
--- a/tests/integration/test_rules_five.py
+++ b/tests/integration/test_rules_five.py
@@ -41,7 +41,7 @@
 
         for lost in (leader, others[0]):
             processes[lost].kill()
-        await system.leader(but=leader)
+        await system.leader(other_than=leader)
         applied = await system.apply(_rules_of_version(2), 1)
         assert applied.returncode == 0, applied.stderr
 
--- a/tests/integration/test_rules_operators.py
+++ b/tests/integration/test_rules_operators.py
@@ -86,7 +86,7 @@
     assert f"--request-id {error['request_id']}" in error["message"]
     if leader_dies:
         system.cluster.process_by_name[leader].kill()
-        await system.leader(but=leader)
+        await system.leader(other_than=leader)
 
     resent = await system.apply(rules_text(), 0, "--request-id", error["request_id"])
     under_new_id = await system.apply(rules_text(), 0)
--- a/tests/integration/test_rules_partition.py
+++ b/tests/integration/test_rules_partition.py
@@ -101,7 +101,7 @@
     if await system.leader() != "c3":
         return
     await system.cluster.process_by_name["c3"].terminate()
-    await system.leader(but="c3")
+    await system.leader(other_than="c3")
     system.cluster.start("c3")
 
 
