--- a/bench/commits.py
+++ b/bench/commits.py
@@ -39,7 +39,7 @@
     replicas.module = "bench._commit_replica"
     rows = []
     try:
-        await replicas.found()
+        await replicas.bootstrap()
         for grouped in (False, True):
             for address in replicas.http_by_daemon.values():
                 await post(address, f"/group_commit?on={int(grouped)}")
@@ -59,7 +59,7 @@
     replicas = Replicas.from_count(folder, REPLICAS)
     times_s = []
     try:
-        await replicas.found()
+        await replicas.bootstrap()
         for _ in range(deaths):
             leader = await replicas.leader()
             replicas.process(leader).kill()
--- a/bench/reports.py
+++ b/bench/reports.py
@@ -35,7 +35,7 @@
     :param kill: whether the leader is killed in window `KILL_IN_WINDOW`.
     :return: lateness of each window in seconds, calls sent, calls reported, late lines.
     """
-    system = await DutiesSystem.found(folder, usage_window_s=WINDOW_S)
+    system = await DutiesSystem.bootstrap(folder, usage_window_s=WINDOW_S)
     sections = system.cluster.settings_by_daemon
     client = ControlClient({name: sections[name]["control"]["listen"] for name in CONTROLS})
     kernel = Kernel.from_services((Counters.from_config(None), client))
--- a/bench/rules_in_force.py
+++ b/bench/rules_in_force.py
@@ -115,7 +115,7 @@
                 raise SystemExit(f"a stream ended by {reason}, not by its key")
 
     async def start(self) -> None:
-        await self.system.found()
+        await self.system.bootstrap()
         arguments = ["--endpoint", "engine-a", "--listen", free_address()]
         arguments += ["--tokens-per-s", "200", "--capacity", "64"]
         for entry in self.system.entries():
--- a/tests/integration/duties_system.py
+++ b/tests/integration/duties_system.py
@@ -30,13 +30,13 @@
         self.proxy_by_path: dict[tuple[str, str], FaultProxy] = {}
 
     @classmethod
-    async def found(cls, folder: Path, **control: Any) -> DutiesSystem:
+    async def bootstrap(cls, folder: Path, **control: Any) -> DutiesSystem:
         """Start all processes and bootstrap the control cluster."""
         system = cls(RulesSystem.from_counts(folder, controls=3, entries=1, **control))
         for name in ("platform", "usage"):
             await system._start_fake(name)
         await system._add_proxies()
-        await system.rules.found()
+        await system.rules.bootstrap()
         return system
 
     async def _start_fake(self, name: str) -> None:
--- a/tests/integration/platform_system.py
+++ b/tests/integration/platform_system.py
@@ -121,11 +121,11 @@
         # Engines get ports of their own, as all processes share the machine's loopback addresses.
         self.engine_ports = iter([free_port() for _ in range(8)])
 
-    def add(self, role: str, number: int, found: bool = True) -> Process:
+    def add(self, role: str, number: int, bootstrap: bool = True) -> Process:
         """
         Write a daemon's settings file and create its process without starting it.
 
-        :param found: whether the daemon may bootstrap its cluster.
+        :param bootstrap: whether the daemon may bootstrap its cluster.
         """
         name = f"{role}-{number}"
         ip = f"127.1.{NETWORK_BY_ROLE[role]}.{number}"
@@ -150,7 +150,7 @@
             "listen": listen,
             "internal_ports": [self.ports["peer"], self.ports["peer"]],
             "seeds": self.seeds,
-            "bootstrap": found,
+            "bootstrap": bootstrap,
             "data_dir": None if role == "entry" else str(data),
             "heartbeat_ms": 300,
             "fault_tolerance": {"machines": 1},
--- a/tests/integration/replicas.py
+++ b/tests/integration/replicas.py
@@ -85,7 +85,7 @@
     def process(self, daemon: str) -> Process:
         return self.cluster.process_by_name[daemon]
 
-    async def found(self) -> None:
+    async def bootstrap(self) -> None:
         """Start all replicas, bootstrap them and wait for a leader."""
         await self.start_all()
         result = await self.control("bootstrap")
--- a/tests/integration/requests_system.py
+++ b/tests/integration/requests_system.py
@@ -34,7 +34,7 @@
         rules = RulesSystem.from_counts(folder, controls, entries)
         for daemon in rules.entries():
             rules.cluster.settings_by_daemon[daemon]["entry"].update(entry)
-        await rules.found()
+        await rules.bootstrap()
         applied = await rules.apply(text or rules_text(), 0)
         assert applied.returncode == 0, applied.stderr
         return cls(folder, rules)
--- a/tests/integration/rules_system.py
+++ b/tests/integration/rules_system.py
@@ -55,7 +55,7 @@
         """Run the command line without the system's `--control` options."""
         return command_line(*arguments)
 
-    async def found(self) -> None:
+    async def bootstrap(self) -> None:
         """Start all daemons, bootstrap the cluster and wait until every entry is ready."""
         self.cluster.start_all()
 
@@ -87,12 +87,12 @@
     async def leader(self, other_than: str = "") -> str:
         """Wait for a leader other than `other_than` and return its daemon id."""
 
-        async def found() -> str:
+        async def find_leader() -> str:
             result = await self.run("status", "--json")
             leader = json.loads(result.stdout)["leader"] if result.returncode == 0 else ""
             return leader if leader != other_than else ""
 
-        return await wait_until(found, f"a leader other than {other_than!r}")
+        return await wait_until(find_leader, f"a leader other than {other_than!r}")
 
     def stop_all(self) -> None:
         self.cluster.stop_all()
--- a/tests/integration/test_consensus_apply.py
+++ b/tests/integration/test_consensus_apply.py
@@ -30,7 +30,7 @@
     client = ControlClient({listen: listen for listen in control_addresses})
     delays = random.Random(SEED)
     try:
-        await system.found()
+        await system.bootstrap()
         for version in range(1, ROUNDS + 1):
             leader = await system.leader()
             text = rules_text(f"timeout archive-app {version} s {ASKED}")
--- a/tests/integration/test_consensus_basics.py
+++ b/tests/integration/test_consensus_basics.py
@@ -12,7 +12,7 @@
 async def test_accepted_lines_survive_a_restart_of_all_replicas(tmp_path, count) -> None:
     replicas = Replicas.from_count(tmp_path, count)
     try:
-        await replicas.found()
+        await replicas.bootstrap()
         lines = [f"line {number}" for number in range(20)]
         for line in lines:
             await replicas.accept(line)
@@ -29,7 +29,7 @@
 async def test_graceful_stop_transfers_leadership(tmp_path) -> None:
     replicas = Replicas.from_count(tmp_path, 3)
     try:
-        await replicas.found()
+        await replicas.bootstrap()
         old = await replicas.leader()
         assert await replicas.process(old).terminate() == 0
         assert await replicas.leader(other_than=old) != old
--- a/tests/integration/test_consensus_faults.py
+++ b/tests/integration/test_consensus_faults.py
@@ -32,7 +32,7 @@
             await replicas.add_proxies()
         for proxy in replicas.proxy_by_path.values():
             proxy.delay_s = delay_s
-        await replicas.found()
+        await replicas.bootstrap()
         yield replicas
     finally:
         replicas.stop_all()
--- a/tests/integration/test_duties_drain.py
+++ b/tests/integration/test_duties_drain.py
@@ -61,7 +61,7 @@
     # once, the stream would break; if entries were not notified of the drain, they would keep
     # sending new requests to the engine. The stream must complete, new requests must go to another
     # engine, and only then does the platform receive a single stop order.
-    system = await DutiesSystem.found(tmp_path, drain_settle_s=2.0, drain_deadline_s=100.0)
+    system = await DutiesSystem.bootstrap(tmp_path, drain_settle_s=2.0, drain_deadline_s=100.0)
     try:
         await system.rules.apply(rules_text(), 0)
         first = await _start_engine(system, "engine-1")
--- a/tests/integration/test_duties_orders.py
+++ b/tests/integration/test_duties_orders.py
@@ -15,7 +15,7 @@
     # A leader orders endpoint starts and is killed with SIGKILL while the platform processes an
     # order, which may have been executed. If the next leader did not know of the order, or sent it
     # again under another id, an endpoint would be started twice, or paid for without being used.
-    system = await DutiesSystem.found(tmp_path)
+    system = await DutiesSystem.bootstrap(tmp_path)
     try:
         await system.fault("platform", delay_s=0.4)
         killed = await system.rules.leader()
@@ -41,7 +41,7 @@
     # A leader has committed an order and is opening the connection to send it when its VM freezes.
     # The connection is established, the next leader sends orders, then the old leader continues:
     # its order must not reach the platform beside those of the next leader.
-    system = await DutiesSystem.found(tmp_path)
+    system = await DutiesSystem.bootstrap(tmp_path)
     try:
         old_leader = await system.rules.leader()
         proxy = system.proxy_by_path[(old_leader, "platform")]
@@ -68,7 +68,7 @@
 async def test_a_leader_cut_off_with_bytes_already_written(tmp_path) -> None:
     # A partition isolates the leader after it wrote an order to its socket, and the next leader
     # sends orders. When the partition heals, TCP retransmits the old order beside the new ones.
-    system = await DutiesSystem.found(tmp_path)
+    system = await DutiesSystem.bootstrap(tmp_path)
     try:
         await system.fault("platform", delay_s=0.4)
         old_leader = await system.rules.leader()
--- a/tests/integration/test_duties_usage.py
+++ b/tests/integration/test_duties_usage.py
@@ -59,7 +59,7 @@
     # frozen or partitioned before it could record the report. Late usage of the same window
     # arrives. The next leader must report the window with the same figures, and only after the old
     # leader stopped reporting; the late usage must go into a later window and be marked as late.
-    system = await DutiesSystem.found(tmp_path, usage_window_s=WINDOW_S)
+    system = await DutiesSystem.bootstrap(tmp_path, usage_window_s=WINDOW_S)
     try:
         await system.fault("usage", answer_late_s=1.5)
         window = int(time.time() // WINDOW_S)
@@ -175,7 +175,7 @@
 ) -> None:
     # An entry sends its usage to control and the answers are lost, so the entry resends the same
     # usage. Then the entry is restarted. The client account must be billed exactly once a call.
-    system = await DutiesSystem.found(tmp_path, usage_window_s=WINDOW_S)
+    system = await DutiesSystem.bootstrap(tmp_path, usage_window_s=WINDOW_S)
     try:
         await system.rules.apply(rules_text(), 0)
         await _start_service(system)
--- a/tests/integration/test_platform_seeds.py
+++ b/tests/integration/test_platform_seeds.py
@@ -47,7 +47,7 @@
     """Kill a control VM permanently and start an empty one at another address."""
     system.process_by_name[old].kill()
     name = f"control-{number}"
-    system.add("control", number, found=False).start()
+    system.add("control", number, bootstrap=False).start()
     await wait_replaced(system, name, old)
 
 
@@ -67,7 +67,7 @@
     frozen = [system.process_by_name[name] for name in ("entry-1", "store-1", "control-3")]
     for process in frozen:
         process.freeze()
-    system.add("control", 4, found=False).start()
+    system.add("control", 4, bootstrap=False).start()
     await wait_replaced(system, "control-4", "control-3")
     system.seeds[:] = [f"127.1.1.{n}:{system.ports['control']}" for n in (4, 5, 6)]
     await replace_control(system, "control-1", 5)
--- a/tests/integration/test_requests_peers.py
+++ b/tests/integration/test_requests_peers.py
@@ -38,7 +38,7 @@
         settings["advertise_peer"] = proxies[daemon].address
     system = RequestsSystem(tmp_path, rules)
     try:
-        await rules.found()
+        await rules.bootstrap()
         assert (await rules.apply(rules_text(), 0)).returncode == 0
         await wait_until(lambda: any(proxy.links for proxy in proxies.values()), "the exchange")
 
--- a/tests/integration/test_rules_five.py
+++ b/tests/integration/test_rules_five.py
@@ -34,7 +34,7 @@
     system = RulesSystem.from_counts(tmp_path, controls=5, entries=1)
     processes = system.cluster.process_by_name
     try:
-        await system.found()
+        await system.bootstrap()
         assert (await system.apply(_rules_of_version(1), 0)).returncode == 0
         leader = await system.leader()
         others = [name for name in sorted(processes) if name.startswith("c") and name != leader]
--- a/tests/integration/test_rules_never_revert.py
+++ b/tests/integration/test_rules_never_revert.py
@@ -26,7 +26,7 @@
     control_addresses = [option.removeprefix("--control=") for option in system.options]
     client = ControlClient({listen: listen for listen in control_addresses})
     try:
-        await system.found()
+        await system.bootstrap()
         for version in range(1, VERSIONS + 1):
             if version == 9:
                 leader = await system.leader()
--- a/tests/integration/test_rules_operators.py
+++ b/tests/integration/test_rules_operators.py
@@ -21,7 +21,7 @@
 async def system(tmp_path):
     system = RulesSystem.from_counts(tmp_path, controls=3, entries=1)
     try:
-        await system.found()
+        await system.bootstrap()
         yield system
     finally:
         system.stop_all()
--- a/tests/integration/test_rules_partition.py
+++ b/tests/integration/test_rules_partition.py
@@ -66,7 +66,7 @@
     await partition.add_proxies(system, {"c3", "e2"})
     url = system.cluster.url("e2")
     try:
-        await system.found()
+        await system.bootstrap()
         await _move_leader_to_majority(system)
         granted = await system.apply(rules_text(keys=(KEY, REMAINING_KEY)), 0)
         assert granted.returncode == 0, granted.stderr
--- a/tests/integration/test_rules_path.py
+++ b/tests/integration/test_rules_path.py
@@ -8,7 +8,7 @@
 async def test_an_applied_file_is_in_force_on_every_entry(tmp_path) -> None:
     system = RulesSystem.from_counts(tmp_path, controls=3, entries=2)
     try:
-        await system.found()
+        await system.bootstrap()
 
         applied = await system.apply(rules_text(), 0)
 
--- a/tests/integration/test_rules_withdrawal.py
+++ b/tests/integration/test_rules_withdrawal.py
@@ -98,7 +98,7 @@
     system = RulesSystem.from_counts(tmp_path, controls=3, entries=1)
     url = system.cluster.url("e1")
     try:
-        await system.found()
+        await system.bootstrap()
         assert (await system.apply(rules_text(keys=BOTH_KEYS), 0)).returncode == 0
         await _start_engine(system, capacity=2)
         streams = [callers.open(url, KEY), callers.open(url, REMAINING_KEY)]
@@ -142,7 +142,7 @@
         proxies.append(await FaultProxy.before(address))
         addresses[daemon] = proxies[-1].address
     try:
-        await system.found()
+        await system.bootstrap()
         assert (await system.apply(rules_text(keys=BOTH_KEYS), 0)).returncode == 0
         await _start_engine(system, capacity=2)
         stream = callers.open(system.cluster.url("e1"), KEY)
