--- a/bench/entry.py
+++ b/bench/entry.py
@@ -16,7 +16,7 @@
 from hdrh.histogram import HdrHistogram
 
 from bench._report import print_table
-from integration.lone_system import KEY, SERVICE, LoneSystem
+from integration.lone_system import KEY, SERVICE, StandaloneEntrySystem
 from integration.processes import wait_until
 
 CALLS = 2000
@@ -54,7 +54,7 @@
     return Latency(p50, p99, calls / took_s)
 
 
-async def measure_calls(system: LoneSystem, session: aiohttp.ClientSession) -> None:
+async def measure_calls(system: StandaloneEntrySystem, session: aiohttp.ClientSession) -> None:
     """Print the latency of a small lookup, first direct, then through the entry."""
     urls = {
         "direct": f"http://{system.address_by_name['archive-1']}/find",
@@ -102,7 +102,7 @@
     return gaps, time.perf_counter() - started_s
 
 
-async def measure_streams(system: LoneSystem, session: aiohttp.ClientSession) -> None:
+async def measure_streams(system: StandaloneEntrySystem, session: aiohttp.ClientSession) -> None:
     """Print the time for each chunk of a stream that the engine produces without pauses."""
     body = {
         "model": "scorer-lm",
@@ -131,7 +131,7 @@
     print_table(("way", "us a chunk", "p99 gap us"), rows)
 
 
-async def made_tokens(system: LoneSystem, names: tuple[str, ...]) -> int:
+async def made_tokens(system: StandaloneEntrySystem, names: tuple[str, ...]) -> int:
     """Return the tokens that the named engines, which must be running, have made."""
     total = 0
     for name in names:
@@ -142,7 +142,7 @@
 async def measure_crash(resume: bool) -> int:
     """Return the tokens made in total for one answer whose engine crashes before its end."""
     with tempfile.TemporaryDirectory() as folder:
-        system = LoneSystem(Path(folder))
+        system = StandaloneEntrySystem(Path(folder))
         try:
             await system.start_entry()
             await system.start_engine("scorer-1", tokens_per_s=2000)
@@ -164,7 +164,7 @@
 
 async def run() -> None:
     with tempfile.TemporaryDirectory() as folder:
-        system = LoneSystem(Path(folder))
+        system = StandaloneEntrySystem(Path(folder))
         try:
             await system.start_entry()
             await system.start_engine("scorer-1", tokens_per_s=1_000_000)
--- a/tests/integration/lone_caller.py
+++ b/tests/integration/lone_caller.py
@@ -13,7 +13,7 @@
 
 RENEW = Renew("10.0.0.1:1", "e1", "derby", "i", "entry")
 SHORT_TIMEOUT_S = 0.1
-FREEZE_ME = "freeze me"
+READY_TO_FREEZE = "freeze me"
 
 
 async def main(address: str, rounds: int) -> None:
@@ -21,7 +21,7 @@
     Print in each round how a call ended whose deadline and channel both expired during a freeze.
 
     A second call over the same channel times out first, so that the client replaces the channel and
-    closes it `STOP_GRACE_S` later. The process then prints `FREEZE_ME`: the test freezes it until
+    closes it `STOP_GRACE_S` later. The process then prints `READY_TO_FREEZE`: the test freezes it until
     the first call's deadline and the closing of the channel have both passed.
     """
     client = PeerClient(PEER_MESSAGES, Counters.from_config(None))
@@ -29,7 +29,7 @@
         call = asyncio.create_task(client.call(address, RENEW, STOP_GRACE_S))
         await asyncio.sleep(SHORT_TIMEOUT_S / 2)
         await client.call(address, RENEW, SHORT_TIMEOUT_S)
-        print(FREEZE_ME, flush=True)
+        print(READY_TO_FREEZE, flush=True)
         await asyncio.wait([call])
         print("cancelled" if call.cancelled() else type(call.result()).__name__, flush=True)
     # Calls and channels that are still open end with the process.
--- a/tests/integration/lone_system.py
+++ b/tests/integration/lone_system.py
@@ -52,7 +52,7 @@
     return [token_at(prompt, offset) for offset in range(count)]
 
 
-class LoneSystem(Fakes):
+class StandaloneEntrySystem(Fakes):
     """The processes of the entry and the fake endpoints by name."""
 
     def __init__(self, folder: Path) -> None:
--- a/tests/integration/test_frozen_calls.py
+++ b/tests/integration/test_frozen_calls.py
@@ -19,7 +19,7 @@
 from ibisspring_core.messages.directory import Renew
 from ibisspring_core.messages.peers import PEER_MESSAGES
 from ibisspring_core.peer_rpc import STOP_GRACE_S, PeerServer
-from integration.lone_caller import FREEZE_ME
+from integration.lone_caller import READY_TO_FREEZE
 from integration.processes import REPOSITORY, free_address, python_module
 
 FREEZES = 8
@@ -48,7 +48,7 @@
     outcomes = []
     try:
         while line := (await caller.stdout.readline()).decode().strip():
-            if line != FREEZE_ME:
+            if line != READY_TO_FREEZE:
                 outcomes.append(line)
                 continue
             caller.send_signal(signal.SIGSTOP)
--- a/tests/integration/test_requests_failures.py
+++ b/tests/integration/test_requests_failures.py
@@ -9,7 +9,7 @@
 import aiohttp
 import pytest
 
-from integration.lone_system import KEY, MODEL, SERVICE, LoneSystem, expected_tokens
+from integration.lone_system import KEY, MODEL, SERVICE, StandaloneEntrySystem, expected_tokens
 from integration.processes import free_address, wait_until
 from integration.proxy import FaultProxy, Mode
 
@@ -17,14 +17,16 @@
 
 
 @pytest.fixture
-async def system(tmp_path: Path) -> AsyncIterator[LoneSystem]:
-    lone = LoneSystem(tmp_path)
+async def system(tmp_path: Path) -> AsyncIterator[StandaloneEntrySystem]:
+    lone = StandaloneEntrySystem(tmp_path)
     await lone.start_entry(silence_s=0.5, caller_silence_s=3.0)
     yield lone
     lone.stop_all()
 
 
-async def proxied(system: LoneSystem, kind: str, name: str, **options: object) -> FaultProxy:
+async def proxied(
+    system: StandaloneEntrySystem, kind: str, name: str, **options: object
+) -> FaultProxy:
     """Start an endpoint that announces the address of a fault-injecting proxy as its own."""
     listen = free_address()
     proxy = await FaultProxy.before(listen)
@@ -33,7 +35,7 @@
     return proxy
 
 
-async def wait_generated(system: LoneSystem, name: str, tokens: int) -> None:
+async def wait_generated(system: StandaloneEntrySystem, name: str, tokens: int) -> None:
     """Wait until an engine has generated at least `tokens` tokens over all requests."""
 
     async def made() -> bool:
@@ -240,7 +242,7 @@
         writer.close()
 
 
-async def test_a_broken_connection_repeats_nothing(system: LoneSystem) -> None:
+async def test_a_broken_connection_repeats_nothing(system: StandaloneEntrySystem) -> None:
     # A ticket is deleted, and the connection breaks before the answer. The HTTP client library
     # treated DELETE and PUT as repeatable and resent them, so that the next ticket was deleted too.
     await system.start_plain("archive-1")
--- a/tests/integration/test_requests_path.py
+++ b/tests/integration/test_requests_path.py
@@ -10,19 +10,21 @@
 import aiohttp
 import pytest
 
-from integration.lone_system import KEY, MODEL, SERVICE, LoneSystem, expected_tokens
+from integration.lone_system import KEY, MODEL, SERVICE, StandaloneEntrySystem, expected_tokens
 from integration.processes import wait_until
 
 
 @pytest.fixture
-async def system(tmp_path: Path) -> AsyncIterator[LoneSystem]:
-    lone = LoneSystem(tmp_path)
+async def system(tmp_path: Path) -> AsyncIterator[StandaloneEntrySystem]:
+    lone = StandaloneEntrySystem(tmp_path)
     await lone.start_entry(max_body_bytes=10_000)
     yield lone
     lone.stop_all()
 
 
-async def test_a_streamed_generation_is_complete_and_labelled(system: LoneSystem) -> None:
+async def test_a_streamed_generation_is_complete_and_labelled(
+    system: StandaloneEntrySystem,
+) -> None:
     await system.start_engine("scorer-1", version=7)
 
     answer = await system.generate("heat 4711", 32)
@@ -33,7 +35,7 @@
     assert answer.headers["X-Request-Id"] == answer.lines[0]["request_id"]
 
 
-async def test_an_answer_that_is_not_streamed_lists_its_runs(system: LoneSystem) -> None:
+async def test_an_answer_that_is_not_streamed_lists_its_runs(system: StandaloneEntrySystem) -> None:
     await system.start_engine("scorer-1", version=7)
 
     answer = (await system.generate("heat 4711", 32, stream=False)).json()
@@ -42,7 +44,7 @@
     assert answer["runs"] == [{"version": 7, "from": 0, "to": 32}]
 
 
-async def test_no_endpoint_sees_a_key(system: LoneSystem) -> None:
+async def test_no_endpoint_sees_a_key(system: StandaloneEntrySystem) -> None:
     await system.start_engine("scorer-1")
     await system.start_plain("archive-1")
 
@@ -57,7 +59,7 @@
     assert KEY not in json.dumps(await system.log("archive-1"))
 
 
-async def test_an_entry_adds_no_accept_encoding_header(system: LoneSystem) -> None:
+async def test_an_entry_adds_no_accept_encoding_header(system: StandaloneEntrySystem) -> None:
     # A client that does not accept compressed answers used to receive one, because the entry added
     # its own Accept-Encoding header.
     await system.start_plain("archive-1")
@@ -74,7 +76,7 @@
     assert call["headers"]["x-mill"] == "7"
 
 
-async def test_no_endpoint_left_is_answered_at_once(system: LoneSystem) -> None:
+async def test_no_endpoint_left_is_answered_at_once(system: StandaloneEntrySystem) -> None:
     # The only service endpoint refuses connections, then is killed. The entry used to retry it in a
     # busy loop and answered no more requests.
     await system.start_plain("archive-1")
@@ -92,7 +94,7 @@
     await wait_until(removed, "the endpoint's record to expire")
 
 
-async def test_correlation_id_is_forwarded_to_the_endpoint(system: LoneSystem) -> None:
+async def test_correlation_id_is_forwarded_to_the_endpoint(system: StandaloneEntrySystem) -> None:
     await system.start_plain("archive-1")
 
     await system.ask("GET", f"/v1/services/{SERVICE}/find", {"X-Correlation-Id": "gate-3"})
@@ -102,7 +104,7 @@
     assert call["headers"]["x-client-account"] == "stoke-foundry"
 
 
-async def test_refusals_are_typed(system: LoneSystem) -> None:
+async def test_refusals_are_typed(system: StandaloneEntrySystem) -> None:
     wrong_key = await system.ask(
         "POST", "/v1/generate", {"Authorization": "Bearer wrong"}, json={"model": MODEL}
     )
@@ -125,7 +127,7 @@
     assert (no_route.status, no_route.error()["not_run"]) == (404, True)
 
 
-async def test_bad_input_leaves_the_daemon_serving(system: LoneSystem) -> None:
+async def test_bad_input_leaves_the_daemon_serving(system: StandaloneEntrySystem) -> None:
     host, port = system.url.removeprefix("http://").split(":")
     raw = (b"not http at all\r\n\r\n", b"GET / HTTP/1.1\r\nX: " + b"x" * 100_000 + b"\r\n\r\n")
     for sent in raw:
@@ -152,7 +154,7 @@
     assert (await system.ask("GET", "/readyz")).status == 200
 
 
-async def test_a_caller_that_leaves_ends_the_engines_work(system: LoneSystem) -> None:
+async def test_a_caller_that_leaves_ends_the_engines_work(system: StandaloneEntrySystem) -> None:
     await system.start_engine("scorer-1", tokens_per_s=40)
     body = {"model": MODEL, "prompt": "long", "max_tokens": 100_000, "stream": True}
     # Longer than the test waits, so that the work cannot end because of its deadline.
@@ -170,7 +172,7 @@
     await wait_until(ended, "the engine to cancel the request")
 
 
-async def test_planned_stop_breaks_no_stream(system: LoneSystem) -> None:
+async def test_planned_stop_breaks_no_stream(system: StandaloneEntrySystem) -> None:
     await system.start_engine("scorer-1", tokens_per_s=40)
     running = asyncio.create_task(system.generate("long", 100))
 
--- a/tests/integration/test_requests_stops.py
+++ b/tests/integration/test_requests_stops.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from integration.lone_system import KEY, Answer, LoneSystem, expected_tokens
+from integration.lone_system import KEY, Answer, StandaloneEntrySystem, expected_tokens
 from integration.processes import wait_until
 from integration.requests_system import RequestsSystem
 
@@ -89,7 +89,7 @@
 async def test_a_kept_connection_is_not_lost_in_a_stop(tmp_path: Path) -> None:
     # A caller sends one ticket after the other over one connection. When the entry stopped, it used
     # to close the connection during a ticket, so that the caller did not know whether it had run.
-    system = LoneSystem(tmp_path)
+    system = StandaloneEntrySystem(tmp_path)
     answered = 0
     try:
         entry = await system.start_entry(stop_wait_s=1.0)
@@ -120,7 +120,7 @@
 async def test_a_stream_longer_than_the_drain_is_told(tmp_path: Path) -> None:
     # A stream takes longer than the drain time of a stopping entry. It used to end without an
     # error, and its caller took a truncated answer for a complete one.
-    system = LoneSystem(tmp_path)
+    system = StandaloneEntrySystem(tmp_path)
     try:
         entry = await system.start_entry(drain_s=6.0)
         await system.start_engine("scorer-1", tokens_per_s=40)
@@ -153,7 +153,7 @@
 async def test_reclaim_of_a_data_centres_cheap_engines(tmp_path: Path) -> None:
     # All cheap engines of a data centre are reclaimed at once on 2 s notice while they run streams.
     # All of these streams used to break, and new ones were sent to the engines until they ended.
-    system = LoneSystem(tmp_path)
+    system = StandaloneEntrySystem(tmp_path)
     try:
         await system.start_entry(silence_s=1.0)
         for number in range(2):
