--- a/tests/integration/duties_system.py
+++ b/tests/integration/duties_system.py
@@ -71,7 +71,7 @@
         """Return the proxies on all paths from and to a control daemon."""
         return [proxy for path, proxy in self.proxy_by_path.items() if daemon in path]
 
-    async def cut_off(self, daemon: str) -> None:
+    async def isolate(self, daemon: str) -> None:
         """
         Partition a control daemon from all other processes.
 
@@ -85,27 +85,29 @@
         for proxy in self.paths_of(daemon):
             await proxy.heal()
 
-    async def place(self, count: int) -> None:
+    async def apply_placement(self, count: int) -> None:
         """Apply rules that place `count` endpoints; the leader orders them one by one."""
         applied = await self.rules.apply(rules_text(PLACEMENT_RULE.format(count=count)), 0)
         assert applied.returncode == 0, applied.stderr
 
-    async def sent(self) -> list[dict[str, Any]]:
+    async def received_orders(self) -> list[dict[str, Any]]:
         """Return the orders that the platform received, in the order of their arrival."""
         return (await self.log("platform"))["sent"]
 
-    async def wait_sent(self, count: int, other_than: str = "") -> list[dict[str, Any]]:
+    async def wait_received(self, count: int, other_than: str = "") -> list[dict[str, Any]]:
         """Wait until the platform has received `count` orders from daemons other than `other_than`."""
 
         async def arrived() -> list[dict[str, Any]]:
-            sent = [order for order in await self.sent() if not _sent_by(order, other_than)]
+            sent = [
+                order for order in await self.received_orders() if not _sent_by(order, other_than)
+            ]
             return sent if len(sent) >= count else []
 
         return await wait_until(
             arrived, f"{count} orders from daemons other than {other_than!r}", 120.0
         )
 
-    async def wait_no_open_orders(self) -> None:
+    async def wait_orders_resolved(self) -> None:
         """Wait until no committed order is unresolved."""
 
         async def resolved() -> bool:
--- a/tests/integration/test_duties_drain.py
+++ b/tests/integration/test_duties_drain.py
@@ -75,7 +75,7 @@
         for _ in range(3):
             assert (await _generate(system, 4))[-1]["done"]
         assert await second.request_count() == 3
-        (order,) = await system.wait_sent(1)
+        (order,) = await system.wait_received(1)
         assert await first.outcomes() == ["done"], "the stop order was sent before the stream's end"
         lines = await stream
 
@@ -85,7 +85,7 @@
         assert await first.request_count() == 1
         assert await first.process.terminate() == 0
         await wait_until(lambda: _no_drains(system), "the drain to be removed")
-        assert len(await system.sent()) == 1
+        assert len(await system.received_orders()) == 1
     finally:
         await system.stop()
 
--- a/tests/integration/test_duties_orders.py
+++ b/tests/integration/test_duties_orders.py
@@ -19,15 +19,15 @@
     try:
         await system.fault("platform", delay_s=0.4)
         killed = await system.rules.leader()
-        await system.place(ENDPOINTS)
-        await system.wait_sent(3)
+        await system.apply_placement(ENDPOINTS)
+        await system.wait_received(3)
         system.cluster.process_by_name[killed].kill()
 
-        await system.wait_sent(1, other_than=killed)
+        await system.wait_received(1, other_than=killed)
         await wait_until(
             lambda: _all_endpoints_started(system), "all endpoints to be started", 60.0
         )
-        await system.wait_no_open_orders()
+        await system.wait_orders_resolved()
 
         log = await system.log("platform")
         check_orders(log["sent"])
@@ -46,14 +46,14 @@
         old_leader = await system.rules.leader()
         proxy = system.proxy_by_path[(old_leader, "platform")]
         await proxy.shut()
-        await system.place(ENDPOINTS)
+        await system.apply_placement(ENDPOINTS)
         await wait_until(lambda: _has_open_order(system), "an open order")
         system.cluster.process_by_name[old_leader].freeze()
         await proxy.reopen()
-        await system.wait_sent(2, other_than=old_leader)
+        await system.wait_received(2, other_than=old_leader)
         system.cluster.process_by_name[old_leader].thaw()
 
-        await system.wait_no_open_orders()
+        await system.wait_orders_resolved()
         await wait_until(
             lambda: _all_endpoints_started(system), "all endpoints to be started", 120.0
         )
@@ -72,14 +72,14 @@
     try:
         await system.fault("platform", delay_s=0.4)
         old_leader = await system.rules.leader()
-        await system.place(ENDPOINTS)
-        await system.wait_sent(2)
+        await system.apply_placement(ENDPOINTS)
+        await system.wait_received(2)
         await _hold_next_order(system, old_leader)
-        await system.cut_off(old_leader)
-        await system.wait_sent(2, other_than=old_leader)
+        await system.isolate(old_leader)
+        await system.wait_received(2, other_than=old_leader)
         await system.heal(old_leader)
 
-        await system.wait_no_open_orders()
+        await system.wait_orders_resolved()
         await wait_until(
             lambda: _all_endpoints_started(system), "all endpoints to be started", 120.0
         )
--- a/tests/integration/test_duties_usage.py
+++ b/tests/integration/test_duties_usage.py
@@ -94,7 +94,7 @@
     elif fault == "freeze":
         process.freeze()
     else:
-        await system.cut_off(daemon)
+        await system.isolate(daemon)
 
 
 async def _remove_fault(system: DutiesSystem, daemon: str, fault: str) -> None:
