--- a/bench/commits.py
+++ b/bench/commits.py
@@ -65,7 +65,7 @@
             replicas.process(leader).kill()
             times_s.append(await _time_to_accept(replicas, leader))
             replicas.start(leader)
-            await replicas.wait_up(leader)
+            await replicas.wait_answers(leader)
             await replicas.wait_lines(leader, ["after"])
     finally:
         replicas.stop_all()
--- a/tests/integration/duties_system.py
+++ b/tests/integration/duties_system.py
@@ -63,7 +63,7 @@
                 sections[source]["control"][f"{fake}_url"] = f"http://{proxy.address}"
 
     async def _add_proxy(self, source: str, target: str, address: str) -> FaultProxy:
-        proxy = await FaultProxy.before(address)
+        proxy = await FaultProxy.in_front_of(address)
         self.proxy_by_path[(source, target)] = proxy
         return proxy
 
--- a/tests/integration/proxy.py
+++ b/tests/integration/proxy.py
@@ -95,7 +95,7 @@
         self._server: asyncio.Server | None = None
 
     @classmethod
-    async def before(cls, target: str) -> FaultProxy:
+    async def in_front_of(cls, target: str) -> FaultProxy:
         """
         Start a proxy in front of a process.
 
--- a/tests/integration/replicas.py
+++ b/tests/integration/replicas.py
@@ -46,7 +46,7 @@
             for target, address in self.listen_by_daemon.items():
                 if target == source:
                     continue
-                proxy = await FaultProxy.before(address)
+                proxy = await FaultProxy.in_front_of(address)
                 self.proxy_by_path[(source, target)] = proxy
                 settings["control_addresses"][target] = proxy.address
 
@@ -71,10 +71,10 @@
         for daemon in self.http_by_daemon:
             self.start(daemon)
         for daemon in self.http_by_daemon:
-            await self.wait_up(daemon)
+            await self.wait_answers(daemon)
 
-    async def wait_up(self, daemon: str) -> None:
-        await wait_until(lambda: self.local(daemon), f"{daemon} to answer")
+    async def wait_answers(self, daemon: str) -> None:
+        await wait_until(lambda: self.local_state(daemon), f"{daemon} to answer")
 
     async def control(self, *arguments: str) -> Any:
         """Run `ibisspring control` in a thread, so that this process's proxies keep running."""
@@ -102,7 +102,7 @@
         except (aiohttp.ClientError, TimeoutError):
             return None
 
-    async def local(self, daemon: str) -> Any:
+    async def local_state(self, daemon: str) -> Any:
         """Return a replica's own state without a confirmed read, or None if it does not answer."""
         return await self._http(daemon, "GET", "/local")
 
@@ -113,7 +113,7 @@
             for daemon, process in self.cluster.process_by_name.items():
                 if daemon == other_than or not process.alive():
                     continue
-                local = await self.local(daemon)
+                local = await self.local_state(daemon)
                 if local and local["is_leader"] and local["lease_left_s"] > 0:
                     return daemon
             return ""
@@ -145,7 +145,7 @@
         """Wait until a replica has applied all given lines."""
 
         async def applied() -> bool:
-            local = await self.local(daemon)
+            local = await self.local_state(daemon)
             return local is not None and set(lines) <= set(local["lines"])
 
         await wait_until(applied, f"{daemon} to apply {len(lines)} lines")
--- a/tests/integration/test_consensus_basics.py
+++ b/tests/integration/test_consensus_basics.py
@@ -42,13 +42,13 @@
     try:
         replicas.start("c1")
         replicas.start("c2")
-        await replicas.wait_up("c1")
-        await replicas.wait_up("c2")
+        await replicas.wait_answers("c1")
+        await replicas.wait_answers("c2")
         result = await replicas.control("bootstrap")
         assert result.returncode == 1
         assert "c3 does not answer" in result.stderr
         replicas.start("c3")
-        await replicas.wait_up("c3")
+        await replicas.wait_answers("c3")
         assert (await replicas.control("bootstrap")).returncode == 0
         second = await replicas.control("bootstrap")
         assert second.returncode == 1
--- a/tests/integration/test_consensus_disks.py
+++ b/tests/integration/test_consensus_disks.py
@@ -60,7 +60,7 @@
         first, second = await followers(replicas)
         wipe(replicas, first)
         replicas.start(first)
-        await replicas.wait_up(first)
+        await replicas.wait_answers(first)
         await wait_repaired(replicas, first)
         leader = await replicas.leader()
         lost = second if leader != second else leader
@@ -69,7 +69,7 @@
         answer = await replicas.read(await replicas.leader(other_than=lost))
         assert answer["lines"][:30] == lines
         replicas.start(lost)
-        await replicas.wait_up(lost)
+        await replicas.wait_answers(lost)
         await wait_repaired(replicas, lost)
         await assert_all_hold(replicas, [*lines, "after both"])
 
@@ -84,7 +84,7 @@
             leader = await replicas.leader()
             wipe(replicas, leader)
             replicas.start(leader)
-            await replicas.wait_up(leader)
+            await replicas.wait_answers(leader)
             await wait_repaired(replicas, leader)
         await assert_all_hold(replicas, lines)
 
@@ -104,12 +104,12 @@
         replicas.process("c3").kill()
         for daemon in ("c1", "c2"):
             replicas.start(daemon)
-            await replicas.wait_up(daemon)
+            await replicas.wait_answers(daemon)
         refused = await replicas.control("bootstrap")
         assert refused.returncode == 1
         assert "c3 does not answer" in refused.stderr
         replicas.start("c3")
-        await replicas.wait_up("c3")
+        await replicas.wait_answers("c3")
         refused = await replicas.control("bootstrap")
         assert refused.returncode == 1
         assert "c3 already holds state" in refused.stderr
@@ -163,10 +163,10 @@
             batch = lines[start : start + 100]
             await asyncio.gather(*(replicas.propose(leader, line) for line in batch))
         for line in lines:
-            if line not in (await replicas.local(leader))["lines"]:
+            if line not in (await replicas.local_state(leader))["lines"]:
                 await replicas.accept(line)
         replicas.start(stopped)
-        await replicas.wait_up(stopped)
+        await replicas.wait_answers(stopped)
         await assert_all_hold(replicas, lines)
         assert (await status(replicas))[stopped]["snapshot_index"] > 100
 
@@ -195,7 +195,7 @@
         assert f"refusing to start: {segment}: offset " in process.tail()
         shutil.rmtree(data_folder(replicas, damaged_daemon))
         replicas.start(damaged_daemon)
-        await replicas.wait_up(damaged_daemon)
+        await replicas.wait_answers(damaged_daemon)
         await wait_repaired(replicas, damaged_daemon)
 
 
@@ -222,5 +222,5 @@
         assert process.popen.returncode != 0
         assert "ended after a failure" in process.tail()
         replicas.start(full_daemon)
-        await replicas.wait_up(full_daemon)
+        await replicas.wait_answers(full_daemon)
         await assert_all_hold(replicas, lines)
--- a/tests/integration/test_consensus_faults.py
+++ b/tests/integration/test_consensus_faults.py
@@ -74,7 +74,7 @@
 
 
 async def terms(replicas: Replicas, daemons) -> set[int]:
-    return {(await replicas.local(daemon))["term"] for daemon in daemons}
+    return {(await replicas.local_state(daemon))["term"] for daemon in daemons}
 
 
 async def assert_all_hold(replicas: Replicas, lines: list[str]) -> None:
@@ -84,7 +84,7 @@
     """
     for daemon in replicas.http_by_daemon:
         await replicas.wait_lines(daemon, lines)
-    states = [await replicas.local(daemon) for daemon in replicas.http_by_daemon]
+    states = [await replicas.local_state(daemon) for daemon in replicas.http_by_daemon]
     shortest = min(len(state["lines"]) for state in states)
     assert all(state["lines"][:shortest] == states[0]["lines"][:shortest] for state in states)
     for state in states:
@@ -109,7 +109,7 @@
             replicas.process(leader).kill()
             await writers.wait_accepted(20)
             replicas.start(leader)
-            await replicas.wait_up(leader)
+            await replicas.wait_answers(leader)
         await writers.stop()
         await assert_all_hold(replicas, writers.accepted)
 
@@ -132,7 +132,7 @@
         replicas.process(old).thaw()
         answer = await reading
         assert answer is None or "after" in answer.get("lines", ["after"])
-        local = await replicas.local(old)
+        local = await replicas.local_state(old)
         assert local["lease_left_s"] == 0 or local["term"] > 1
         assert new != old
         await assert_all_hold(replicas, ["before", "after"])
@@ -177,7 +177,7 @@
             await proxy.silence()
         assert await replicas.leader(other_than=old) != old
         await replicas.accept("after", other_than=old)
-        assert (await replicas.local(old))["lease_left_s"] == 0
+        assert (await replicas.local_state(old))["lease_left_s"] == 0
         refused = await replicas.propose(old, "to the old leader")
         assert refused is None or refused["reason"] in ("no_leader", "may_have_run")
 
--- a/tests/integration/test_proxy.py
+++ b/tests/integration/test_proxy.py
@@ -25,7 +25,7 @@
 @pytest.fixture
 async def echo():
     server, address, received = await _echo_server()
-    proxy = await FaultProxy.before(address)
+    proxy = await FaultProxy.in_front_of(address)
     yield proxy, received
     await proxy.stop()
     server.close()
--- a/tests/integration/test_requests_failures.py
+++ b/tests/integration/test_requests_failures.py
@@ -29,7 +29,7 @@
 ) -> FaultProxy:
     """Start an endpoint that announces the address of a fault-injecting proxy as its own."""
     listen = free_address()
-    proxy = await FaultProxy.before(listen)
+    proxy = await FaultProxy.in_front_of(listen)
     start = system.start_engine if kind == "engine" else system.start_plain
     await start(name, listen=listen, advertise=proxy.address, **options)
     return proxy
@@ -207,7 +207,7 @@
     # accepts no more bytes. The engine used to continue without a reader, which occupied a slot and
     # was billed to the client account.
     await system.start_engine("scorer-1", tokens_per_s=200_000)
-    proxy = await FaultProxy.before(system.url.removeprefix("http://"))
+    proxy = await FaultProxy.in_front_of(system.url.removeprefix("http://"))
     body = {"model": MODEL, "prompt": PROMPT, "max_tokens": 1_000_000, "stream": True}
     headers = {"Authorization": f"Bearer {KEY}"}
     async with aiohttp.ClientSession() as session:
--- a/tests/integration/test_requests_once.py
+++ b/tests/integration/test_requests_once.py
@@ -61,7 +61,7 @@
     # transit to the service. The caller resends through another entry, then the late bytes arrive.
     # If the second entry had sent the ticket too, the bale would be paid twice.
     listen = free_address()
-    proxy = await FaultProxy.before(listen)
+    proxy = await FaultProxy.in_front_of(listen)
     await system.start_endpoint("plain", "tickets-1", listen=listen, advertise=proxy.address)
     await proxy.set_modes(Mode.HOLD, Mode.PASS)
     pending = asyncio.create_task(post(system, system.url("e1")))
@@ -103,7 +103,7 @@
     # The service has run and answered the ticket, and the entry is killed before the answer reaches
     # the caller.
     await system.start_endpoint("plain", "tickets-1")
-    proxy = await FaultProxy.before(system.url("e1").removeprefix("http://"))
+    proxy = await FaultProxy.in_front_of(system.url("e1").removeprefix("http://"))
     await proxy.set_modes(Mode.PASS, Mode.SILENT)
     pending = asyncio.create_task(post(system, f"http://{proxy.address}"))
 
--- a/tests/integration/test_requests_peers.py
+++ b/tests/integration/test_requests_peers.py
@@ -34,7 +34,7 @@
     proxies = {}
     for daemon in rules.entries():
         settings = rules.cluster.settings_by_daemon[daemon]["entry"]
-        proxies[daemon] = await FaultProxy.before(settings["listen_peer"])
+        proxies[daemon] = await FaultProxy.in_front_of(settings["listen_peer"])
         settings["advertise_peer"] = proxies[daemon].address
     system = RequestsSystem(tmp_path, rules)
     try:
--- a/tests/integration/test_rollouts_once.py
+++ b/tests/integration/test_rollouts_once.py
@@ -28,7 +28,7 @@
 
 async def _lose_a_fetch(system: TrainingSystem) -> None:
     """Fetch the step through the first entry while the proxy drops the answer."""
-    proxy = await FaultProxy.before(system.trainer.entries[0].removeprefix("http://"))
+    proxy = await FaultProxy.in_front_of(system.trainer.entries[0].removeprefix("http://"))
     await proxy.set_modes(Mode.PASS, Mode.SILENT)
     direct_entries = system.trainer.entries
     system.trainer.entries = (f"http://{proxy.address}", *direct_entries[1:])
--- a/tests/integration/test_rules_operators.py
+++ b/tests/integration/test_rules_operators.py
@@ -64,7 +64,9 @@
     the operator would receive a conflict.
     """
     leader = await system.leader()
-    proxy = await FaultProxy.before(system.cluster.settings_by_daemon[leader]["control"]["listen"])
+    proxy = await FaultProxy.in_front_of(
+        system.cluster.settings_by_daemon[leader]["control"]["listen"]
+    )
     path = system.folder / "rules.txt"
     path.write_text(rules_text())
     entry = system.cluster.process_by_name["e1"]
--- a/tests/integration/test_rules_partition.py
+++ b/tests/integration/test_rules_partition.py
@@ -31,7 +31,7 @@
             for target, address in listen.items():
                 if (name in inside) == (target in inside):
                     continue
-                proxy = await FaultProxy.before(address)
+                proxy = await FaultProxy.in_front_of(address)
                 settings["control_addresses"][target] = proxy.address
                 self.proxies.append(proxy)
 
--- a/tests/integration/test_rules_withdrawal.py
+++ b/tests/integration/test_rules_withdrawal.py
@@ -139,7 +139,7 @@
     proxies = []
     addresses = system.cluster.settings_by_daemon["e1"]["control_addresses"]
     for daemon, address in list(addresses.items()):
-        proxies.append(await FaultProxy.before(address))
+        proxies.append(await FaultProxy.in_front_of(address))
         addresses[daemon] = proxies[-1].address
     try:
         await system.bootstrap()
--- a/tests/unit/core/test_control_client.py
+++ b/tests/unit/core/test_control_client.py
@@ -119,7 +119,7 @@
     monkeypatch.setattr(control_client, "TRY_S", 0.3)
     replica = _Replica(DONE)
     async with _served(replica) as client:
-        proxy = await FaultProxy.before(client.address_by_daemon["c0"])
+        proxy = await FaultProxy.in_front_of(client.address_by_daemon["c0"])
         client.address_by_daemon["c0"] = proxy.address
         assert await client.propose(DRAIN, "r1") == Done()
         await proxy.set_modes_of_open(Mode.SILENT, Mode.SILENT)
--- a/tests/unit/core/test_guarded_http.py
+++ b/tests/unit/core/test_guarded_http.py
@@ -84,7 +84,7 @@
 async def test_bytes_written_into_a_partition_do_not_arrive_when_it_heals(receiver) -> None:
     # The order's bytes are sent during a network partition. The lease lapses and the partition
     # heals: TCP would retransmit the order beside those of the new leader.
-    proxy = await FaultProxy.before(receiver.address)
+    proxy = await FaultProxy.in_front_of(receiver.address)
     await proxy.set_modes(Mode.HOLD, Mode.HOLD)
     end_s = boot_now() + 1.0
 
