--- a/tests/integration/requests_system.py
+++ b/tests/integration/requests_system.py
@@ -73,7 +73,7 @@
     async def usage(self) -> dict[str, tuple[int, int]]:
         """Return the tokens and calls by service, summed over all usage windows."""
         usage_by_service: dict[str, tuple[int, int]] = {}
-        for window in (await self.rules.ask("usage", "show"))["windows"]:
+        for window in (await self.rules.run_json("usage", "show"))["windows"]:
             for line in window["lines"]:
                 tokens, calls = usage_by_service.get(line["service"], (0, 0))
                 usage_by_service[line["service"]] = (tokens + line["tokens"], calls + line["calls"])
--- a/tests/integration/rules_system.py
+++ b/tests/integration/rules_system.py
@@ -51,7 +51,7 @@
         return await asyncio.to_thread(command_line, *self.options, *arguments)
 
     @staticmethod
-    def command(*arguments: str) -> subprocess.CompletedProcess[str]:
+    def run_without_options(*arguments: str) -> subprocess.CompletedProcess[str]:
         """Run the command line without the system's `--control` options."""
         return command_line(*arguments)
 
@@ -78,7 +78,7 @@
         path.write_text(text)
         return await self.run("rules", "apply", str(path), "--base", str(base), *arguments)
 
-    async def ask(self, *arguments: str) -> dict[str, Any]:
+    async def run_json(self, *arguments: str) -> dict[str, Any]:
         """Run a command with `--json`, check that it succeeds and return its decoded output."""
         result = await self.run(*arguments, "--json")
         assert result.returncode == 0, result.stderr + result.stdout
--- a/tests/integration/test_consensus_apply.py
+++ b/tests/integration/test_consensus_apply.py
@@ -42,7 +42,7 @@
             applied = await applying
             assert applied == RulesApplied(version), f"seed {SEED}, round {version}"
             system.cluster.start(leader)
-        shown = await system.ask("rules", "show")
+        shown = await system.run_json("rules", "show")
         assert (shown["version"], shown["text"]) == (ROUNDS, text)
     finally:
         await client.stop()
--- a/tests/integration/test_duties_drain.py
+++ b/tests/integration/test_duties_drain.py
@@ -96,9 +96,9 @@
 
 
 async def _is_listed(system: DutiesSystem, endpoint: str) -> bool:
-    status = await system.rules.ask("status")
+    status = await system.rules.run_json("status")
     return endpoint in [record["endpoint"] for record in status["endpoints"]]
 
 
 async def _no_drains(system: DutiesSystem) -> bool:
-    return (await system.rules.ask("status"))["draining"] == []
+    return (await system.rules.run_json("status"))["draining"] == []
--- a/tests/integration/test_duties_orders.py
+++ b/tests/integration/test_duties_orders.py
@@ -93,7 +93,7 @@
 
 
 async def _has_open_order(system: DutiesSystem) -> bool:
-    return bool((await system.rules.ask("status"))["open_orders"])
+    return bool((await system.rules.run_json("status"))["open_orders"])
 
 
 async def _hold_next_order(system: DutiesSystem, leader: str) -> None:
--- a/tests/integration/test_duties_usage.py
+++ b/tests/integration/test_duties_usage.py
@@ -39,7 +39,7 @@
 
 async def _counted_calls(system: DutiesSystem) -> int:
     """Return the number of calls in the replicated usage counts."""
-    result = await system.rules.ask("usage", "show")
+    result = await system.rules.run_json("usage", "show")
     return sum(line["calls"] for window in result["windows"] for line in window["lines"])
 
 
--- a/tests/integration/test_rules_five.py
+++ b/tests/integration/test_rules_five.py
@@ -59,7 +59,7 @@
 
         system.cluster.start(leader)
         await system.cluster.wait_ready("e1")
-        shown = await system.ask("rules", "show")
+        shown = await system.run_json("rules", "show")
         # The unanswered change may have been committed later, but only as a complete file.
         assert (shown["version"], shown["text"]) in (
             (2, _rules_of_version(2)),
--- a/tests/integration/test_rules_never_revert.py
+++ b/tests/integration/test_rules_never_revert.py
@@ -47,7 +47,7 @@
 
             assert applied == RulesApplied(version)
         await system.cluster.wait_ready("e1")
-        shown = await system.ask("rules", "show")
+        shown = await system.run_json("rules", "show")
         assert (shown["version"], shown["text"]) == (VERSIONS, text)
         _check_never_decreases(_in_force(tmp_path, "e2"))
         # The restarted entry has lost its state; its first view after the restart is checked too.
--- a/tests/integration/test_rules_operators.py
+++ b/tests/integration/test_rules_operators.py
@@ -48,7 +48,7 @@
     error = json.loads(conflict.stdout)["error"]
     assert (error["version"], error["operator"]) == (1, winner)
     assert f"+ {lines[winner]}" in error["changed_lines"]
-    shown = await system.ask("rules", "show")
+    shown = await system.run_json("rules", "show")
     assert shown["version"] == 1
     assert lines[winner] in shown["text"] and lines[loser] not in shown["text"]
 
@@ -75,7 +75,11 @@
     entry.freeze()
     arguments = ("rules", "apply", str(path), "--base", "0")
     running = asyncio.to_thread(
-        system.command, f"--control={proxy.address}", "--timeout=8", "--json", *arguments
+        system.run_without_options,
+        f"--control={proxy.address}",
+        "--timeout=8",
+        "--json",
+        *arguments,
     )
     applying = asyncio.create_task(running)
     await wait_until(lambda: _version(system), "the commit")
@@ -95,7 +99,7 @@
 
     assert resent.returncode == 0, resent.stdout + resent.stderr
     assert under_new_id.returncode == EXIT_CONFLICT
-    assert (await system.ask("rules", "show"))["version"] == 1
+    assert (await system.run_json("rules", "show"))["version"] == 1
 
 
 async def _version(system: RulesSystem) -> int:
--- a/tests/integration/test_rules_partition.py
+++ b/tests/integration/test_rules_partition.py
@@ -71,7 +71,7 @@
         granted = await system.apply(rules_text(keys=(KEY, REMAINING_KEY)), 0)
         assert granted.returncode == 0, granted.stderr
         assert (await _ask(url, KEY))[1]["reason"] == "no_endpoint"
-        term = (await system.ask("status"))["term"]
+        term = (await system.run_json("status"))["term"]
         await partition.close()
 
         withdrawn = await system.apply(rules_text(keys=(REMAINING_KEY,)), 1)
@@ -106,5 +106,5 @@
 
 
 async def _status_with_both_entries(system: RulesSystem) -> dict | None:
-    status = await system.ask("status")
+    status = await system.run_json("status")
     return status if len(status["entries"]) == 2 else None
--- a/tests/integration/test_rules_path.py
+++ b/tests/integration/test_rules_path.py
@@ -13,14 +13,14 @@
         applied = await system.apply(rules_text(), 0)
 
         assert applied.returncode == 0, applied.stderr
-        status = await system.ask("status")
+        status = await system.run_json("status")
         versions = {entry["daemon"]: entry["rules_version"] for entry in status["entries"]}
         assert versions == {"e1": 1, "e2": 1}
-        assert (await system.ask("rules", "show"))["text"] == rules_text()
-        assert (await system.ask("key", "list"))["keys"][0]["client_account"] == "forge"
-        assert (await system.ask("usage", "show"))["closed_through"] >= -1
+        assert (await system.run_json("rules", "show"))["text"] == rules_text()
+        assert (await system.run_json("key", "list"))["keys"][0]["client_account"] == "forge"
+        assert (await system.run_json("usage", "show"))["closed_through"] >= -1
         drained = await system.run("endpoint", "drain", "engine-1")
         assert drained.returncode == 0, drained.stderr
-        assert (await system.ask("status"))["draining"] == ["engine-1"]
+        assert (await system.run_json("status"))["draining"] == ["engine-1"]
     finally:
         system.stop_all()
--- a/tests/integration/test_rules_withdrawal.py
+++ b/tests/integration/test_rules_withdrawal.py
@@ -80,7 +80,7 @@
     system.cluster.start_other("engine-1", python_module("fakes.engine", *arguments))
 
     async def is_listed() -> bool:
-        return len((await system.ask("endpoint", "list"))["endpoints"]) == 1
+        return len((await system.run_json("endpoint", "list"))["endpoints"]) == 1
 
     await wait_until(is_listed, "the engine to be listed")
 
