--- a/bench/rules_in_force.py
+++ b/bench/rules_in_force.py
@@ -23,7 +23,7 @@
 from ibisspring_core.messages.commands import ApplyRules, DrainEndpoint, RulesApplied
 from ibisspring_core.request_ids import new_request_id
 from integration.processes import free_address, python_module, wait_until
-from integration.rules_system import ASKED, KEY, RulesSystem, rules_text
+from integration.rules_system import KEY, RULE_COMMENT, RulesSystem, rules_text
 
 CONTROLS = 3
 ENTRIES = 8
@@ -85,7 +85,7 @@
 
     async def withdraw(self) -> list[float]:
         """Withdraw the key of a stream on every entry; returns the seconds to each last token."""
-        await self.apply(f"timeout archive-app {self.version + 1} s {ASKED}")
+        await self.apply(f"timeout archive-app {self.version + 1} s {RULE_COMMENT}")
         last_token_s = [0.0] * ENTRIES
         entries = self.system.entries()
         streams = [
@@ -127,7 +127,7 @@
         await self.apply()
         commits = [await self.commit(number) for number in range(APPLIES)]
         in_force = [
-            await self.apply(f"timeout archive-app {number + 1} s {ASKED}")
+            await self.apply(f"timeout archive-app {number + 1} s {RULE_COMMENT}")
             for number in range(APPLIES)
         ]
         last_bytes: list[float] = []
--- a/tests/integration/rules_system.py
+++ b/tests/integration/rules_system.py
@@ -12,7 +12,7 @@
 from integration.cluster import Cluster
 from integration.processes import command_line, wait_until
 
-ASKED = "# asked: archive desk, ticket 118"
+RULE_COMMENT = "# asked: archive desk, ticket 118"
 KEY = "key-of-the-forge"
 
 
@@ -20,8 +20,8 @@
     """Return a rules file with one client account and the given lines after it."""
     granted = " ".join(f"key sha256:{key_digest(key)}" for key in keys)
     lines = [
-        f"client_account forge {granted} rate 1000/s weight 1 {ASKED}",
-        f"allow forge service scorer-lm, archive-app {ASKED}",
+        f"client_account forge {granted} rate 1000/s weight 1 {RULE_COMMENT}",
+        f"allow forge service scorer-lm, archive-app {RULE_COMMENT}",
         *extra,
     ]
     return "".join(f"{line}\n" for line in lines)
--- a/tests/integration/test_consensus_apply.py
+++ b/tests/integration/test_consensus_apply.py
@@ -8,7 +8,7 @@
 from ibisspring_core.control_client import ControlClient
 from ibisspring_core.messages.commands import ApplyRules, RulesApplied
 from ibisspring_core.request_ids import new_request_id
-from integration.rules_system import ASKED, RulesSystem, rules_text
+from integration.rules_system import RULE_COMMENT, RulesSystem, rules_text
 
 SEED = 4
 ROUNDS = 6
@@ -33,7 +33,7 @@
         await system.bootstrap()
         for version in range(1, ROUNDS + 1):
             leader = await system.leader()
-            text = rules_text(f"timeout archive-app {version} s {ASKED}")
+            text = rules_text(f"timeout archive-app {version} s {RULE_COMMENT}")
             command = ApplyRules(version - 1, text, "ana")
             proposal = client.propose(command, new_request_id(), total_s=PROPOSAL_TIMEOUT_S)
             applying = asyncio.create_task(proposal)
--- a/tests/integration/test_rules_five.py
+++ b/tests/integration/test_rules_five.py
@@ -5,14 +5,14 @@
 import aiohttp
 
 from integration.processes import http_answers, wait_until
-from integration.rules_system import ASKED, KEY, RulesSystem, rules_text
+from integration.rules_system import KEY, RULE_COMMENT, RulesSystem, rules_text
 
 EXIT_NO_LEADER = 3
 EXIT_UNKNOWN = 4
 
 
 def _rules_of_version(version: int) -> str:
-    return rules_text(f"timeout archive-app {version} s {ASKED}")
+    return rules_text(f"timeout archive-app {version} s {RULE_COMMENT}")
 
 
 async def _lookup(system: RulesSystem) -> tuple[int, dict]:
--- a/tests/integration/test_rules_never_revert.py
+++ b/tests/integration/test_rules_never_revert.py
@@ -8,7 +8,7 @@
 from ibisspring_core.control_client import ControlClient
 from ibisspring_core.messages.commands import ApplyRules, RulesApplied
 from ibisspring_core.request_ids import new_request_id
-from integration.rules_system import ASKED, RulesSystem, rules_text
+from integration.rules_system import RULE_COMMENT, RulesSystem, rules_text
 
 VERSIONS = 30
 SNAPSHOT_EVERY = 10
@@ -40,7 +40,7 @@
             if version == 25:
                 system.cluster.process_by_name["e1"].kill()
                 system.cluster.start("e1")
-            text = rules_text(f"timeout archive-app {version} s {ASKED}")
+            text = rules_text(f"timeout archive-app {version} s {RULE_COMMENT}")
             command = ApplyRules(version - 1, text, "ana")
 
             applied = await client.propose(command, new_request_id(), total_s=PROPOSAL_TIMEOUT_S)
--- a/tests/integration/test_rules_operators.py
+++ b/tests/integration/test_rules_operators.py
@@ -11,7 +11,7 @@
 from ibisspring_core.errors import Refusal
 from integration.processes import wait_until
 from integration.proxy import FaultProxy, Mode
-from integration.rules_system import ASKED, RulesSystem, rules_text
+from integration.rules_system import RULE_COMMENT, RulesSystem, rules_text
 
 EXIT_UNKNOWN = 4
 EXIT_CONFLICT = 5
@@ -34,7 +34,7 @@
     Two operators edit version 0 and apply different files at the same moment. Without the
     compare-and-set in the log, both would receive "accepted" and one change would be lost.
     """
-    lines = {name: f"timeout service-of-{name} 2 s {ASKED}" for name in ("ana", "bor")}
+    lines = {name: f"timeout service-of-{name} 2 s {RULE_COMMENT}" for name in ("ana", "bor")}
     results = await asyncio.gather(
         *(
             system.apply(rules_text(line), 0, "--operator", name, "--json")
