--- a/tests/fakes/platform_engine.py
+++ b/tests/fakes/platform_engine.py
@@ -23,13 +23,13 @@
     :param events: number of events of each run.
     :param event_s: seconds between the events of a run.
     :param answer_s: seconds until a call is answered.
-    :param failing: attempt ids of the calls that are always answered 500.
+    :param failing_attempts: attempt ids of the calls that are always answered 500.
     :param break_after: number of events after which the connection of a run is reset; None: never.
     :param runs: attempt ids of the requests that ran, in order.
     :param running: attempt ids of the runs whose events are being streamed.
-    :param heads: headers of the requests that ran, by lower-case name, in the order of `runs`.
+    :param request_headers: headers of the requests that ran, by lower-case name, in the order of `runs`.
     :param orders: bodies of the orders that were accepted.
-    :param acknowledged: states that were in a heartbeat answered with 200.
+    :param acknowledged_states: states that were in a heartbeat answered with 200.
     :param sequence: sequence number of the last heartbeat.
     :param born: time at which the engine was created, in milliseconds since the epoch.
     """
@@ -43,14 +43,14 @@
     events: int = 5
     event_s: float = EVENT_INTERVAL_S
     answer_s: float = 0.0
-    failing: set[str] = field(default_factory=set)
+    failing_attempts: set[str] = field(default_factory=set)
     break_after: int | None = None
     runs: list[str] = field(default_factory=list)
     running: list[str] = field(default_factory=list)
-    heads: list[dict[str, str]] = field(default_factory=list)
+    request_headers: list[dict[str, str]] = field(default_factory=list)
     orders: list[dict] = field(default_factory=list)
     state: str = "ready"
-    acknowledged: set[str] = field(default_factory=set)
+    acknowledged_states: set[str] = field(default_factory=set)
     sequence: int = 0
     born: int = field(default_factory=lambda: int(time.time() * 1000))
 
@@ -85,7 +85,7 @@
                     async with session.post(url + path, json=heartbeat) as answer:
                         await answer.read()
                         if answer.status == 200:
-                            self.acknowledged.add(heartbeat["state"])
+                            self.acknowledged_states.add(heartbeat["state"])
                 except (aiohttp.ClientError, TimeoutError):
                     pass
                 await asyncio.sleep(HEARTBEAT_INTERVAL_S)
@@ -128,14 +128,14 @@
         ):
             return web.Response(status=421, headers={"Instance-Id": self.engine})
         self.runs.append(request_headers["attempt-id"])
-        self.heads.append(request_headers)
+        self.request_headers.append(request_headers)
         response_headers = {
             "Attempt-Id": request_headers["attempt-id"],
             "Server-Stamp": f"stamp-{self.engine}",
         }
         if not model:
             await asyncio.sleep(self.answer_s)
-            status = 500 if request_headers["attempt-id"] in self.failing else 200
+            status = 500 if request_headers["attempt-id"] in self.failing_attempts else 200
             return web.Response(status=status, body=request.path.encode(), headers=response_headers)
         return await self._stream(
             request, request_headers, {**response_headers, "Weight-Versions": str(version)}
--- a/tests/fakes/scripted_endpoint.py
+++ b/tests/fakes/scripted_endpoint.py
@@ -15,13 +15,13 @@
 
     :param script: returns the steps of an answer, given the head of its request: bytes to send, a
         pause in seconds as float, or None to reset the connection.
-    :param heads: heads of the received requests, in order.
+    :param request_heads: heads of the received requests, in order.
     :param opened: number of accepted connections.
     :param closed: number of connections that the client closed or reset.
     """
 
     script: Callable[[str], list[bytes | float | None]]
-    heads: list[str] = field(default_factory=list)
+    request_heads: list[str] = field(default_factory=list)
     address: str = ""
     opened: int = 0
     closed: int = 0
@@ -31,7 +31,7 @@
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
-                self.heads.append(head)
+                self.request_heads.append(head)
                 length = [line for line in head.split("\r\n") if "content-length" in line.lower()]
                 if length:
                     await reader.readexactly(int(length[0].split(":")[1]))
--- a/tests/integration/platform_system.py
+++ b/tests/integration/platform_system.py
@@ -27,7 +27,7 @@
 KEY = "k1"
 LOOKUP = "/lookup/"
 SCORE = "/score/"
-NOBODY_LISTENS = -1
+CONNECT_FAILED = -1
 NO_ANSWER = 0
 STATUS_PROGRAM = "from ibisspring_cli.main import main; main()"
 
@@ -340,7 +340,7 @@
     """
     Make an HTTP call and return its status and body.
 
-    The status is `NOBODY_LISTENS` if the connection failed, so that nothing was sent, and
+    The status is `CONNECT_FAILED` if the connection failed, so that nothing was sent, and
     `NO_ANSWER` if the call failed after that or timed out.
     """
     timeout = aiohttp.ClientTimeout(total=5.0)
@@ -351,7 +351,7 @@
         ):
             return answer.status, await answer.read()
     except aiohttp.ClientConnectorError:
-        return NOBODY_LISTENS, b""
+        return CONNECT_FAILED, b""
     except (aiohttp.ClientError, TimeoutError, OSError):
         return NO_ANSWER, b""
 
--- a/tests/integration/test_platform_faults.py
+++ b/tests/integration/test_platform_faults.py
@@ -93,7 +93,10 @@
 
     read = await system.wait_all_results("lot1", 4)
     resumed = [
-        head for engine in system.engines for head in engine.heads if "last-event-id" in head
+        head
+        for engine in system.engines
+        for head in engine.request_headers
+        if "last-event-id" in head
     ]
     assert max(int(head["last-event-id"]) for head in resumed) > 0
     for result in read["results"]:
--- a/tests/integration/test_platform_path.py
+++ b/tests/integration/test_platform_path.py
@@ -35,7 +35,9 @@
     assert (await system.call("POST", f"{LOOKUP}7", "a1"))[1] == f"{LOOKUP}7".encode()
     assert (await system.call("POST", f"{LOOKUP}7", "a2", key="nobody's"))[0] == 401
     assert (await system.call("POST", "/nowhere/7", "a3"))[0] == 404
-    heads = {head["attempt-id"]: head for engine in system.engines for head in engine.heads}
+    heads = {
+        head["attempt-id"]: head for engine in system.engines for head in engine.request_headers
+    }
     assert heads["a1"]["tenant"] == "forge"
     assert "authorization" not in heads["a1"]
     assert "a2" not in heads
@@ -110,7 +112,9 @@
     await wait_until(used, "the second archive to be used")
     other.state = "draining"
 
-    await wait_until(lambda: "draining" in other.acknowledged, "the drain to be acknowledged")
+    await wait_until(
+        lambda: "draining" in other.acknowledged_states, "the drain to be acknowledged"
+    )
 
     async def unused() -> bool:
         before = len(other.runs)
--- a/tests/integration/test_platform_rewards.py
+++ b/tests/integration/test_platform_rewards.py
@@ -67,7 +67,9 @@
     stamp = f"stamp-{archive(system).engine}"
     assert {one["score"] for one in read["results"]} == {stamp}
     assert {one["state"] for one in read["results"]} == {"completed"}
-    heads = [head for head in archive(system).heads if head["attempt-id"].startswith("r-")]
+    heads = [
+        head for head in archive(system).request_headers if head["attempt-id"].startswith("r-")
+    ]
     assert {head["attempt-id"] for head in heads} == {f"r-i{number}" for number in range(6)}
     for head in heads:
         assert head["host"] == HOST
@@ -79,7 +81,7 @@
 async def test_a_call_that_always_fails_ends_as_abandoned(system) -> None:
     # One text cannot be scored: the endpoint fails its reward call each time. The item must be
     # listed as abandoned after as many failures as the route allows; the other items must complete.
-    archive(system).failing = {"r-i1"}
+    archive(system).failing_attempts = {"r-i1"}
     await system.submit("lot1", job(4, scored=True))
     read = await system.wait_all_results("lot1", 4)
 
--- a/tests/integration/test_platform_stops.py
+++ b/tests/integration/test_platform_stops.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from integration.platform_system import LOOKUP, NO_ANSWER, NOBODY_LISTENS, job, platform_system
+from integration.platform_system import CONNECT_FAILED, LOOKUP, NO_ANSWER, job, platform_system
 from integration.processes import wait_until
 
 # With 0.5 s an event, a text takes 15 s. It is partly generated when the stop begins, also if the
@@ -53,7 +53,7 @@
 
     unanswered = {call for call, status in status_by_call.items() if status == NO_ANSWER}
     print("unanswered:", sorted(unanswered))
-    assert set(status_by_call.values()) <= {200, NOBODY_LISTENS, NO_ANSWER}
+    assert set(status_by_call.values()) <= {200, CONNECT_FAILED, NO_ANSWER}
     assert not unanswered & {run for engine in system.engines for run in engine.runs}
 
 
@@ -76,5 +76,7 @@
     read = await system.wait_all_results("lot1", 4, entry=other)
     for result in read["results"]:
         assert result["output"].split("\n") == [f"{result['id']}-{n}" for n in range(1, EVENTS + 1)]
-    resumed = [head for one in system.engines for head in one.heads if "last-event-id" in head]
+    resumed = [
+        head for one in system.engines for head in one.request_headers if "last-event-id" in head
+    ]
     assert resumed
--- a/tests/unit/gateway/test_forward.py
+++ b/tests/unit/gateway/test_forward.py
@@ -108,9 +108,9 @@
         result = await forwarder.forward(REQUEST, LOOKUP_ROUTE)
 
         assert (result.status, result.body) == (200, b"whole")
-        assert endpoint.heads[0].startswith("POST /lookup/7 HTTP/1.1\r\n")
-        assert "User-Agent" not in endpoint.heads[0]
-        assert "Accept" not in endpoint.heads[0]
+        assert endpoint.request_heads[0].startswith("POST /lookup/7 HTTP/1.1\r\n")
+        assert "User-Agent" not in endpoint.request_heads[0]
+        assert "Accept" not in endpoint.request_heads[0]
         assert forwarder.counted_accounts == ["forge"]
 
 
@@ -165,7 +165,7 @@
 
             assert isinstance(result, Refusal)
             assert not result.not_run
-            assert len(first.heads) + len(second.heads) == 1
+            assert len(first.request_heads) + len(second.request_heads) == 1
 
 
 async def test_a_request_that_may_run_once_goes_to_another_endpoint_after_a_rejection() -> None:
@@ -208,7 +208,7 @@
                 result = await forwarder.forward(REQUEST, LOOKUP_ROUTE)
 
             assert result.status == 500
-            assert sum(len(endpoint.heads) for endpoint in (first, second, third)) == 2
+            assert sum(len(endpoint.request_heads) for endpoint in (first, second, third)) == 2
 
 
 async def test_response_after_the_route_timeout_is_not_awaited() -> None:
--- a/tests/unit/gateway/test_reward_calls.py
+++ b/tests/unit/gateway/test_reward_calls.py
@@ -56,8 +56,8 @@
     async with scripted(lambda head: [SCORED_RESPONSE]) as endpoint, calls_to(endpoint) as calls:
         assert await calls.score(REWARD_CALL, 3, boot_now() + 30.0) == "0.7"
 
-    assert "POST /sync/7" in endpoint.heads[0]
-    assert "To: e0" in endpoint.heads[0]
+    assert "POST /sync/7" in endpoint.request_heads[0]
+    assert "To: e0" in endpoint.request_heads[0]
 
 
 async def test_an_incomplete_response_yields_no_score() -> None:
@@ -67,7 +67,7 @@
     async with scripted(lambda head: next(responses)) as endpoint, calls_to(endpoint) as calls:
         assert await calls.score(REWARD_CALL, 3, boot_now() + 30.0) == "0.7"
 
-    assert len(endpoint.heads) == 2
+    assert len(endpoint.request_heads) == 2
 
 
 async def test_a_call_that_always_fails_ends_after_its_last_attempt() -> None:
@@ -83,7 +83,7 @@
     assert isinstance(scored, ScoringFailure)
     assert scored.kind == "unscored"
     assert 3 <= scored.failures <= 4
-    assert len(first.heads) + len(second.heads) == scored.failures
+    assert len(first.request_heads) + len(second.request_heads) == scored.failures
 
 
 async def test_rejections_and_lost_responses_do_not_count_as_failures() -> None:
@@ -104,7 +104,7 @@
     async with scripted(lambda head: next(responses)) as endpoint, calls_to(endpoint) as calls:
         assert await calls.score(REWARD_CALL, 1, boot_now() + 30.0) == "0.7"
 
-    assert len(endpoint.heads) == 7
+    assert len(endpoint.request_heads) == 7
 
 
 async def test_call_waits_until_its_route_is_restored() -> None:
@@ -116,7 +116,7 @@
         scoring = asyncio.create_task(calls.score(REWARD_CALL, 3, boot_now() + 30.0))
         while not calls._counters.count_by_name.get("reward_call.no_route"):
             await asyncio.sleep(0.01)
-        assert not endpoint.heads
+        assert not endpoint.request_heads
         calls.view.index = route_index_of(LEDGER_ROUTE)
 
         assert await scoring == "0.7"
@@ -137,7 +137,7 @@
 
     remaining_s = [
         float(line.partition(":")[2])
-        for head in endpoint.heads
+        for head in endpoint.request_heads
         for line in head.split("\r\n")
         if line.startswith("Left:")
     ]
