--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Sent:
+class ReceivedOrder:
     """An order as it was received."""
 
     order_id: str
@@ -42,12 +42,12 @@
     order: dict[str, Any]
 
 
-class Platform:
+class FakePlatform:
     """The received orders, their outcomes, and the endpoints started and stopped by them."""
 
     def __init__(self) -> None:
         self.faults = Faults()
-        self.sent: list[Sent] = []
+        self.sent: list[ReceivedOrder] = []
         self.outcome_by_order: dict[str, dict[str, str]] = {}
         self.highest_fencing = 0
         self.started: list[dict[str, Any]] = []
@@ -57,7 +57,7 @@
         body = await request.read()
         order = json.loads(body)
         self.sent.append(
-            Sent(
+            ReceivedOrder(
                 order["order_id"],
                 order["fencing"],
                 request.headers.get("X-Sender", ""),
@@ -114,7 +114,7 @@
         return web.json_response(asdict(self.faults))
 
 
-def build_app(platform: Platform) -> web.Application:
+def build_app(platform: FakePlatform) -> web.Application:
     """
     Build the HTTP application.
 
@@ -134,7 +134,7 @@
 def main(listen: str) -> None:
     """Run the fake platform until it receives SIGTERM."""
     host, _, port = listen.rpartition(":")
-    web.run_app(build_app(Platform()), host=host, port=int(port), print=None)
+    web.run_app(build_app(FakePlatform()), host=host, port=int(port), print=None)
 
 
 if __name__ == "__main__":
--- a/tests/fakes/replica.py
+++ b/tests/fakes/replica.py
@@ -19,7 +19,7 @@
 from ibisspring_core.timer import TimerService
 
 
-class Lines:
+class LineLog:
     """A state machine that keeps the text of all commands and their log indexes, in order."""
 
     name = "state"
@@ -49,7 +49,7 @@
 class Api:
     """HTTP interface to propose commands and to read the state."""
 
-    def __init__(self, node: ConsensusNode, state: Lines) -> None:
+    def __init__(self, node: ConsensusNode, state: LineLog) -> None:
         self.node = node
         self.state = state
 
@@ -93,7 +93,7 @@
 async def run(settings: Settings, listen: str, api_type=Api, more_routes=lambda api: []) -> None:
     stopping = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopping.set)
-    state = Lines()
+    state = LineLog()
     node = ConsensusNode.from_config(settings)
     services = (TimerService(), Counters.from_config(None), state, node)
     kernel = Kernel.from_services((*services, ControlRpc.from_config(settings)))
--- a/tests/fakes/still_server.py
+++ b/tests/fakes/still_server.py
@@ -8,7 +8,7 @@
     from ibisspring_core.kernel import Kernel
 
 
-class StillServer:
+class IdlePeerServer:
     """The kernel service `peer_server` without a listener; registered handlers are ignored."""
 
     name = "peer_server"
@@ -20,4 +20,4 @@
     def answer(self, message_type: type, handler: object) -> None: ...
 
 
-__all__ = ["StillServer"]
+__all__ = ["IdlePeerServer"]
--- a/tests/fakes/usage.py
+++ b/tests/fakes/usage.py
@@ -26,7 +26,7 @@
     drop_answer: bool = False
 
 
-class UsageInterface:
+class FakeUsage:
     """The received reports, and the stored lines by window."""
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
         return web.json_response(asdict(self.faults))
 
 
-def build_app(usage: UsageInterface) -> web.Application:
+def build_app(usage: FakeUsage) -> web.Application:
     """
     Build the HTTP application.
 
@@ -84,7 +84,7 @@
 def main(listen: str) -> None:
     """Run the fake usage interface until it receives SIGTERM."""
     host, _, port = listen.rpartition(":")
-    web.run_app(build_app(UsageInterface()), host=host, port=int(port), print=None)
+    web.run_app(build_app(FakeUsage()), host=host, port=int(port), print=None)
 
 
 if __name__ == "__main__":
--- a/tests/unit/consensus/test_start.py
+++ b/tests/unit/consensus/test_start.py
@@ -8,7 +8,7 @@
 import pytest
 from unit.consensus.refusing import RefusedCalls
 
-from fakes.replica import Lines
+from fakes.replica import LineLog
 from ibisspring_consensus import ConsensusNode, events, files
 from ibisspring_consensus import writer as writer_module
 from ibisspring_consensus.config import ReplicaConfig
@@ -74,7 +74,7 @@
 
 def kernel_of_a_replica(folder: Path) -> Kernel:
     replica = ReplicaConfig("c1", folder, CoreConfig(), lambda daemon: "")
-    services = (TimerService(), Counters.from_config(None), Lines(), ConsensusNode(replica))
+    services = (TimerService(), Counters.from_config(None), LineLog(), ConsensusNode(replica))
     return Kernel.from_services(services)
 
 
--- a/tests/unit/control/leader_duties/conftest.py
+++ b/tests/unit/control/leader_duties/conftest.py
@@ -107,12 +107,12 @@
 
 
 @pytest.fixture
-def fake_platform() -> platform.Platform:
-    return platform.Platform()
+def fake_platform() -> platform.FakePlatform:
+    return platform.FakePlatform()
 
 
 @pytest.fixture
-async def platform_url(fake_platform: platform.Platform) -> AsyncIterator[str]:
+async def platform_url(fake_platform: platform.FakePlatform) -> AsyncIterator[str]:
     server = TestServer(platform.build_app(fake_platform))
     await server.start_server()
     yield str(server.make_url("")).rstrip("/")
@@ -120,12 +120,12 @@
 
 
 @pytest.fixture
-def fake_usage() -> usage.UsageInterface:
-    return usage.UsageInterface()
+def fake_usage() -> usage.FakeUsage:
+    return usage.FakeUsage()
 
 
 @pytest.fixture
-async def usage_url(fake_usage: usage.UsageInterface) -> AsyncIterator[str]:
+async def usage_url(fake_usage: usage.FakeUsage) -> AsyncIterator[str]:
     server = TestServer(usage.build_app(fake_usage))
     await server.start_server()
     yield str(server.make_url("")).rstrip("/")
--- a/tests/unit/directory/test_service.py
+++ b/tests/unit/directory/test_service.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from fakes.still_server import StillServer
+from fakes.still_server import IdlePeerServer
 from ibisspring_consensus.proposals import Committed
 from ibisspring_core.clock import boot_now
 from ibisspring_core.counters import Counters
@@ -71,7 +71,7 @@
 @asynccontextmanager
 async def started(settings: VmSettings) -> AsyncIterator[Directory]:
     directory = Directory(settings)
-    services = (TimerService(), Counters.from_config(None), StillServer(), DirectoryState())
+    services = (TimerService(), Counters.from_config(None), IdlePeerServer(), DirectoryState())
     kernel = Kernel.from_services((*services, _Consensus(), directory))
     await kernel.start()
     directory.start_term()
--- a/tests/unit/jobs/test_service.py
+++ b/tests/unit/jobs/test_service.py
@@ -8,7 +8,7 @@
 from unit.jobs.test_dispatcher import ENGINE
 from unit.jobs.test_state import job_of
 
-from fakes.still_server import StillServer
+from fakes.still_server import IdlePeerServer
 from ibisspring_consensus.proposals import Committed
 from ibisspring_core.counters import Counters
 from ibisspring_core.kernel import Kernel
@@ -74,7 +74,7 @@
 @pytest.fixture
 async def jobs():
     jobs = Jobs.from_config(SETTINGS)
-    parts = (TimerService(), Counters.from_config(None), StillServer(), JobsState(), _View())
+    parts = (TimerService(), Counters.from_config(None), IdlePeerServer(), JobsState(), _View())
     kernel = Kernel.from_services((*parts, _Consensus(), jobs))
     await kernel.start()
     await jobs.submit(SubmitJob(job_of()))
