--- a/tests/integration/test_consensus_disks.py
+++ b/tests/integration/test_consensus_disks.py
@@ -89,7 +89,7 @@
         await assert_all_hold(replicas, lines)
 
 
-async def test_empty_disks_never_found_a_second_cluster(tmp_path) -> None:
+async def test_empty_disks_cannot_bootstrap_a_second_cluster(tmp_path) -> None:
     """
     Guards against two clusters that both give orders: one bootstrapped on two new disks, the other
     on the VM that was down.
@@ -171,7 +171,7 @@
         assert (await status(replicas))[stopped]["snapshot_index"] > 100
 
 
-async def test_damaged_log_refuses_to_start_and_says_where(tmp_path) -> None:
+async def test_a_damaged_log_prevents_the_start_and_its_position_is_reported(tmp_path) -> None:
     """
     Guards against a replica that starts with a damaged log.
 
--- a/tests/integration/test_consensus_faults.py
+++ b/tests/integration/test_consensus_faults.py
@@ -114,7 +114,7 @@
         await assert_all_hold(replicas, writers.accepted)
 
 
-async def test_frozen_leader_believes_nothing_old_after_it_thaws(tmp_path) -> None:
+async def test_a_resumed_leader_answers_no_read_from_its_old_state(tmp_path) -> None:
     """
     Guards against a control VM that reports a withdrawn key as valid after it was suspended.
 
@@ -164,7 +164,7 @@
         assert await replicas.leader() == leader
 
 
-async def test_leader_that_hears_nobody_gives_up(tmp_path) -> None:
+async def test_a_leader_that_receives_no_replies_steps_down(tmp_path) -> None:
     """
     Guards against a cluster that accepts no command for as long as a one-way partition lasts.
 
@@ -182,7 +182,7 @@
         assert refused is None or refused["reason"] in ("no_leader", "may_have_run")
 
 
-async def test_open_connections_gone_silent_are_left(tmp_path) -> None:
+async def test_silent_open_connections_are_replaced(tmp_path) -> None:
     """
     Guards against writes that hang forever although new connections between control VMs work.
 
--- a/tests/integration/test_frozen_calls.py
+++ b/tests/integration/test_frozen_calls.py
@@ -37,7 +37,7 @@
     return server
 
 
-async def test_a_call_that_slept_past_its_end_is_refused_not_cancelled() -> None:
+async def test_a_call_whose_deadline_passed_during_a_freeze_is_refused_not_cancelled() -> None:
     address = free_address()
     server = await silent_server(address)
     arguments = python_module("integration.lone_caller", address, str(FREEZES))
--- a/tests/integration/test_platform_faults.py
+++ b/tests/integration/test_platform_faults.py
@@ -104,7 +104,9 @@
         assert numbers == [str(number) for number in range(1, 51)]
 
 
-async def test_a_lost_disk_is_taken_in_again_and_the_next_one_may_go(system) -> None:
+async def test_results_survive_the_loss_of_a_second_disk_after_the_first_was_replaced(
+    system,
+) -> None:
     # A store loses its disk and restarts with an empty one; right after its repair the next store
     # loses its disk. Results that were accepted before both losses must still be readable.
     await system.submit("lot1", job(4))
--- a/tests/integration/test_platform_path.py
+++ b/tests/integration/test_platform_path.py
@@ -27,7 +27,7 @@
         yield system
 
 
-async def test_the_whole_path(system) -> None:
+async def test_bootstrap_lookups_a_job_and_a_weight_update_without_faults(system) -> None:
     # The complete path without faults and with real processes: a system that bootstraps itself, a
     # configuration, lookups under a key, a job with its results, and a new version of its weights.
     status, document = await system.control("GET", "/v1/Config.Read")
--- a/tests/integration/test_platform_rewards.py
+++ b/tests/integration/test_platform_rewards.py
@@ -92,7 +92,7 @@
     assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
 
-async def test_a_whole_text_outlives_the_entry_that_read_it(system) -> None:
+async def test_a_complete_text_is_kept_across_the_crash_of_its_entry(system) -> None:
     # The texts of both entries are complete and their reward calls in progress when one entry is
     # killed. No text may be generated again: the other entry must repeat only the reward calls.
     await submit_and_delay_rewards(system)
@@ -107,7 +107,7 @@
     assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
 
-async def test_a_whole_text_outlives_the_end_of_all_processes(system) -> None:
+async def test_a_complete_text_is_kept_across_a_restart_of_all_processes(system) -> None:
     # All VMs lose power when texts are complete but not scored. The texts are part of the state
     # that the stores acknowledged, so they must not be generated again.
     await submit_and_delay_rewards(system)
--- a/tests/integration/test_platform_usage.py
+++ b/tests/integration/test_platform_usage.py
@@ -50,7 +50,7 @@
         await runner.cleanup()
 
 
-async def test_a_killed_entry_does_not_take_its_counts_along(tmp_path) -> None:
+async def test_counts_of_a_killed_entry_are_still_reported(tmp_path) -> None:
     async with (
         usage_interface() as (address, count_by_window),
         platform_system(tmp_path, usage_to=address) as system,
--- a/tests/integration/test_requests_failures.py
+++ b/tests/integration/test_requests_failures.py
@@ -64,7 +64,7 @@
     assert request["made"] == 200 - request["resumed_at"]
 
 
-async def test_a_stream_that_no_engine_can_finish_says_so(system) -> None:
+async def test_a_stream_that_no_engine_can_finish_ends_with_an_error(system) -> None:
     # The only engine always ends its stream without the end mark. The caller's stream used to end
     # without an error, and the caller stored a truncated answer as a complete one.
     await system.start_engine("scorer-1", tokens_per_s=100)
@@ -185,7 +185,7 @@
     await proxy.stop()
 
 
-async def test_an_engine_that_stands_still_is_left(system) -> None:
+async def test_a_generation_continues_on_another_engine_after_a_stall(system) -> None:
     # An engine still answers status requests but generates no more tokens. A trainer's step
     # used to wait for that engine; its requests must continue on another engine.
     await system.start_engine("scorer-1", tokens_per_s=100)
@@ -256,7 +256,7 @@
     assert [answer.error()["not_run"] for answer in answers] == [False] * len(methods)
 
 
-async def test_not_run_is_said_only_when_it_is_true(system) -> None:
+async def test_not_run_matches_whether_the_endpoint_ran_the_request(system) -> None:
     # Compares `not_run` of each refusal with the calls that the endpoint itself logged as run.
     await system.start_plain("archive-1")
     path = f"/v1/services/{SERVICE}/tickets"
--- a/tests/integration/test_requests_keys.py
+++ b/tests/integration/test_requests_keys.py
@@ -116,7 +116,7 @@
     assert len(requests) - 1 == len(answers) - len(refused_not_run)
 
 
-async def test_entry_without_control_ends_what_runs(system: RequestsSystem) -> None:
+async def test_an_entry_whose_lease_lapsed_ends_its_open_streams(system: RequestsSystem) -> None:
     # An entry loses control for longer than its lease, so that it cannot receive the withdrawal of
     # a key. Its open streams used to continue for as long as their callers read them.
     await system.start_endpoint("engine", "scorer-1", tokens_per_s=40)
@@ -133,7 +133,7 @@
     assert refused[0]["error"]["not_run"] is True
 
 
-async def test_ticket_in_line_is_not_sent_after_its_key_was_withdrawn(
+async def test_a_queued_ticket_is_not_sent_after_its_key_was_withdrawn(
     system: RequestsSystem,
 ) -> None:
     # A ticket with an idempotency key runs independently of its caller's connection. Such a ticket
--- a/tests/integration/test_requests_peers.py
+++ b/tests/integration/test_requests_peers.py
@@ -26,7 +26,7 @@
     system.cluster.start_other(name, python_module("fakes.plain", *arguments))
 
 
-async def test_silent_connections_between_entries_are_left(tmp_path: Path) -> None:
+async def test_silent_connections_between_entries_are_replaced(tmp_path: Path) -> None:
     # Two entries exchange endpoint records over connections whose state the network path drops: the
     # connections stay open and deliver nothing. From then on each entry used to know only the
     # endpoints that announced to it, and refused requests that only other endpoints could serve.
--- a/tests/integration/test_requests_stops.py
+++ b/tests/integration/test_requests_stops.py
@@ -117,7 +117,7 @@
     assert answered == len(calls)
 
 
-async def test_a_stream_longer_than_the_drain_is_told(tmp_path: Path) -> None:
+async def test_a_stream_longer_than_the_drain_time_ends_with_an_error(tmp_path: Path) -> None:
     # A stream takes longer than the drain time of a stopping entry. It used to end without an
     # error, and its caller took a truncated answer for a complete one.
     system = StandaloneEntrySystem(tmp_path)
--- a/tests/integration/test_rules_operators.py
+++ b/tests/integration/test_rules_operators.py
@@ -27,7 +27,7 @@
         system.stop_all()
 
 
-async def test_of_two_operators_under_one_base_one_wins_and_the_other_is_told(system) -> None:
+async def test_two_operators_with_the_same_base_get_one_success_and_one_conflict(system) -> None:
     """
     Guards against a change that is silently overwritten by another operator's.
 
--- a/tests/integration/test_rules_withdrawal.py
+++ b/tests/integration/test_rules_withdrawal.py
@@ -85,7 +85,7 @@
     await wait_until(is_listed, "the engine to be listed")
 
 
-async def test_a_withdrawn_key_ends_its_open_stream_and_its_place_in_line(
+async def test_a_withdrawn_key_ends_its_open_stream_and_its_queued_request(
     tmp_path, callers
 ) -> None:
     """
