--- a/tests/fakes/platform_engine.py
+++ b/tests/fakes/platform_engine.py
@@ -27,7 +27,8 @@
     :param break_after: number of events after which the connection of a run is reset; None: never.
     :param runs: attempt ids of the requests that ran, in order.
     :param running: attempt ids of the runs whose events are being streamed.
-    :param request_headers: headers of the requests that ran, by lower-case name, in the order of `runs`.
+    :param request_headers: headers of the requests that ran, by lower-case name, in the order of
+        `runs`.
     :param orders: bodies of the orders that were accepted.
     :param acknowledged_states: states that were in a heartbeat answered with 200.
     :param sequence: sequence number of the last heartbeat.
--- a/tests/integration/duties_system.py
+++ b/tests/integration/duties_system.py
@@ -95,7 +95,7 @@
         return (await self.log("platform"))["sent"]
 
     async def wait_received(self, count: int, other_than: str = "") -> list[dict[str, Any]]:
-        """Wait until the platform has received `count` orders from daemons other than `other_than`."""
+        """Wait until the platform received `count` orders from daemons other than `other_than`."""
 
         async def arrived() -> list[dict[str, Any]]:
             sent = [
--- a/tests/integration/lone_caller.py
+++ b/tests/integration/lone_caller.py
@@ -21,8 +21,8 @@
     Print in each round how a call ended whose deadline and channel both expired during a freeze.
 
     A second call over the same channel times out first, so that the client replaces the channel and
-    closes it `STOP_GRACE_S` later. The process then prints `READY_TO_FREEZE`: the test freezes it until
-    the first call's deadline and the closing of the channel have both passed.
+    closes it `STOP_GRACE_S` later. The process then prints `READY_TO_FREEZE`: the test freezes it
+    until the first call's deadline and the closing of the channel have both passed.
     """
     client = PeerClient(PEER_MESSAGES, Counters.from_config(None))
     for _ in range(rounds):
--- a/tests/integration/replicas.py
+++ b/tests/integration/replicas.py
@@ -107,7 +107,7 @@
         return await self._http(daemon, "GET", "/local")
 
     async def leader(self, other_than: str = "") -> str:
-        """Wait for a leader other than `other_than` that holds its lease, and return its daemon id."""
+        """Wait for a leader other than `other_than` that holds its lease; return its daemon id."""
 
         async def find_leader() -> str:
             for daemon, process in self.cluster.process_by_name.items():
