--- a/tests/integration/duties_system.py
+++ b/tests/integration/duties_system.py
@@ -30,13 +30,13 @@
         self.proxy_by_path: dict[tuple[str, str], FaultProxy] = {}
 
     @classmethod
-    async def found(cls, folder: Path, **control: Any) -> DutiesSystem:
+    async def bootstrap(cls, folder: Path, **control: Any) -> DutiesSystem:
         """Start all processes and bootstrap the control cluster."""
         system = cls(RulesSystem.from_counts(folder, controls=3, entries=1, **control))
         for name in ("platform", "usage"):
             await system._start_fake(name)
         await system._add_proxies()
-        await system.rules.found()
+        await system.rules.bootstrap()
         return system
 
     async def _start_fake(self, name: str) -> None:
@@ -63,7 +63,7 @@
                 sections[source]["control"][f"{fake}_url"] = f"http://{proxy.address}"
 
     async def _add_proxy(self, source: str, target: str, address: str) -> FaultProxy:
-        proxy = await FaultProxy.before(address)
+        proxy = await FaultProxy.in_front_of(address)
         self.proxy_by_path[(source, target)] = proxy
         return proxy
 
@@ -71,7 +71,7 @@
         """Return the proxies on all paths from and to a control daemon."""
         return [proxy for path, proxy in self.proxy_by_path.items() if daemon in path]
 
-    async def cut_off(self, daemon: str) -> None:
+    async def isolate(self, daemon: str) -> None:
         """
         Partition a control daemon from all other processes.
 
@@ -85,25 +85,29 @@
         for proxy in self.paths_of(daemon):
             await proxy.heal()
 
-    async def place(self, count: int) -> None:
+    async def apply_placement(self, count: int) -> None:
         """Apply rules that place `count` endpoints; the leader orders them one by one."""
         applied = await self.rules.apply(rules_text(PLACEMENT_RULE.format(count=count)), 0)
         assert applied.returncode == 0, applied.stderr
 
-    async def sent(self) -> list[dict[str, Any]]:
+    async def received_orders(self) -> list[dict[str, Any]]:
         """Return the orders that the platform received, in the order of their arrival."""
         return (await self.log("platform"))["sent"]
 
-    async def wait_sent(self, count: int, but: str = "") -> list[dict[str, Any]]:
-        """Wait until the platform has received `count` orders from daemons other than `but`."""
+    async def wait_received(self, count: int, other_than: str = "") -> list[dict[str, Any]]:
+        """Wait until the platform received `count` orders from daemons other than `other_than`."""
 
         async def arrived() -> list[dict[str, Any]]:
-            sent = [order for order in await self.sent() if not _sent_by(order, but)]
+            sent = [
+                order for order in await self.received_orders() if not _sent_by(order, other_than)
+            ]
             return sent if len(sent) >= count else []
 
-        return await wait_until(arrived, f"{count} orders from daemons other than {but!r}", 120.0)
+        return await wait_until(
+            arrived, f"{count} orders from daemons other than {other_than!r}", 120.0
+        )
 
-    async def wait_no_open_orders(self) -> None:
+    async def wait_orders_resolved(self) -> None:
         """Wait until no committed order is unresolved."""
 
         async def resolved() -> bool:
--- a/tests/integration/lone_system.py
+++ b/tests/integration/lone_system.py
@@ -43,7 +43,7 @@
     def tokens(self) -> list[int]:
         return [token for line in self.lines for token in line.get("tokens", ())]
 
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         return bool(self.lines) and self.lines[-1].get("done") is True
 
 
@@ -52,7 +52,7 @@
     return [token_at(prompt, offset) for offset in range(count)]
 
 
-class LoneSystem(Fakes):
+class StandaloneEntrySystem(Fakes):
     """The processes of the entry and the fake endpoints by name."""
 
     def __init__(self, folder: Path) -> None:
--- a/tests/integration/platform_system.py
+++ b/tests/integration/platform_system.py
@@ -27,7 +27,7 @@
 KEY = "k1"
 LOOKUP = "/lookup/"
 SCORE = "/score/"
-NOBODY_LISTENS = -1
+CONNECT_FAILED = -1
 NO_ANSWER = 0
 STATUS_PROGRAM = "from ibisspring_cli.main import main; main()"
 
@@ -121,11 +121,11 @@
         # Engines get ports of their own, as all processes share the machine's loopback addresses.
         self.engine_ports = iter([free_port() for _ in range(8)])
 
-    def add(self, role: str, number: int, found: bool = True) -> Process:
+    def add(self, role: str, number: int, bootstrap: bool = True) -> Process:
         """
         Write a daemon's settings file and create its process without starting it.
 
-        :param found: whether the daemon may bootstrap its cluster.
+        :param bootstrap: whether the daemon may bootstrap its cluster.
         """
         name = f"{role}-{number}"
         ip = f"127.1.{NETWORK_BY_ROLE[role]}.{number}"
@@ -150,7 +150,7 @@
             "listen": listen,
             "internal_ports": [self.ports["peer"], self.ports["peer"]],
             "seeds": self.seeds,
-            "bootstrap": found,
+            "bootstrap": bootstrap,
             "data_dir": None if role == "entry" else str(data),
             "heartbeat_ms": 300,
             "fault_tolerance": {"machines": 1},
@@ -295,7 +295,7 @@
         status, body = await self.call("GET", f"/v1/lots/{name}?after=0", "x", None, entry)
         return json.loads(body) if status == 200 else None
 
-    async def whole(self, name: str, total: int, entry: int = 1) -> dict:
+    async def wait_all_results(self, name: str, total: int, entry: int = 1) -> dict:
         """Wait until `total` results of a job are listed, and return them."""
 
         async def listed() -> dict | None:
@@ -340,7 +340,7 @@
     """
     Make an HTTP call and return its status and body.
 
-    The status is `NOBODY_LISTENS` if the connection failed, so that nothing was sent, and
+    The status is `CONNECT_FAILED` if the connection failed, so that nothing was sent, and
     `NO_ANSWER` if the call failed after that or timed out.
     """
     timeout = aiohttp.ClientTimeout(total=5.0)
@@ -351,7 +351,7 @@
         ):
             return answer.status, await answer.read()
     except aiohttp.ClientConnectorError:
-        return NOBODY_LISTENS, b""
+        return CONNECT_FAILED, b""
     except (aiohttp.ClientError, TimeoutError, OSError):
         return NO_ANSWER, b""
 
--- a/tests/integration/replicas.py
+++ b/tests/integration/replicas.py
@@ -46,7 +46,7 @@
             for target, address in self.listen_by_daemon.items():
                 if target == source:
                     continue
-                proxy = await FaultProxy.before(address)
+                proxy = await FaultProxy.in_front_of(address)
                 self.proxy_by_path[(source, target)] = proxy
                 settings["control_addresses"][target] = proxy.address
 
@@ -71,10 +71,10 @@
         for daemon in self.http_by_daemon:
             self.start(daemon)
         for daemon in self.http_by_daemon:
-            await self.wait_up(daemon)
+            await self.wait_answers(daemon)
 
-    async def wait_up(self, daemon: str) -> None:
-        await wait_until(lambda: self.local(daemon), f"{daemon} to answer")
+    async def wait_answers(self, daemon: str) -> None:
+        await wait_until(lambda: self.local_state(daemon), f"{daemon} to answer")
 
     async def control(self, *arguments: str) -> Any:
         """Run `ibisspring control` in a thread, so that this process's proxies keep running."""
@@ -85,7 +85,7 @@
     def process(self, daemon: str) -> Process:
         return self.cluster.process_by_name[daemon]
 
-    async def found(self) -> None:
+    async def bootstrap(self) -> None:
         """Start all replicas, bootstrap them and wait for a leader."""
         await self.start_all()
         result = await self.control("bootstrap")
@@ -102,18 +102,18 @@
         except (aiohttp.ClientError, TimeoutError):
             return None
 
-    async def local(self, daemon: str) -> Any:
+    async def local_state(self, daemon: str) -> Any:
         """Return a replica's own state without a confirmed read, or None if it does not answer."""
         return await self._http(daemon, "GET", "/local")
 
-    async def leader(self, but: str = "") -> str:
-        """Wait for a leader other than `but` that holds its lease, and return its daemon id."""
+    async def leader(self, other_than: str = "") -> str:
+        """Wait for a leader other than `other_than` that holds its lease; return its daemon id."""
 
         async def find_leader() -> str:
             for daemon, process in self.cluster.process_by_name.items():
-                if daemon == but or not process.alive():
+                if daemon == other_than or not process.alive():
                     continue
-                local = await self.local(daemon)
+                local = await self.local_state(daemon)
                 if local and local["is_leader"] and local["lease_left_s"] > 0:
                     return daemon
             return ""
@@ -124,7 +124,7 @@
         """Propose a line once and return the answer, or None if there is none."""
         return await self._http(daemon, "POST", "/propose", line.encode())
 
-    async def accept(self, line: str, but: str = "") -> int:
+    async def accept(self, line: str, other_than: str = "") -> int:
         """
         Propose a line to the leader until it is accepted, and return its index.
 
@@ -132,7 +132,7 @@
         """
 
         async def accepted() -> int:
-            answer = await self.propose(await self.leader(but), line)
+            answer = await self.propose(await self.leader(other_than), line)
             return answer["index"] if answer and "index" in answer else 0
 
         return await wait_until(accepted, f"{line!r} to be accepted")
@@ -145,7 +145,7 @@
         """Wait until a replica has applied all given lines."""
 
         async def applied() -> bool:
-            local = await self.local(daemon)
+            local = await self.local_state(daemon)
             return local is not None and set(lines) <= set(local["lines"])
 
         await wait_until(applied, f"{daemon} to apply {len(lines)} lines")
--- a/tests/integration/rules_system.py
+++ b/tests/integration/rules_system.py
@@ -12,7 +12,7 @@
 from integration.cluster import Cluster
 from integration.processes import command_line, wait_until
 
-ASKED = "# asked: archive desk, ticket 118"
+RULE_COMMENT = "# asked: archive desk, ticket 118"
 KEY = "key-of-the-forge"
 
 
@@ -20,8 +20,8 @@
     """Return a rules file with one client account and the given lines after it."""
     granted = " ".join(f"key sha256:{key_digest(key)}" for key in keys)
     lines = [
-        f"client_account forge {granted} rate 1000/s weight 1 {ASKED}",
-        f"allow forge service scorer-lm, archive-app {ASKED}",
+        f"client_account forge {granted} rate 1000/s weight 1 {RULE_COMMENT}",
+        f"allow forge service scorer-lm, archive-app {RULE_COMMENT}",
         *extra,
     ]
     return "".join(f"{line}\n" for line in lines)
@@ -51,11 +51,11 @@
         return await asyncio.to_thread(command_line, *self.options, *arguments)
 
     @staticmethod
-    def command(*arguments: str) -> subprocess.CompletedProcess[str]:
+    def run_without_options(*arguments: str) -> subprocess.CompletedProcess[str]:
         """Run the command line without the system's `--control` options."""
         return command_line(*arguments)
 
-    async def found(self) -> None:
+    async def bootstrap(self) -> None:
         """Start all daemons, bootstrap the cluster and wait until every entry is ready."""
         self.cluster.start_all()
 
@@ -78,21 +78,21 @@
         path.write_text(text)
         return await self.run("rules", "apply", str(path), "--base", str(base), *arguments)
 
-    async def ask(self, *arguments: str) -> dict[str, Any]:
+    async def run_json(self, *arguments: str) -> dict[str, Any]:
         """Run a command with `--json`, check that it succeeds and return its decoded output."""
         result = await self.run(*arguments, "--json")
         assert result.returncode == 0, result.stderr + result.stdout
         return json.loads(result.stdout)
 
-    async def leader(self, but: str = "") -> str:
-        """Wait for a leader other than `but` and return its daemon id."""
+    async def leader(self, other_than: str = "") -> str:
+        """Wait for a leader other than `other_than` and return its daemon id."""
 
-        async def found() -> str:
+        async def find_leader() -> str:
             result = await self.run("status", "--json")
             leader = json.loads(result.stdout)["leader"] if result.returncode == 0 else ""
-            return leader if leader != but else ""
+            return leader if leader != other_than else ""
 
-        return await wait_until(found, f"a leader other than {but!r}")
+        return await wait_until(find_leader, f"a leader other than {other_than!r}")
 
     def stop_all(self) -> None:
         self.cluster.stop_all()
--- a/tests/integration/test_consensus_basics.py
+++ b/tests/integration/test_consensus_basics.py
@@ -12,7 +12,7 @@
 async def test_accepted_lines_survive_a_restart_of_all_replicas(tmp_path, count) -> None:
     replicas = Replicas.from_count(tmp_path, count)
     try:
-        await replicas.found()
+        await replicas.bootstrap()
         lines = [f"line {number}" for number in range(20)]
         for line in lines:
             await replicas.accept(line)
@@ -29,10 +29,10 @@
 async def test_graceful_stop_transfers_leadership(tmp_path) -> None:
     replicas = Replicas.from_count(tmp_path, 3)
     try:
-        await replicas.found()
+        await replicas.bootstrap()
         old = await replicas.leader()
         assert await replicas.process(old).terminate() == 0
-        assert await replicas.leader(but=old) != old
+        assert await replicas.leader(other_than=old) != old
     finally:
         replicas.stop_all()
 
@@ -42,13 +42,13 @@
     try:
         replicas.start("c1")
         replicas.start("c2")
-        await replicas.wait_up("c1")
-        await replicas.wait_up("c2")
+        await replicas.wait_answers("c1")
+        await replicas.wait_answers("c2")
         result = await replicas.control("bootstrap")
         assert result.returncode == 1
         assert "c3 does not answer" in result.stderr
         replicas.start("c3")
-        await replicas.wait_up("c3")
+        await replicas.wait_answers("c3")
         assert (await replicas.control("bootstrap")).returncode == 0
         second = await replicas.control("bootstrap")
         assert second.returncode == 1
--- a/tests/integration/test_consensus_faults.py
+++ b/tests/integration/test_consensus_faults.py
@@ -32,7 +32,7 @@
             await replicas.add_proxies()
         for proxy in replicas.proxy_by_path.values():
             proxy.delay_s = delay_s
-        await replicas.found()
+        await replicas.bootstrap()
         yield replicas
     finally:
         replicas.stop_all()
@@ -74,7 +74,7 @@
 
 
 async def terms(replicas: Replicas, daemons) -> set[int]:
-    return {(await replicas.local(daemon))["term"] for daemon in daemons}
+    return {(await replicas.local_state(daemon))["term"] for daemon in daemons}
 
 
 async def assert_all_hold(replicas: Replicas, lines: list[str]) -> None:
@@ -84,7 +84,7 @@
     """
     for daemon in replicas.http_by_daemon:
         await replicas.wait_lines(daemon, lines)
-    states = [await replicas.local(daemon) for daemon in replicas.http_by_daemon]
+    states = [await replicas.local_state(daemon) for daemon in replicas.http_by_daemon]
     shortest = min(len(state["lines"]) for state in states)
     assert all(state["lines"][:shortest] == states[0]["lines"][:shortest] for state in states)
     for state in states:
@@ -109,12 +109,12 @@
             replicas.process(leader).kill()
             await writers.wait_accepted(20)
             replicas.start(leader)
-            await replicas.wait_up(leader)
+            await replicas.wait_answers(leader)
         await writers.stop()
         await assert_all_hold(replicas, writers.accepted)
 
 
-async def test_frozen_leader_believes_nothing_old_after_it_thaws(tmp_path) -> None:
+async def test_a_resumed_leader_answers_no_read_from_its_old_state(tmp_path) -> None:
     """
     Guards against a control VM that reports a withdrawn key as valid after it was suspended.
 
@@ -127,12 +127,12 @@
         old = await replicas.leader()
         replicas.process(old).freeze()
         reading = asyncio.create_task(replicas.read(old))
-        new = await replicas.leader(but=old)
-        await replicas.accept("after", but=old)
+        new = await replicas.leader(other_than=old)
+        await replicas.accept("after", other_than=old)
         replicas.process(old).thaw()
         answer = await reading
         assert answer is None or "after" in answer.get("lines", ["after"])
-        local = await replicas.local(old)
+        local = await replicas.local_state(old)
         assert local["lease_left_s"] == 0 or local["term"] > 1
         assert new != old
         await assert_all_hold(replicas, ["before", "after"])
@@ -164,7 +164,7 @@
         assert await replicas.leader() == leader
 
 
-async def test_leader_that_hears_nobody_gives_up(tmp_path) -> None:
+async def test_a_leader_that_receives_no_replies_steps_down(tmp_path) -> None:
     """
     Guards against a cluster that accepts no command for as long as a one-way partition lasts.
 
@@ -175,14 +175,14 @@
         old = await replicas.leader()
         for proxy in replicas.paths_of(old, inward=True, outward=False):
             await proxy.silence()
-        assert await replicas.leader(but=old) != old
-        await replicas.accept("after", but=old)
-        assert (await replicas.local(old))["lease_left_s"] == 0
+        assert await replicas.leader(other_than=old) != old
+        await replicas.accept("after", other_than=old)
+        assert (await replicas.local_state(old))["lease_left_s"] == 0
         refused = await replicas.propose(old, "to the old leader")
         assert refused is None or refused["reason"] in ("no_leader", "may_have_run")
 
 
-async def test_open_connections_gone_silent_are_left(tmp_path) -> None:
+async def test_silent_open_connections_are_replaced(tmp_path) -> None:
     """
     Guards against writes that hang forever although new connections between control VMs work.
 
--- a/tests/integration/test_duties_drain.py
+++ b/tests/integration/test_duties_drain.py
@@ -61,7 +61,7 @@
     # once, the stream would break; if entries were not notified of the drain, they would keep
     # sending new requests to the engine. The stream must complete, new requests must go to another
     # engine, and only then does the platform receive a single stop order.
-    system = await DutiesSystem.found(tmp_path, drain_settle_s=2.0, drain_deadline_s=100.0)
+    system = await DutiesSystem.bootstrap(tmp_path, drain_settle_s=2.0, drain_deadline_s=100.0)
     try:
         await system.rules.apply(rules_text(), 0)
         first = await _start_engine(system, "engine-1")
@@ -75,7 +75,7 @@
         for _ in range(3):
             assert (await _generate(system, 4))[-1]["done"]
         assert await second.request_count() == 3
-        (order,) = await system.wait_sent(1)
+        (order,) = await system.wait_received(1)
         assert await first.outcomes() == ["done"], "the stop order was sent before the stream's end"
         lines = await stream
 
@@ -85,7 +85,7 @@
         assert await first.request_count() == 1
         assert await first.process.terminate() == 0
         await wait_until(lambda: _no_drains(system), "the drain to be removed")
-        assert len(await system.sent()) == 1
+        assert len(await system.received_orders()) == 1
     finally:
         await system.stop()
 
@@ -96,9 +96,9 @@
 
 
 async def _is_listed(system: DutiesSystem, endpoint: str) -> bool:
-    status = await system.rules.ask("status")
+    status = await system.rules.run_json("status")
     return endpoint in [record["endpoint"] for record in status["endpoints"]]
 
 
 async def _no_drains(system: DutiesSystem) -> bool:
-    return (await system.rules.ask("status"))["draining"] == []
+    return (await system.rules.run_json("status"))["draining"] == []
--- a/tests/integration/test_duties_orders.py
+++ b/tests/integration/test_duties_orders.py
@@ -15,19 +15,19 @@
     # A leader orders endpoint starts and is killed with SIGKILL while the platform processes an
     # order, which may have been executed. If the next leader did not know of the order, or sent it
     # again under another id, an endpoint would be started twice, or paid for without being used.
-    system = await DutiesSystem.found(tmp_path)
+    system = await DutiesSystem.bootstrap(tmp_path)
     try:
         await system.fault("platform", delay_s=0.4)
         killed = await system.rules.leader()
-        await system.place(ENDPOINTS)
-        await system.wait_sent(3)
+        await system.apply_placement(ENDPOINTS)
+        await system.wait_received(3)
         system.cluster.process_by_name[killed].kill()
 
-        await system.wait_sent(1, but=killed)
+        await system.wait_received(1, other_than=killed)
         await wait_until(
             lambda: _all_endpoints_started(system), "all endpoints to be started", 60.0
         )
-        await system.wait_no_open_orders()
+        await system.wait_orders_resolved()
 
         log = await system.log("platform")
         check_orders(log["sent"])
@@ -41,19 +41,19 @@
     # A leader has committed an order and is opening the connection to send it when its VM freezes.
     # The connection is established, the next leader sends orders, then the old leader continues:
     # its order must not reach the platform beside those of the next leader.
-    system = await DutiesSystem.found(tmp_path)
+    system = await DutiesSystem.bootstrap(tmp_path)
     try:
         old_leader = await system.rules.leader()
         proxy = system.proxy_by_path[(old_leader, "platform")]
         await proxy.shut()
-        await system.place(ENDPOINTS)
+        await system.apply_placement(ENDPOINTS)
         await wait_until(lambda: _has_open_order(system), "an open order")
         system.cluster.process_by_name[old_leader].freeze()
         await proxy.reopen()
-        await system.wait_sent(2, but=old_leader)
+        await system.wait_received(2, other_than=old_leader)
         system.cluster.process_by_name[old_leader].thaw()
 
-        await system.wait_no_open_orders()
+        await system.wait_orders_resolved()
         await wait_until(
             lambda: _all_endpoints_started(system), "all endpoints to be started", 120.0
         )
@@ -68,18 +68,18 @@
 async def test_a_leader_cut_off_with_bytes_already_written(tmp_path) -> None:
     # A partition isolates the leader after it wrote an order to its socket, and the next leader
     # sends orders. When the partition heals, TCP retransmits the old order beside the new ones.
-    system = await DutiesSystem.found(tmp_path)
+    system = await DutiesSystem.bootstrap(tmp_path)
     try:
         await system.fault("platform", delay_s=0.4)
         old_leader = await system.rules.leader()
-        await system.place(ENDPOINTS)
-        await system.wait_sent(2)
+        await system.apply_placement(ENDPOINTS)
+        await system.wait_received(2)
         await _hold_next_order(system, old_leader)
-        await system.cut_off(old_leader)
-        await system.wait_sent(2, but=old_leader)
+        await system.isolate(old_leader)
+        await system.wait_received(2, other_than=old_leader)
         await system.heal(old_leader)
 
-        await system.wait_no_open_orders()
+        await system.wait_orders_resolved()
         await wait_until(
             lambda: _all_endpoints_started(system), "all endpoints to be started", 120.0
         )
@@ -93,7 +93,7 @@
 
 
 async def _has_open_order(system: DutiesSystem) -> bool:
-    return bool((await system.rules.ask("status"))["open_orders"])
+    return bool((await system.rules.run_json("status"))["open_orders"])
 
 
 async def _hold_next_order(system: DutiesSystem, leader: str) -> None:
--- a/tests/integration/test_duties_usage.py
+++ b/tests/integration/test_duties_usage.py
@@ -39,7 +39,7 @@
 
 async def _counted_calls(system: DutiesSystem) -> int:
     """Return the number of calls in the replicated usage counts."""
-    result = await system.rules.ask("usage", "show")
+    result = await system.rules.run_json("usage", "show")
     return sum(line["calls"] for window in result["windows"] for line in window["lines"])
 
 
@@ -59,7 +59,7 @@
     # frozen or partitioned before it could record the report. Late usage of the same window
     # arrives. The next leader must report the window with the same figures, and only after the old
     # leader stopped reporting; the late usage must go into a later window and be marked as late.
-    system = await DutiesSystem.found(tmp_path, usage_window_s=WINDOW_S)
+    system = await DutiesSystem.bootstrap(tmp_path, usage_window_s=WINDOW_S)
     try:
         await system.fault("usage", answer_late_s=1.5)
         window = int(time.time() // WINDOW_S)
@@ -94,7 +94,7 @@
     elif fault == "freeze":
         process.freeze()
     else:
-        await system.cut_off(daemon)
+        await system.isolate(daemon)
 
 
 async def _remove_fault(system: DutiesSystem, daemon: str, fault: str) -> None:
@@ -104,8 +104,8 @@
         await system.heal(daemon)
 
 
-async def _other_reporter(system: DutiesSystem, but: str) -> bool:
-    return any(report["reporter"] != but for report in await _reports(system))
+async def _other_reporter(system: DutiesSystem, other_than: str) -> bool:
+    return any(report["reporter"] != other_than for report in await _reports(system))
 
 
 async def _all_reported(system: DutiesSystem, calls: int) -> bool:
@@ -175,7 +175,7 @@
 ) -> None:
     # An entry sends its usage to control and the answers are lost, so the entry resends the same
     # usage. Then the entry is restarted. The client account must be billed exactly once a call.
-    system = await DutiesSystem.found(tmp_path, usage_window_s=WINDOW_S)
+    system = await DutiesSystem.bootstrap(tmp_path, usage_window_s=WINDOW_S)
     try:
         await system.rules.apply(rules_text(), 0)
         await _start_service(system)
--- a/tests/integration/test_platform_path.py
+++ b/tests/integration/test_platform_path.py
@@ -27,7 +27,7 @@
         yield system
 
 
-async def test_the_whole_path(system) -> None:
+async def test_bootstrap_lookups_a_job_and_a_weight_update_without_faults(system) -> None:
     # The complete path without faults and with real processes: a system that bootstraps itself, a
     # configuration, lookups under a key, a job with its results, and a new version of its weights.
     status, document = await system.control("GET", "/v1/Config.Read")
@@ -35,14 +35,16 @@
     assert (await system.call("POST", f"{LOOKUP}7", "a1"))[1] == f"{LOOKUP}7".encode()
     assert (await system.call("POST", f"{LOOKUP}7", "a2", key="nobody's"))[0] == 401
     assert (await system.call("POST", "/nowhere/7", "a3"))[0] == 404
-    heads = {head["attempt-id"]: head for engine in system.engines for head in engine.heads}
+    heads = {
+        head["attempt-id"]: head for engine in system.engines for head in engine.request_headers
+    }
     assert heads["a1"]["tenant"] == "forge"
     assert "authorization" not in heads["a1"]
     assert "a2" not in heads
 
     await system.submit("lot1", job(6))
     await system.submit("lot1", job(6), entry=2)
-    read = await system.whole("lot1", 6, entry=2)
+    read = await system.wait_all_results("lot1", 6, entry=2)
     assert read["total"] == 6
     by_item = {result["id"]: result for result in read["results"]}
     assert by_item["i3"]["output"] == "\n".join(f"i3-{n}" for n in range(1, 6))
@@ -54,7 +56,7 @@
     published = {"model": "m", "version": 2}
     assert (await system.control("POST", "/v1/version-put", published))[0] == 200
     await system.submit("lot2", job(4, min_version=2, prefix="j"))
-    read = await system.whole("lot2", 4)
+    read = await system.wait_all_results("lot2", 4)
     assert all(result["versions"] == [2] for result in read["results"])
     orders = [order for engine in system.engines for order in engine.orders]
     assert {(order["op"], order["version"]) for order in orders} == {("version", 2)}
@@ -67,7 +69,7 @@
         engine.events = 400
         engine.event_s = 0.001
     await system.submit("long", job(8))
-    read = await system.whole("long", 8)
+    read = await system.wait_all_results("long", 8)
     assert sum(len(one["output"]) for one in read["results"]) > INLINE_BYTES
     assert await system.results("long", entry=2) == read
 
@@ -110,7 +112,9 @@
     await wait_until(used, "the second archive to be used")
     other.state = "draining"
 
-    await wait_until(lambda: "draining" in other.acknowledged, "the drain to be acknowledged")
+    await wait_until(
+        lambda: "draining" in other.acknowledged_states, "the drain to be acknowledged"
+    )
 
     async def unused() -> bool:
         before = len(other.runs)
--- a/tests/integration/test_platform_rewards.py
+++ b/tests/integration/test_platform_rewards.py
@@ -62,12 +62,14 @@
     # neither a key nor a client account.
     await system.submit("lot1", job(6, scored=True))
 
-    read = await system.whole("lot1", 6)
+    read = await system.wait_all_results("lot1", 6)
 
     stamp = f"stamp-{archive(system).engine}"
     assert {one["score"] for one in read["results"]} == {stamp}
     assert {one["state"] for one in read["results"]} == {"completed"}
-    heads = [head for head in archive(system).heads if head["attempt-id"].startswith("r-")]
+    heads = [
+        head for head in archive(system).request_headers if head["attempt-id"].startswith("r-")
+    ]
     assert {head["attempt-id"] for head in heads} == {f"r-i{number}" for number in range(6)}
     for head in heads:
         assert head["host"] == HOST
@@ -79,9 +81,9 @@
 async def test_a_call_that_always_fails_ends_as_abandoned(system) -> None:
     # One text cannot be scored: the endpoint fails its reward call each time. The item must be
     # listed as abandoned after as many failures as the route allows; the other items must complete.
-    archive(system).failing = {"r-i1"}
+    archive(system).failing_attempts = {"r-i1"}
     await system.submit("lot1", job(4, scored=True))
-    read = await system.whole("lot1", 4)
+    read = await system.wait_all_results("lot1", 4)
 
     state_by_item = {one["id"]: one["state"] for one in read["results"]}
     assert state_by_item.pop("i1") == "abandoned"
@@ -90,7 +92,7 @@
     assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
 
-async def test_a_whole_text_outlives_the_entry_that_read_it(system) -> None:
+async def test_a_complete_text_is_kept_across_the_crash_of_its_entry(system) -> None:
     # The texts of both entries are complete and their reward calls in progress when one entry is
     # killed. No text may be generated again: the other entry must repeat only the reward calls.
     await submit_and_delay_rewards(system)
@@ -100,12 +102,12 @@
     system.process_by_name[f"entry-{killed}"].kill()
     archive(system).answer_s = 0.0
 
-    read = await system.whole("lot1", 4, entry=3 - killed)
+    read = await system.wait_all_results("lot1", 4, entry=3 - killed)
     assert all(one["score"] for one in read["results"])
     assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
 
-async def test_a_whole_text_outlives_the_end_of_all_processes(system) -> None:
+async def test_a_complete_text_is_kept_across_a_restart_of_all_processes(system) -> None:
     # All VMs lose power when texts are complete but not scored. The texts are part of the state
     # that the stores acknowledged, so they must not be generated again.
     await submit_and_delay_rewards(system)
@@ -116,7 +118,7 @@
     archive(system).answer_s = 0.0
     await wait_served(system, 2)
 
-    read = await system.whole("lot1", 4)
+    read = await system.wait_all_results("lot1", 4)
     assert all(one["score"] for one in read["results"])
     assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
@@ -133,7 +135,7 @@
     archive(system).answer_s = 0.0
     assert await system.process_by_name[f"entry-{stopped}"].terminate() == 0
 
-    read = await system.whole("lot1", 4, entry=3 - stopped)
+    read = await system.wait_all_results("lot1", 4, entry=3 - stopped)
     assert all(one["score"] for one in read["results"])
     assert generated_texts(system) == [f"i{number}" for number in range(4)]
 
--- a/tests/integration/test_requests_failures.py
+++ b/tests/integration/test_requests_failures.py
@@ -9,7 +9,7 @@
 import aiohttp
 import pytest
 
-from integration.lone_system import KEY, MODEL, SERVICE, LoneSystem, expected_tokens
+from integration.lone_system import KEY, MODEL, SERVICE, StandaloneEntrySystem, expected_tokens
 from integration.processes import free_address, wait_until
 from integration.proxy import FaultProxy, Mode
 
@@ -17,23 +17,25 @@
 
 
 @pytest.fixture
-async def system(tmp_path: Path) -> AsyncIterator[LoneSystem]:
-    lone = LoneSystem(tmp_path)
+async def system(tmp_path: Path) -> AsyncIterator[StandaloneEntrySystem]:
+    lone = StandaloneEntrySystem(tmp_path)
     await lone.start_entry(silence_s=0.5, caller_silence_s=3.0)
     yield lone
     lone.stop_all()
 
 
-async def proxied(system: LoneSystem, kind: str, name: str, **options: object) -> FaultProxy:
+async def proxied(
+    system: StandaloneEntrySystem, kind: str, name: str, **options: object
+) -> FaultProxy:
     """Start an endpoint that announces the address of a fault-injecting proxy as its own."""
     listen = free_address()
-    proxy = await FaultProxy.before(listen)
+    proxy = await FaultProxy.in_front_of(listen)
     start = system.start_engine if kind == "engine" else system.start_plain
     await start(name, listen=listen, advertise=proxy.address, **options)
     return proxy
 
 
-async def wait_generated(system: LoneSystem, name: str, tokens: int) -> None:
+async def wait_generated(system: StandaloneEntrySystem, name: str, tokens: int) -> None:
     """Wait until an engine has generated at least `tokens` tokens over all requests."""
 
     async def made() -> bool:
@@ -55,14 +57,14 @@
 
     answer = await answering
 
-    assert answer.whole()
+    assert answer.is_complete()
     assert answer.tokens() == expected_tokens(PROMPT, 200)
     (request,) = (await system.log("scorer-2"))["requests"]
     assert request["resumed_at"] >= 36
     assert request["made"] == 200 - request["resumed_at"]
 
 
-async def test_a_stream_that_no_engine_can_finish_says_so(system) -> None:
+async def test_a_stream_that_no_engine_can_finish_ends_with_an_error(system) -> None:
     # The only engine always ends its stream without the end mark. The caller's stream used to end
     # without an error, and the caller stored a truncated answer as a complete one.
     await system.start_engine("scorer-1", tokens_per_s=100)
@@ -70,7 +72,7 @@
 
     answer = await system.generate(PROMPT, 40)
 
-    assert not answer.whole()
+    assert not answer.is_complete()
     assert answer.lines[-1]["error"]["not_run"] is False
     assert answer.tokens() == expected_tokens(PROMPT, 40)
 
@@ -86,7 +88,7 @@
 
     alive = [name for name, process in system.process_by_name.items() if process.alive()]
     assert len(alive) - 1 >= 2
-    assert not answer.whole()
+    assert not answer.is_complete()
 
 
 async def test_crossed_answers_reach_nobody(system) -> None:
@@ -146,7 +148,7 @@
     await proxy.set_modes_of_open(Mode.PASS, Mode.SILENT)
     answer = await asyncio.wait_for(answering, 60)
 
-    assert answer.whole()
+    assert answer.is_complete()
     assert answer.tokens() == expected_tokens(PROMPT, 100)
     requests = (await system.log("scorer-1"))["requests"]
     assert requests[-1]["resumed_at"] >= 16
@@ -183,7 +185,7 @@
     await proxy.stop()
 
 
-async def test_an_engine_that_stands_still_is_left(system) -> None:
+async def test_a_generation_continues_on_another_engine_after_a_stall(system) -> None:
     # An engine still answers status requests but generates no more tokens. A trainer's step
     # used to wait for that engine; its requests must continue on another engine.
     await system.start_engine("scorer-1", tokens_per_s=100)
@@ -194,7 +196,7 @@
 
     answer = await asyncio.wait_for(answering, 60)
 
-    assert answer.whole()
+    assert answer.is_complete()
     assert answer.tokens() == expected_tokens(PROMPT, 100)
     (resumed,) = (await system.log("scorer-2"))["requests"]
     assert resumed["resumed_at"] >= 16
@@ -205,7 +207,7 @@
     # accepts no more bytes. The engine used to continue without a reader, which occupied a slot and
     # was billed to the client account.
     await system.start_engine("scorer-1", tokens_per_s=200_000)
-    proxy = await FaultProxy.before(system.url.removeprefix("http://"))
+    proxy = await FaultProxy.in_front_of(system.url.removeprefix("http://"))
     body = {"model": MODEL, "prompt": PROMPT, "max_tokens": 1_000_000, "stream": True}
     headers = {"Authorization": f"Bearer {KEY}"}
     async with aiohttp.ClientSession() as session:
@@ -240,7 +242,7 @@
         writer.close()
 
 
-async def test_a_broken_connection_repeats_nothing(system: LoneSystem) -> None:
+async def test_a_broken_connection_repeats_nothing(system: StandaloneEntrySystem) -> None:
     # A ticket is deleted, and the connection breaks before the answer. The HTTP client library
     # treated DELETE and PUT as repeatable and resent them, so that the next ticket was deleted too.
     await system.start_plain("archive-1")
@@ -254,7 +256,7 @@
     assert [answer.error()["not_run"] for answer in answers] == [False] * len(methods)
 
 
-async def test_not_run_is_said_only_when_it_is_true(system) -> None:
+async def test_not_run_matches_whether_the_endpoint_ran_the_request(system) -> None:
     # Compares `not_run` of each refusal with the calls that the endpoint itself logged as run.
     await system.start_plain("archive-1")
     path = f"/v1/services/{SERVICE}/tickets"
--- a/tests/integration/test_requests_peers.py
+++ b/tests/integration/test_requests_peers.py
@@ -26,7 +26,7 @@
     system.cluster.start_other(name, python_module("fakes.plain", *arguments))
 
 
-async def test_silent_connections_between_entries_are_left(tmp_path: Path) -> None:
+async def test_silent_connections_between_entries_are_replaced(tmp_path: Path) -> None:
     # Two entries exchange endpoint records over connections whose state the network path drops: the
     # connections stay open and deliver nothing. From then on each entry used to know only the
     # endpoints that announced to it, and refused requests that only other endpoints could serve.
@@ -34,11 +34,11 @@
     proxies = {}
     for daemon in rules.entries():
         settings = rules.cluster.settings_by_daemon[daemon]["entry"]
-        proxies[daemon] = await FaultProxy.before(settings["listen_peer"])
+        proxies[daemon] = await FaultProxy.in_front_of(settings["listen_peer"])
         settings["advertise_peer"] = proxies[daemon].address
     system = RequestsSystem(tmp_path, rules)
     try:
-        await rules.found()
+        await rules.bootstrap()
         assert (await rules.apply(rules_text(), 0)).returncode == 0
         await wait_until(lambda: any(proxy.links for proxy in proxies.values()), "the exchange")
 
--- a/tests/integration/test_rules_five.py
+++ b/tests/integration/test_rules_five.py
@@ -5,14 +5,14 @@
 import aiohttp
 
 from integration.processes import http_answers, wait_until
-from integration.rules_system import ASKED, KEY, RulesSystem, rules_text
+from integration.rules_system import KEY, RULE_COMMENT, RulesSystem, rules_text
 
 EXIT_NO_LEADER = 3
 EXIT_UNKNOWN = 4
 
 
 def _rules_of_version(version: int) -> str:
-    return rules_text(f"timeout archive-app {version} s {ASKED}")
+    return rules_text(f"timeout archive-app {version} s {RULE_COMMENT}")
 
 
 async def _lookup(system: RulesSystem) -> tuple[int, dict]:
@@ -34,14 +34,14 @@
     system = RulesSystem.from_counts(tmp_path, controls=5, entries=1)
     processes = system.cluster.process_by_name
     try:
-        await system.found()
+        await system.bootstrap()
         assert (await system.apply(_rules_of_version(1), 0)).returncode == 0
         leader = await system.leader()
         others = [name for name in sorted(processes) if name.startswith("c") and name != leader]
 
         for lost in (leader, others[0]):
             processes[lost].kill()
-        await system.leader(but=leader)
+        await system.leader(other_than=leader)
         applied = await system.apply(_rules_of_version(2), 1)
         assert applied.returncode == 0, applied.stderr
 
@@ -59,7 +59,7 @@
 
         system.cluster.start(leader)
         await system.cluster.wait_ready("e1")
-        shown = await system.ask("rules", "show")
+        shown = await system.run_json("rules", "show")
         # The unanswered change may have been committed later, but only as a complete file.
         assert (shown["version"], shown["text"]) in (
             (2, _rules_of_version(2)),
--- a/tests/integration/test_rules_never_revert.py
+++ b/tests/integration/test_rules_never_revert.py
@@ -8,7 +8,7 @@
 from ibisspring_core.control_client import ControlClient
 from ibisspring_core.messages.commands import ApplyRules, RulesApplied
 from ibisspring_core.request_ids import new_request_id
-from integration.rules_system import ASKED, RulesSystem, rules_text
+from integration.rules_system import RULE_COMMENT, RulesSystem, rules_text
 
 VERSIONS = 30
 SNAPSHOT_EVERY = 10
@@ -26,7 +26,7 @@
     control_addresses = [option.removeprefix("--control=") for option in system.options]
     client = ControlClient({listen: listen for listen in control_addresses})
     try:
-        await system.found()
+        await system.bootstrap()
         for version in range(1, VERSIONS + 1):
             if version == 9:
                 leader = await system.leader()
@@ -40,14 +40,14 @@
             if version == 25:
                 system.cluster.process_by_name["e1"].kill()
                 system.cluster.start("e1")
-            text = rules_text(f"timeout archive-app {version} s {ASKED}")
+            text = rules_text(f"timeout archive-app {version} s {RULE_COMMENT}")
             command = ApplyRules(version - 1, text, "ana")
 
             applied = await client.propose(command, new_request_id(), total_s=PROPOSAL_TIMEOUT_S)
 
             assert applied == RulesApplied(version)
         await system.cluster.wait_ready("e1")
-        shown = await system.ask("rules", "show")
+        shown = await system.run_json("rules", "show")
         assert (shown["version"], shown["text"]) == (VERSIONS, text)
         _check_never_decreases(_in_force(tmp_path, "e2"))
         # The restarted entry has lost its state; its first view after the restart is checked too.
--- a/tests/integration/test_rules_operators.py
+++ b/tests/integration/test_rules_operators.py
@@ -11,7 +11,7 @@
 from ibisspring_core.errors import Refusal
 from integration.processes import wait_until
 from integration.proxy import FaultProxy, Mode
-from integration.rules_system import ASKED, RulesSystem, rules_text
+from integration.rules_system import RULE_COMMENT, RulesSystem, rules_text
 
 EXIT_UNKNOWN = 4
 EXIT_CONFLICT = 5
@@ -21,20 +21,20 @@
 async def system(tmp_path):
     system = RulesSystem.from_counts(tmp_path, controls=3, entries=1)
     try:
-        await system.found()
+        await system.bootstrap()
         yield system
     finally:
         system.stop_all()
 
 
-async def test_of_two_operators_under_one_base_one_wins_and_the_other_is_told(system) -> None:
+async def test_two_operators_with_the_same_base_get_one_success_and_one_conflict(system) -> None:
     """
     Guards against a change that is silently overwritten by another operator's.
 
     Two operators edit version 0 and apply different files at the same moment. Without the
     compare-and-set in the log, both would receive "accepted" and one change would be lost.
     """
-    lines = {name: f"timeout service-of-{name} 2 s {ASKED}" for name in ("ana", "bor")}
+    lines = {name: f"timeout service-of-{name} 2 s {RULE_COMMENT}" for name in ("ana", "bor")}
     results = await asyncio.gather(
         *(
             system.apply(rules_text(line), 0, "--operator", name, "--json")
@@ -48,7 +48,7 @@
     error = json.loads(conflict.stdout)["error"]
     assert (error["version"], error["operator"]) == (1, winner)
     assert f"+ {lines[winner]}" in error["changed_lines"]
-    shown = await system.ask("rules", "show")
+    shown = await system.run_json("rules", "show")
     assert shown["version"] == 1
     assert lines[winner] in shown["text"] and lines[loser] not in shown["text"]
 
@@ -64,7 +64,9 @@
     the operator would receive a conflict.
     """
     leader = await system.leader()
-    proxy = await FaultProxy.before(system.cluster.settings_by_daemon[leader]["control"]["listen"])
+    proxy = await FaultProxy.in_front_of(
+        system.cluster.settings_by_daemon[leader]["control"]["listen"]
+    )
     path = system.folder / "rules.txt"
     path.write_text(rules_text())
     entry = system.cluster.process_by_name["e1"]
@@ -73,7 +75,11 @@
     entry.freeze()
     arguments = ("rules", "apply", str(path), "--base", "0")
     running = asyncio.to_thread(
-        system.command, f"--control={proxy.address}", "--timeout=8", "--json", *arguments
+        system.run_without_options,
+        f"--control={proxy.address}",
+        "--timeout=8",
+        "--json",
+        *arguments,
     )
     applying = asyncio.create_task(running)
     await wait_until(lambda: _version(system), "the commit")
@@ -86,14 +92,14 @@
     assert f"--request-id {error['request_id']}" in error["message"]
     if leader_dies:
         system.cluster.process_by_name[leader].kill()
-        await system.leader(but=leader)
+        await system.leader(other_than=leader)
 
     resent = await system.apply(rules_text(), 0, "--request-id", error["request_id"])
     under_new_id = await system.apply(rules_text(), 0)
 
     assert resent.returncode == 0, resent.stdout + resent.stderr
     assert under_new_id.returncode == EXIT_CONFLICT
-    assert (await system.ask("rules", "show"))["version"] == 1
+    assert (await system.run_json("rules", "show"))["version"] == 1
 
 
 async def _version(system: RulesSystem) -> int:
--- a/tests/integration/test_rules_partition.py
+++ b/tests/integration/test_rules_partition.py
@@ -31,7 +31,7 @@
             for target, address in listen.items():
                 if (name in inside) == (target in inside):
                     continue
-                proxy = await FaultProxy.before(address)
+                proxy = await FaultProxy.in_front_of(address)
                 settings["control_addresses"][target] = proxy.address
                 self.proxies.append(proxy)
 
@@ -66,12 +66,12 @@
     await partition.add_proxies(system, {"c3", "e2"})
     url = system.cluster.url("e2")
     try:
-        await system.found()
+        await system.bootstrap()
         await _move_leader_to_majority(system)
         granted = await system.apply(rules_text(keys=(KEY, REMAINING_KEY)), 0)
         assert granted.returncode == 0, granted.stderr
         assert (await _ask(url, KEY))[1]["reason"] == "no_endpoint"
-        term = (await system.ask("status"))["term"]
+        term = (await system.run_json("status"))["term"]
         await partition.close()
 
         withdrawn = await system.apply(rules_text(keys=(REMAINING_KEY,)), 1)
@@ -101,10 +101,10 @@
     if await system.leader() != "c3":
         return
     await system.cluster.process_by_name["c3"].terminate()
-    await system.leader(but="c3")
+    await system.leader(other_than="c3")
     system.cluster.start("c3")
 
 
 async def _status_with_both_entries(system: RulesSystem) -> dict | None:
-    status = await system.ask("status")
+    status = await system.run_json("status")
     return status if len(status["entries"]) == 2 else None
--- a/tests/integration/test_rules_withdrawal.py
+++ b/tests/integration/test_rules_withdrawal.py
@@ -80,12 +80,12 @@
     system.cluster.start_other("engine-1", python_module("fakes.engine", *arguments))
 
     async def is_listed() -> bool:
-        return len((await system.ask("endpoint", "list"))["endpoints"]) == 1
+        return len((await system.run_json("endpoint", "list"))["endpoints"]) == 1
 
     await wait_until(is_listed, "the engine to be listed")
 
 
-async def test_a_withdrawn_key_ends_its_open_stream_and_its_place_in_line(
+async def test_a_withdrawn_key_ends_its_open_stream_and_its_queued_request(
     tmp_path, callers
 ) -> None:
     """
@@ -98,7 +98,7 @@
     system = RulesSystem.from_counts(tmp_path, controls=3, entries=1)
     url = system.cluster.url("e1")
     try:
-        await system.found()
+        await system.bootstrap()
         assert (await system.apply(rules_text(keys=BOTH_KEYS), 0)).returncode == 0
         await _start_engine(system, capacity=2)
         streams = [callers.open(url, KEY), callers.open(url, REMAINING_KEY)]
@@ -139,10 +139,10 @@
     proxies = []
     addresses = system.cluster.settings_by_daemon["e1"]["control_addresses"]
     for daemon, address in list(addresses.items()):
-        proxies.append(await FaultProxy.before(address))
+        proxies.append(await FaultProxy.in_front_of(address))
         addresses[daemon] = proxies[-1].address
     try:
-        await system.found()
+        await system.bootstrap()
         assert (await system.apply(rules_text(keys=BOTH_KEYS), 0)).returncode == 0
         await _start_engine(system, capacity=2)
         stream = callers.open(system.cluster.url("e1"), KEY)
