--- a/packages/ibisspring-decisions/src/ibisspring_decisions/admission.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/admission.py
@@ -4,12 +4,13 @@
 A client account sends most of its requests through one or two entries, because the balancer keeps
 connections open. With its rate divided evenly over 9 entries, an account whose connections all end
 at one entry would get a ninth of its rate; with the rate undivided, it would get nine times its
-rate. Entries therefore exchange their recent demand, and each takes a fraction of the rate in
-proportion to its own demand. Entries that lose contact with each other keep fractions that together
-never exceed the rate.
+rate. Entries therefore exchange their recent demand (requests per second of each account), and each
+takes a fraction of the rate in proportion to its own demand. Entries that lose contact with each
+other keep fractions that together never exceed the rate.
 
-A starting job sends a burst, and a broken client retries without a pause. Each rejection therefore
-carries a retry time of its own; without one, all rejected clients would retry at once.
+A starting job sends many requests at once, and a broken client retries without a delay. Each
+rejection therefore states a retry time of its own; without one, all rejected clients would retry at
+once.
 """
 
 from __future__ import annotations
@@ -21,20 +22,23 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Time constant of the exponential average of demand. Entries exchange their demand about once a
-# second: with less than 2 s, random variation would decide the fractions; with more, the fractions
-# would follow late when a connection moves to another entry.
+# Time constant in seconds of the exponential average of demand. Entries exchange their demand about
+# once a second: with less than 2 s, random variation would decide the fractions; with more, the
+# fractions would follow late when a connection moves to another entry.
 DEMAND_DECAY_S = 2.0
-# 20% of the rate is divided evenly whatever the demand, so that an entry without recent demand
-# admits its first requests before the next exchange. The other 80% are divided by demand.
+# Share of an account's rate that is divided evenly over the entries: 20% whatever the demand, so
+# that an entry without recent demand admits its first requests before the next exchange of demand.
+# The other 80% are divided in proportion to demand.
 EVEN_SHARE = 0.2
-# Demand of a peer is ignored after 3 s, when three exchanges were missed. From then on the entry
-# divides only the even shares of the entries that it still receives demand from, so that the two
-# sides of a network partition together never exceed the rate.
+# Seconds after which the demand last received from another entry is ignored: after 3 s, three
+# exchanges were missed. From then on, this entry divides only the even shares of the entries that
+# it still receives demand from, so that the two sides of a network partition together never exceed
+# the rate.
 DEMAND_MAX_AGE_S = 3.0
-# Beyond 30 s, a position among the waiting callers says nothing about the load at that time.
+# Longest retry time in seconds that a rejection states. Beyond 30 s, the number of callers that
+# retry before this one says nothing about the rate of requests at that time.
 MAX_RETRY_AFTER_S = 30.0
-# Less than one request in ten seconds counts as no demand.
+# Requests per second below which an account counts as without demand: one request in ten seconds.
 MIN_DEMAND_PER_S = 0.1
 
 
@@ -52,9 +56,10 @@
 @dataclass(frozen=True)
 class PeerDemand:
     """
-    Demand at another live entry.
+    Demand of the client accounts at another live entry.
 
-    :param received_s: when its latest demand was received; None if none was received.
+    :param received_s: time in seconds at which the other entry's latest demand was received; None
+        if none was received.
     :param demand_by_client_account: requests per second, rejected ones included.
     """
 
@@ -96,7 +101,7 @@
         """
         Set this entry's fraction of the account's rate and burst from now on.
 
-        :param fraction: from 0 to 1.
+        :param fraction: the fraction, from 0 to 1.
         """
         self.refill(now)
         self.fraction = fraction
@@ -111,13 +116,16 @@
         return max(1.0, self.rule.burst * self.fraction)
 
     def refill(self, now: float) -> None:
-        """Add the tokens that became due since the last call."""
+        """Add the tokens for the time since the bucket was last refilled."""
         passed_s = max(0.0, now - self.refilled_s)
         self.tokens = min(self.size(), self.tokens + passed_s * self.rate())
         self.refilled_s = now
 
     def ask(self, now: float) -> Admitted | NotAdmitted:
-        """Take a token for one request, or reject the request; both count as demand."""
+        """
+        Take a token for one request, or reject the request; in both cases the request counts as
+        demand.
+        """
         self.refill(now)
         self.average_demand = self.demand(now) + 1.0 / DEMAND_DECAY_S
         # Tokens are a sum of floats: a caller that retries exactly at its retry time must not be
@@ -147,11 +155,12 @@
     @classmethod
     def from_rules(cls, rule_by_client_account: Mapping[str, RateRule], now: float) -> Admission:
         """
-        Build admission for an entry that uses the complete rates until `share` is called.
+        Build the admission control of an entry that uses the complete rates until `share` is
+        called.
 
         :param rule_by_client_account: rate and burst of each account over all entries together.
         :param now: seconds on any steady clock, the same one in every call.
-        :return: the policy, with full buckets.
+        :return: the admission control, with the full burst available to each account.
         """
         admission = cls()
         admission.follow_rules(rule_by_client_account, now)
@@ -159,12 +168,12 @@
 
     def follow_rules(self, rule_by_client_account: Mapping[str, RateRule], now: float) -> None:
         """
-        Replace the rules.
+        Replace the rate rules of all accounts.
 
         Accounts that remain keep their tokens and retry times, so that a change of one account's
         rule gives no other account a new burst.
 
-        :param rule_by_client_account: as in `from_rules`.
+        :param rule_by_client_account: new rate and burst of each account over all entries together.
         """
         old = self._bucket_by_client_account
         self._bucket_by_client_account = {}
@@ -181,7 +190,7 @@
         Admit or reject one request.
 
         :param client_account: the caller's account; one without a rule is always rejected.
-        :return: the decision; a rejection states when to retry.
+        :return: whether the request is admitted; if not, with the seconds after which to retry.
         """
         bucket = self._bucket_by_client_account.get(client_account)
         if bucket is None:
@@ -216,7 +225,8 @@
             if peer.received_s is not None and now - peer.received_s <= DEMAND_MAX_AGE_S
         ]
         entries = len(peers) + 1
-        # An entry without current demand may still admit requests: its even share is left to it.
+        # An entry whose demand was not received lately may still admit requests: its even share of
+        # the rate is left to it.
         pool = (len(current) + 1) / entries
         for name, bucket in self._bucket_by_client_account.items():
             own = bucket.demand(now)
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/capacity.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/capacity.py
@@ -1,20 +1,22 @@
 """
-Plans how many endpoints of which kind run in which data centre.
+Plans how many endpoints of which kind (cheap or standard) run in which data centre.
 
 Load pattern: a service needs a number of endpoints in given data centres. A cheap endpoint costs a
 fraction of a standard one, but the platform may reclaim all cheap endpoints of a data centre with a
-notice of seconds, and either kind may be unavailable in a data centre for a while.
+notice of seconds, and either kind of endpoint may be unavailable in a data centre for a while.
 
 A fixed fleet is either all standard and costs the most, or is lost at once with a reclaim. Simple
-automatic policies fail as well: a cheap replacement in the same data centre is reclaimed again;
-ordering an unavailable kind every second is a storm of refused orders; stopping an endpoint as soon
-as there is one too many makes the fleet oscillate with every late announcement.
+automatic policies fail as well. A cheap replacement in the same data centre is reclaimed again. If
+an unavailable kind is ordered from the platform every second, the platform has to refuse an order
+every second. If an endpoint is stopped as soon as there is one too many, the fleet oscillates: each
+late announcement of an endpoint causes a stop and then a start.
 
 The plan therefore orders no cheap endpoint in a data centre for 10 min after a reclaim there and no
-endpoint of an unavailable kind for 60 s after the refused order. It spreads the cheap endpoints
-over the data centres and stops a surplus endpoint only when the surplus has lasted for 60 s. A
-fleet with the right number of endpoints but too few of one kind is changed one endpoint at a time,
-and each replacement starts first, so that the change never costs service.
+endpoint of an unavailable kind for 60 s after the platform refused to start one. It spreads the
+cheap endpoints over the data centres and stops a surplus endpoint only when the surplus has lasted
+for 60 s. A fleet with the right number of endpoints but too few of one kind is changed one endpoint
+at a time, and each replacement starts before the endpoint that it replaces is stopped, so that the
+number of serving endpoints never falls during the change.
 """
 
 from __future__ import annotations
@@ -24,14 +26,16 @@
 
 STANDARD = "standard"
 CHEAP = "cheap"
-# After a reclaim, the data centre needs the capacity itself for hours, so no cheap endpoint is
-# ordered there for 10 min.
+# Seconds after a reclaim during which no cheap endpoint is ordered in the data centre, because the
+# data centre needs the capacity itself for hours.
 RECLAIM_PAUSE_S = 600.0
-# An unavailable kind is not ordered again for 60 s in that data centre. Shorter intervals cause a
-# storm of refused orders, and the other kind serves in the meantime.
+# Seconds after a refused order during which this kind of endpoint is not ordered again in that data
+# centre. Shorter intervals cause many refused orders, and endpoints of the other kind serve in the
+# meantime.
 UNAVAILABLE_PAUSE_S = 60.0
-# A surplus must last 60 s before an endpoint is stopped. This is longer than the 5 s of silence
-# after which an endpoint counts as lost, and longer than the start of an endpoint.
+# Seconds for which a service must have too many endpoints before one is stopped. They are longer
+# than the 5 s of silence after which an endpoint counts as lost, and longer than the start of an
+# endpoint.
 SURPLUS_HOLD_S = 60.0
 # Two or more cheap endpoints of a data centre that are lost within 10 s are a reclaim; a single
 # loss may be a crash.
@@ -67,9 +71,9 @@
     """
     An endpoint that serves.
 
-    :param endpoint: its id.
-    :param place: its data centre and kind.
-    :param in_flight: number of its running and queued requests, as it announced last.
+    :param endpoint: id of the endpoint.
+    :param place: data centre and kind of the endpoint.
+    :param in_flight: number of the endpoint's running and queued requests, as it announced last.
     """
 
     endpoint: str
@@ -93,7 +97,7 @@
 
 class Capacity:
     """
-    Plans the starts and stops of endpoints.
+    Plans the starts and stops of the endpoints of all services.
 
     Losses and refused orders are recorded by data centre and kind for all services together,
     because a reclaim takes the cheap endpoints of all services.
@@ -117,7 +121,7 @@
         """
         Record that an endpoint was lost without a stop order.
 
-        Several losses of cheap endpoints in a short time count as a reclaim.
+        Several losses of cheap endpoints in one data centre in a short time count as a reclaim.
 
         :param place: the lost endpoint's data centre and kind.
         :param now: monotonic time in seconds.
@@ -141,11 +145,11 @@
         """
         Plan the endpoints to start or to stop now for one service.
 
-        :param service: its name.
-        :param wanted: the fleet that its rule asks for.
-        :param running: its endpoints that serve and are not draining.
-        :param pending: data centre and kind of each endpoint that was ordered and has not announced
-            itself.
+        :param service: name of the service.
+        :param wanted: the fleet that the service's `place` rule asks for.
+        :param running: the service's endpoints that serve and are not draining.
+        :param pending: data centre and kind of each endpoint that was ordered for the service and
+            has not announced itself.
         :param now: monotonic time in seconds.
         :return: the starts or stops; empty if the fleet is as wanted or nothing is available.
         """
@@ -189,10 +193,10 @@
         self, wanted: Wanted, occupied: list[Place], kind: str, now: float
     ) -> Place | None:
         """
-        Choose the data centre for another endpoint of a kind.
+        Choose the data centre for another endpoint of a kind (cheap or standard).
 
-        :return: the place in the wanted data centre with the fewest endpoints; None if the kind
-            cannot be ordered in any of them now.
+        :return: the wanted data centre with the fewest endpoints, and the kind; None if this kind
+            cannot be ordered in any wanted data centre now.
         """
         best = None
         best_rank = (0, 0, 0)
@@ -202,7 +206,7 @@
                 continue
             same_kind = occupied.count(place)
             # A reclaim takes all cheap endpoints of a data centre at once. No data centre gets more
-            # than its share of them, even if another one has none available.
+            # than its share of the cheap endpoints, even if another data centre has none available.
             if kind == CHEAP and same_kind >= _max_cheap_per_data_centre(wanted):
                 continue
             total = sum(1 for other in occupied if other.data_centre == data_centre)
@@ -214,9 +218,10 @@
 
     def _replacement(self, wanted: Wanted, occupied: list[Place], now: float) -> Start | None:
         """
-        Plan one start of the kind that has too few endpoints.
+        Plan the start of one endpoint of the kind (cheap or standard) that has too few.
 
-        The surplus that this causes is removed by a later stop of an endpoint of the other kind.
+        The surplus that this start causes is removed by a later stop of an endpoint of the other
+        kind.
         """
         cheap = _cheap_count(occupied)
         max_cheap = _max_cheap(wanted)
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
@@ -6,20 +6,20 @@
 times as long as the others. Several trainers share the engines, each of which runs a fixed number
 of items at a time. The engines differ in speed, and items may leave an engine before they end.
 
-If each entry placed its own items by load reports that lag, two entries would overload the same
-engine while another is idle, long items would begin last and delay their groups for seconds, and
-every engine would read the prompt of the same group into its memory.
+If each entry placed its own items by the engines' late reports of their running items, two entries
+would overload the same engine while another is idle, long items would begin last and delay their
+groups for seconds, and every engine would read the prompt of the same group into its memory.
 
 One dispatcher therefore places all items. `order_of` ranks them: the job that is due first comes
-first, since a late step is worth least, and within a job the longest items by their callers'
-estimate. With twice as many items as slots, a long item that begins last would end later than all
-others by its complete running time.
+first, since a training step that ends late is worth least, and within a job the longest items by
+their callers' estimate. With twice as many items as slots, a long item that begins last would end
+later than all others by its complete running time.
 
 `place` then gives each item to the engine that will probably end it first. A full engine takes a
-quarter longer for each event than an empty one and runs out of memory sooner, so its cost equals
-that of an empty engine of half its speed. The long items, which are placed first, thus go to the
-fast engines. A group is placed on the engine that already has its prompt while that engine has free
-capacity.
+quarter longer for each event (part of an output) than an empty one and runs out of memory sooner,
+so its cost equals that of an empty engine of half its speed. The long items, which are placed
+first, thus go to the fast engines. A group is placed on the engine that already has its prompt
+while that engine has free capacity.
 """
 
 from __future__ import annotations
@@ -31,15 +31,19 @@
     from collections.abc import Iterable, Sequence
 
 Rank = tuple[int, float, bool, int, tuple[str, str]]
-"""Sort key of a waiting item: priority, due time, not carried, negated length, job and item."""
+"""
+Sort key of a waiting item: priority and due time of its job, whether its group is a new one, its
+negated expected length, and the ids of its job and of the item.
+"""
 
-# Cost factor of an engine that has read the group's prompt already. This saves half a millisecond
-# of reading, so it decides only between engines of nearly equal cost.
+# Cost factor of an engine that has read the group's prompt already. A cached prompt saves half a
+# millisecond of reading, so the factor decides only between engines of nearly equal cost.
 CACHED_PROMPT_FACTOR = 0.9
 # Added to the cost of an engine without an idle connection, as if the engine were a quarter fuller.
-# Each new connection has a price, which matters more than small differences in load.
+# Each new connection has a price, which matters more than a small difference in the number of
+# running items.
 NEW_CONNECTION_COST = 0.25
-# The median output is a fifth of the maximum that callers allow.
+# Ratio of the maximum output that callers allow to the median output.
 MAX_TO_MEDIAN_OUTPUT_RATIO = 5
 
 
@@ -50,11 +54,11 @@
 
     :param key: ids of its job and of the item.
     :param group: ids of its job and of the group that shares its prompt.
-    :param due_s: time at which its job is due, in seconds on the caller's clock.
+    :param due_s: time at which the item's job is due, in seconds on the caller's clock.
     :param priority: its job's priority; the lowest number begins first.
-    :param carried: whether an earlier job left its group incomplete.
-    :param expected_tokens: expected length of its output in tokens; 0 if not known.
-    :param tokens: tokens of engine memory that are reserved for it, from `memory_needed`.
+    :param carried: whether the item's group is one that an earlier job left incomplete.
+    :param expected_tokens: expected length of the item's output in tokens; 0 if not known.
+    :param tokens: tokens of engine memory that are reserved for the item, from `memory_needed`.
     :param engines: ids of the engines that may run it.
     """
 
@@ -74,12 +78,13 @@
     Free capacity of an engine.
 
     :param engine: the engine's id.
-    :param slots: number of further items that it can run.
+    :param slots: number of further items that the engine can run.
     :param tokens: free memory in tokens.
-    :param running: number of items that it runs.
-    :param slowness: its time per event divided by that of the fastest engine, which has 1.0.
-    :param groups: groups whose prompt it has read.
-    :param connected: number of idle connections to it; None if connections cost nothing.
+    :param running: number of items that the engine runs.
+    :param slowness: the engine's time per event divided by that of the fastest engine, which has
+        1.0.
+    :param groups: groups whose prompt the engine has read.
+    :param connected: number of idle connections to the engine; None if connections cost nothing.
     """
 
     engine: str
@@ -103,11 +108,11 @@
     """
     Estimate the engine memory that an item needs.
 
-    The estimate is the expected size, not the maximum. Counted with its maximum, four items fill an
-    engine's memory and eight of its twelve slots stay empty: a job of 111 items then took 5.6 s
-    until its last item began, instead of 1.3 s. An engine that runs out of memory returns its
-    newest item to its queue and later reads it again in a millisecond, which costs far less than
-    empty slots.
+    The estimate is the expected size, not the maximum. If items were counted with their maximum
+    size, four items would fill an engine's memory and eight of its twelve slots would stay empty:
+    with this count, a job of 111 items took 5.6 s until its last item began, instead of 1.3 s. An
+    engine that runs out of memory returns its newest item to its queue and later reads that item's
+    text again in a millisecond, which costs far less than empty slots.
 
     :param max_tokens: maximum size of the item, prompt and output.
     :param prompt_tokens: size of its prompt.
@@ -121,9 +126,9 @@
 
 def order_of(item: WaitingItem) -> Rank:
     """
-    Rank an item among the waiting ones.
+    Build the key by which waiting items are sorted.
 
-    :return: sort key; the item with the lowest key begins first.
+    :return: the sort key; the item with the lowest one begins first.
     """
     return (item.priority, item.due_s, not item.carried, -item.expected_tokens, item.key)
 
@@ -134,8 +139,8 @@
     """
     Place items in the given order while engines have free capacity.
 
-    Iteration ends when all slots are filled: often thousands of items wait and only one slot is
-    free.
+    The function stops reading `items` when all slots are filled, because often thousands of items
+    wait and only one slot is free.
 
     :param items: waiting items, sorted by `order_of`.
     :param engine_capacities: free capacity of each engine; reduced by each item that is placed.
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/drain.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/drain.py
@@ -1,18 +1,19 @@
 """
 Decides when a draining endpoint is stopped.
 
-Load pattern: an endpoint is to be stopped on purpose (an operator's drain, a smaller fleet, a move
-to the other kind) while entries still send requests to it and streams on it run for seconds or
-minutes.
+Load pattern: an endpoint is to be stopped on purpose (an operator's drain, a smaller fleet, a
+replacement of a cheap endpoint by a standard one or the reverse) while entries still send requests
+to it and streams on it run for seconds or minutes.
 
-If the stop order were sent at once, every stream on the endpoint would break, calls that must not
-be repeated would end as `may_have_run`, and entries that have not received the drain yet would
-continue to send requests to an endpoint that no longer runs.
+If the platform were asked at once to stop the endpoint, every stream on the endpoint would break,
+calls that must not be repeated would end as `may_have_run`, and entries that have not received the
+drain yet would continue to send requests to an endpoint that no longer runs.
 
 The endpoint is therefore stopped once the drain is in force at all entries and the endpoint has
-announced that it has no requests, or at the deadline. No fixed time is assumed until the drain is
-in force: an entry applies it within its renewal interval (0.5 s) and at the latest when its lease
-expires (3 s), and the caller of this module passes the time at which all entries have done so.
+announced that it has no requests, or at the deadline. The time until the drain is in force is not
+assumed to be fixed: an entry applies the drain within its renewal interval (0.5 s) and at the
+latest when its lease expires (3 s), and the caller of this module passes the time at which all
+entries have done so.
 """
 
 from __future__ import annotations
@@ -20,12 +21,14 @@
 import enum
 from dataclasses import dataclass
 
-# An announced load of zero counts only when the drain has been in force for 10 s, so that it was
-# announced after the last request could have arrived. Announcements lag: an endpoint sends one per
-# second, and the leader receives them about every five seconds.
+# Seconds for which the drain must be in force before an endpoint's announcement that it has no
+# requests counts. With 10 s, the endpoint has sent the announcement after the last request could
+# have arrived. Announcements lag: an endpoint sends one per second, and the leader receives them
+# about every five seconds.
 SETTLE_S = 10.0
-# The longest time of a single request is 120 s. Requests that run for longer have been cancelled by
-# their callers.
+# Seconds after the drain request at which the endpoint is stopped even if it still has requests:
+# the longest time limit of a single request is 120 s. Requests that run for longer have been
+# cancelled by their callers.
 DEADLINE_S = 120.0
 
 
@@ -42,8 +45,8 @@
     """
     Time limits of a drain.
 
-    :param settle_s: seconds for which the drain must be in force before an announced load of zero
-        counts.
+    :param settle_s: seconds for which the drain must be in force before the endpoint's announcement
+        that it has no requests counts.
     :param deadline_s: seconds after the drain request at which the endpoint is stopped even if it
         still has requests.
     """
@@ -60,8 +63,8 @@
     :param asked_s: time in seconds at which the drain was requested.
     :param in_force_s: time in seconds since which no entry sends new requests to the endpoint; None
         while an entry may still do so.
-    :param in_flight: number of its running and queued requests, as it announced last.
-    :param announced_since: whether it has announced itself since `in_force_s`.
+    :param in_flight: number of running and queued requests that the endpoint announced last.
+    :param announced_since: whether the endpoint has announced itself since `in_force_s`.
     """
 
     asked_s: float
@@ -76,8 +79,9 @@
 
     :param draining: what the leader knows of the endpoint.
     :param limits: time limits of the drain.
-    :param now: time in seconds on the clock of `asked_s` and `in_force_s`.
-    :return: to wait, or to stop the endpoint.
+    :param now: present time in seconds on the clock of `asked_s` and `in_force_s`.
+    :return: whether to wait, to stop the endpoint because it has no requests, or to stop it because
+        its deadline has passed.
     """
     if now - draining.asked_s >= limits.deadline_s:
         return DrainStep.STOP_AT_DEADLINE
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
@@ -8,14 +8,14 @@
 data centre may have none available for some seconds. An endpoint that has stopped sending
 announcements may resume by itself.
 
-Without this, the fleet shrinks with each loss and never grows again: five engines became two within
-20 s, and half of the trainers' steps after that were late.
+Without replacements, the fleet would shrink with each loss and never grow again: five engines
+became two within 20 s, and half of the trainers' steps after that were late.
 
 The policy keeps as many endpoints as at the first start, since the operator paid for this number
-and sized the load by it. It orders more if a trainer's items do not find free slots: a step ends
-with its longest item, which begins late if it has to wait for a slot. A missing endpoint is ordered
-in the cheapest data centre that has capacity, since data centres are only about a millisecond
-apart.
+and sized the work for the fleet by it. The policy orders more endpoints if a trainer's items do not
+find free slots: a step ends with its longest item, which begins late if it has to wait for a slot.
+A missing endpoint is ordered in the cheapest data centre that has capacity, since data centres are
+only about a millisecond apart.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Share of the items that can begin at once. The remaining ones are short and wait for other short
-# items to end.
+# Number of slots in the fleet as a share of the items that are to run at the same time. The items
+# without a slot are short and wait for other short items to end.
 PLACES_SHARE = 0.75
-# A data centre that had no endpoints available is not asked again for this time, so that it is
-# asked three times while a reclaim lasts.
+# Seconds for which nothing is ordered in a data centre that had no endpoints available, so that the
+# data centre is asked three times while a reclaim lasts.
 REFUSED_PAUSE_S = 2.5
-# Ordered endpoints count as present until this long after the end of their boot time, so that no
-# loss is replaced twice.
+# Seconds after the end of their boot time until which ordered endpoints that do not serve count as
+# present, so that no loss is replaced twice.
 BOOT_SLACK_S = 4.0
 
 
@@ -56,7 +56,7 @@
 @dataclass(frozen=True)
 class Order:
     """
-    An order for endpoints in one data centre.
+    An order to the platform for endpoints in one data centre.
 
     :param count: total number of endpoints that the data centre shall have, including those that it
         has already.
@@ -71,9 +71,11 @@
     """
     Recent orders for one service.
 
-    :param expected_until_by_data_centre: time until which the ordered endpoints count as present.
-    :param ordered_by_data_centre: total number in the last accepted order.
-    :param refused_until_by_data_centre: time until which nothing is ordered after a refusal.
+    :param expected_until_by_data_centre: time in seconds until which the endpoints of the last
+        order count as present.
+    :param ordered_by_data_centre: total number of endpoints in the last accepted order.
+    :param refused_until_by_data_centre: time in seconds until which nothing is ordered after a
+        refusal.
     """
 
     expected_until_by_data_centre: dict[str, float] = field(default_factory=dict)
@@ -105,7 +107,8 @@
     """
     Compute the number of endpoints that a service needs.
 
-    :param initial: number of endpoints at the first start; the result is never smaller.
+    :param initial: number of endpoints at the first start of the service; the result is never
+        smaller.
     :param demand: highest recent number of items that were to run at the same time.
     :param capacity: number of items that one endpoint works on at a time; if it is 0, the result is
         `initial`.
@@ -124,12 +127,12 @@
     now: float,
 ) -> Order | None:
     """
-    Choose the next order to send to the platform.
+    Choose the next order of endpoints to send to the platform.
 
     :param fleet: the service's recent orders.
     :param market: endpoints that the platform offers.
     :param wanted: number of endpoints over all data centres.
-    :param present_by_data_centre: number of endpoints that serve.
+    :param present_by_data_centre: number of endpoints that serve in each data centre.
     :param now: monotonic time in seconds.
     :return: one order; None if no endpoint is missing or no data centre can be asked now.
     """
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/queue_lines.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/queue_lines.py
@@ -2,14 +2,14 @@
 Queue of one client account's requests, the building block of the fair queue.
 
 Thousands of requests of a few accounts wait at one entry. Each arrival and each free slot needs the
-first request of an account's queue; some decisions need the last request or the work ahead of a
-position. A single list of all requests would have to be sorted at each arrival, which costs more
-than forwarding a request when 2,000 are queued, and an account's share could not be derived from
-the length of its queue.
-
-Each account therefore has a heap of its own, so that an arrival and a start take time logarithmic
-in the length of that queue. The queued seconds of work are kept as a sum, because each rejection
-from a full queue needs them.
+first request of an account's queue; some decisions need the last request, or the work of all
+requests before a position in the queue. A single list of all requests would have to be sorted at
+each arrival, which costs more than forwarding a request when 2,000 are queued, and an account's
+share could not be derived from the length of its queue.
+
+Each account therefore has a heap of its own, so that the arrival and the start of a request take
+time logarithmic in the length of that queue. The queued seconds of work are kept as a sum, because
+each rejection from a full queue needs them.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 import heapq
 from dataclasses import dataclass, field
 
-# Callers ask for an upper bound of tokens and usually get fewer. With the estimate for the bound
-# itself, such a request would always be rejected, on an idle system too. Its expected work is
-# therefore limited to 0.9 of its wait limit, which leaves a tenth of the limit for queueing.
+# Largest expected work of a request, as a share of its wait limit; a tenth of the limit is left for
+# queueing. Callers ask for an upper bound of tokens and usually get fewer: with the estimate for
+# the bound itself, such a request would always be rejected, on an idle system too.
 MAX_COST_SHARE = 0.9
 
 
@@ -30,8 +30,8 @@
 
     :param item_id: unique among the queued requests.
     :param cost_s: expected seconds of work.
-    :param deadline_s: when the caller stops waiting for the response, in seconds on the clock of
-        the queue's `now`.
+    :param deadline_s: time at which the caller stops waiting for the response, in seconds on the
+        clock of the queue's `now`.
     """
 
     item_id: str
@@ -61,7 +61,7 @@
     """
     Queued requests of one client account, with the state that the fair queue keeps for it.
 
-    :param weight: relative share of the slots.
+    :param weight: relative share of the slots that the account gets.
     :param charge_s: virtual seconds charged to the account: seconds of its started work, divided by
         its weight.
     :param last_retry_s: latest retry time that was sent with a rejection, on the clock of `now`.
@@ -113,12 +113,18 @@
 
 
 def charge_of(queue: AccountQueue) -> float:
-    """Return an account's charge in virtual seconds; the lowest is served next."""
+    """
+    Return an account's charge in virtual seconds; the account with the lowest charge is served
+    next.
+    """
     return queue.charge_s
 
 
 def weighted_backlog_s(queue: AccountQueue) -> float:
-    """Return the queued seconds of work per weight; a full queue drops from the highest."""
+    """
+    Return the account's queued seconds of work divided by its weight. When the fair queue is full,
+    the account with the highest value loses its last request.
+    """
     return queue.backlog_s / queue.weight
 
 
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/queueing.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/queueing.py
@@ -2,7 +2,7 @@
 Weighted fair queue over client accounts, in front of a limited number of slots.
 
 During a long overload, a first-come, first-served queue gives each account a share in proportion to
-its arrivals. One account that sends ten times as much as the others then starves them, short
+its arrivals. One account that sends ten times as much as the others then starves these, short
 lookups wait behind minutes of long generations, and slots are spent on requests whose callers have
 already timed out, so that no caller is answered in time although the endpoints are busy.
 
@@ -18,9 +18,9 @@
   and the account's share of the slots, is rejected on arrival. A queued request that can no longer
   finish before its deadline is rejected as soon as this is detected and is never started. Expected
   work is limited to 0.9 of the request's time limit (see `Item.from_estimate`).
-- Rejections: each one states after how many seconds a similar request is expected to fit. The retry
-  times of one account are spaced by the time that the rejected work takes, so that callers who
-  retry at these times do not arrive all at once.
+- Rejections: each one states after how many seconds a similar request is expected to be accepted.
+  The retry times of one account are spaced by the time that the rejected work takes, so that
+  callers who retry at these times do not arrive all at once.
 """
 
 from __future__ import annotations
@@ -33,14 +33,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-# Short requests overtake a long one for at most four times the long one's expected seconds. With
-# 1.0, lookups that arrived a few seconds after a batch of long work still waited behind all of it.
+# Seconds by which a request is moved back in its account's queue for each second of its expected
+# work: short requests overtake a long one for at most four times the long one's expected seconds.
+# With 1.0, lookups that arrived a few seconds after a batch of long work still waited behind all of
+# it.
 PATIENCE = 4.0
-# At 3,600 requests per second over 380 entries, 2,000 requests are minutes of arrivals at one
-# entry. At some kilobytes each they fit into an entry's memory.
+# Largest number of queued requests of all accounts at one entry. At 3,600 requests per second over
+# 380 entries, 2,000 requests are minutes of arrivals at one entry. At some kilobytes each, these
+# requests fit into an entry's memory.
 MAX_WAITING = 2_000
 MIN_RETRY_AFTER_S = 0.1
-# An estimate beyond 60 s is too uncertain to be sent as a retry time.
+# Longest retry time in seconds that a rejection states: an estimate beyond 60 s is too uncertain.
 MAX_RETRY_AFTER_S = 60.0
 DEFAULT_WEIGHT = 1.0
 
@@ -52,7 +55,7 @@
 
     :param full: whether it was removed because the queue was full; otherwise it cannot finish
         before its deadline.
-    :param retry_after_s: seconds until a similar request is expected to fit.
+    :param retry_after_s: seconds until a similar request is expected to be accepted.
     """
 
     item: Item
@@ -93,12 +96,11 @@
     @classmethod
     def from_weights(cls, weight_by_client_account: Mapping[str, float], slots: int) -> FairQueue:
         """
-        Build an empty queue.
+        Build a queue without requests for accounts with the given weights.
 
         :param weight_by_client_account: relative shares of the slots while all accounts have queued
             requests; an account that is not listed has `DEFAULT_WEIGHT`.
         :param slots: requests that the endpoints work on at a time.
-        :return: the queue.
         """
         queue = cls(slots)
         queue.follow_weights(weight_by_client_account)
@@ -106,9 +108,9 @@
 
     def follow_weights(self, weight_by_client_account: Mapping[str, float]) -> None:
         """
-        Replace the weights; queued requests and charges are kept.
+        Replace the weights of all accounts; queued requests and charges are kept.
 
-        :param weight_by_client_account: as in `from_weights`.
+        :param weight_by_client_account: relative shares of the slots, as in `from_weights`.
         """
         self._weight_by_client_account = dict(weight_by_client_account)
         for name, queue in self._queue_by_client_account.items():
@@ -119,10 +121,11 @@
         Queue a request, or reject it if it is expected to miss its deadline.
 
         If the queue becomes longer than `MAX_WAITING`, the account with the longest queue for its
-        weight loses its last request, so that a hot account cannot fill the queue against the
-        others.
+        weight loses its last request, so that an account with many requests cannot keep the other
+        accounts out of the queue.
 
-        :return: the rejected requests: none, the item itself, or the last one of the longest queue.
+        :return: the rejected requests: none, the item itself, or the last request of the longest
+            queue.
         """
         queue = self._account_queue(item.client_account)
         sort_key = now + PATIENCE * item.cost_s
@@ -144,7 +147,8 @@
         """
         Remove the next request to start; to be called whenever a slot is free.
 
-        :return: the request, and the requests before it that can no longer finish in time.
+        :return: the request, and those queued before it that can no longer finish before their
+            deadlines.
         """
         shed: list[Shed] = []
         while True:
@@ -158,7 +162,8 @@
                 shed.append(Shed(item, False, self._retry_after_s(queue, item, late_s, now)))
                 continue
             # An account that was idle starts at the charge of the account served last. With its own
-            # old, lower charge it would get all slots until it had caught up with the others.
+            # old, lower charge, this account would get all slots until its charge had reached that
+            # of the other accounts.
             self._virtual_time_s = max(self._virtual_time_s, queue.charge_s)
             queue.charge_s = self._virtual_time_s + item.cost_s / queue.weight
             self._expected_end_by_item[item.item_id] = now + item.cost_s
@@ -168,8 +173,8 @@
         """
         Remove and reject all queued requests that can no longer finish before their deadlines.
 
-        `take` finds these only when a slot is free. This method is to be called a few times a
-        second, so that they are rejected promptly while all slots are busy.
+        `take` finds such requests only when a slot is free. This method is to be called a few times
+        a second, so that they are rejected promptly while all slots are busy.
 
         :return: the rejected requests.
         """
@@ -203,8 +208,8 @@
         Replace the expected seconds in the account's charge by the actual ones; to be called for
         each request that ended.
 
-        Without this, an account whose work takes longer than expected would get more than its
-        share.
+        Without this correction, an account whose work takes longer than expected would get more
+        than its share.
 
         :param item: a request that `take` returned.
         :param actual_s: seconds that the request occupied its slot.
@@ -231,7 +236,9 @@
     def _expected_finish_s(
         self, queue: AccountQueue, sort_key: float, item: Item, now: float
     ) -> float:
-        """Return when an item queued at `sort_key` is expected to finish, on the clock of `now`."""
+        """
+        Return the time, on the clock of `now`, at which an item queued at `sort_key` should finish.
+        """
         wait_s = self._until_slot_free_s(now) + queue.ahead_s(sort_key) / self._fair_slots(queue)
         return now + wait_s + item.cost_s
 
@@ -248,8 +255,8 @@
 
     def _retry_after_s(self, queue: AccountQueue, item: Item, late_s: float, now: float) -> float:
         """
-        Return the seconds until a request like the rejected one fits, later than all retry times
-        that were sent to the account before.
+        Return the seconds until a request like the rejected one should be accepted, later than all
+        retry times that were sent to the account before.
 
         :param late_s: seconds by which the rejected request would miss its deadline; for a full
             queue, seconds until the account's queued work is done.
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/retries.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/retries.py
@@ -4,24 +4,28 @@
 When an endpoint, a data centre or all of a service becomes slow or fails, all requests need a retry
 at the same moment. Three tries for each request would treble the load on the remaining endpoints,
 which would then fail as well, and the retries would keep up the overload after its cause has ended:
-a retry storm that does not end by itself. A token bucket that first tries fill and retries empty
-bounds the added load.
+a retry storm that does not end by itself. The budget is a token bucket: each first try of a request
+adds a part of a token, and each retry takes one token, which bounds the load that retries add.
 """
 
 from __future__ import annotations
 
 # Retries allowed per request. One fifth of the requests may fail at a time (one of five endpoints,
-# the present size) without any caller noticing, and the added load is bounded to a fifth.
+# the present size of a service) without any caller noticing, and the added load is bounded to a
+# fifth.
 RETRIES_PER_REQUEST = 0.2
-# Lets an entry with hardly any traffic retry too: 1 retry per second.
+# Retries per second that are allowed without any request: 1, so that an entry with hardly any
+# traffic may retry too.
 MIN_RETRIES_PER_S = 1.0
-# The bucket holds the retries of 10 s: a crash of one endpoint fails all its requests in flight at
-# once, about ten seconds' worth of long generations.
+# Size of the bucket, in seconds of allowed retries. It holds the retries of 10 s: a crash of one
+# endpoint fails all its requests in flight at once, about ten seconds' worth of long generations.
 BURST_S = 10.0
 
 
 class RetryBudget:
-    """Token bucket that requests fill and retries empty."""
+    """
+    Token bucket to which each request adds a part of a token and from which a retry takes one.
+    """
 
     def __init__(
         self, retries_per_request: float, min_retries_per_s: float, burst_s: float
@@ -44,7 +48,7 @@
 
     def request(self, now: float) -> None:
         """
-        Count the first try of a request.
+        Count the first try of a request, which adds to the tokens for retries.
 
         :param now: seconds on any steady clock.
         """
@@ -56,7 +60,7 @@
         """
         Take the token for one retry.
 
-        :param now: seconds on the same clock.
+        :param now: seconds on the clock of `request`.
         :return: whether the retry may be sent; False if the budget is used up.
         """
         self._refill(now)
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
@@ -2,9 +2,10 @@
 Chooses the endpoint that a request is sent to.
 
 Load pattern: requests of unequal length are sent to a service with three to five endpoints in three
-data centres a millisecond apart. Load reports are a second old. An endpoint may become slow or fail
-every request, one engine may have cached the prompt prefix that most requests share, and cheap
-(preemptible) endpoints run beside standard ones.
+data centres a millisecond apart. The endpoints' load reports (numbers of running and queued
+requests) are a second old. An endpoint may become slow or fail every request, one engine may have
+cached the prompt prefix that most requests share, and cheap (preemptible) endpoints run beside
+standard ones.
 
 Simple policies fail under this load. Round robin sends as many requests to an endpoint that is
 blocked by long requests as to an idle one. "Least load in the last report" makes all entries send
@@ -12,12 +13,12 @@
 every request at once looks idle and attracts all requests. Always following the cache hint sends
 all requests with a common prefix to one engine, however long its queue is.
 
-The router compares two random candidates and those with a cached prefix or an idle connection, and
-takes the one with the lowest cost. The cost is the work per slot, computed from the last report and
-from the requests that this entry has sent since. The distance, a cached prefix and an idle
-connection change the cost by bounded amounts; the endpoint's kind changes it by what a reclaim
-would cost the request. Endpoints that failed several requests in a row are ejected: they get no
-requests for some seconds.
+The router compares two random candidate endpoints and those with a cached prefix or an idle
+connection, and takes the one with the lowest cost. The cost is the work per slot, computed from the
+last report and from the requests that this entry has sent since. The distance, a cached prefix and
+an idle connection change the cost by bounded amounts; the endpoint's kind (cheap or standard)
+changes the cost by what a reclaim would cost the request. Endpoints that failed several requests in
+a row are ejected: they get no requests for some seconds.
 """
 
 from __future__ import annotations
@@ -30,43 +31,50 @@
 if TYPE_CHECKING:
     import random
 
-# The amounts below are in units of cost: 1.0 is one request per slot.
+# The costs and bonuses below are in units of cost: 1.0 is one request per slot.
 
-# Another data centre is 1 ms away, at most a twentieth of the work of a slot. The amount decides
-# between equally loaded endpoints and never outweighs a shorter queue.
+# Added to the cost of an endpoint in another data centre, which is 1 ms away, at most a twentieth
+# of the work of a slot. This cost decides between equally loaded endpoints and never outweighs a
+# shorter queue.
 OTHER_DATA_CENTRE_COST = 0.05
-# A cached prefix saves the prefill, about half of the work of a slot. Cache events arrive late and
-# with gaps, so the bonus never outweighs one more request per slot.
+# Subtracted from the cost of an engine that has cached the request's prompt prefix, which saves the
+# prefill, about half of the work of a slot. Cache events arrive late and with gaps, so the bonus
+# never outweighs one more request per slot.
 CACHED_PREFIX_BONUS = 0.5
-# At a capacity of six, a request goes to an endpoint without an idle connection only if the
-# connected ones have more than two additional requests in work. Requests thus share few
-# connections, and a burst is still spread over the endpoints.
+# Subtracted from the cost of an endpoint to which a connection is idle. At a capacity of six, a
+# request goes to an endpoint without an idle connection only if the endpoints with one have more
+# than two additional requests in work. Requests thus share few connections, and a burst is still
+# spread over the endpoints.
 IDLE_CONNECTION_BONUS = 0.4
-# A generation or lookup loses nothing when its endpoint is reclaimed, because it continues on
-# another one. Between equally loaded endpoints it goes to a cheap one; the rules limit how many
-# cheap endpoints there are.
+# Subtracted from the cost of a cheap endpoint for a generation or lookup, which loses nothing when
+# its endpoint is reclaimed, because it continues on another one. Between equally loaded endpoints,
+# such a request goes to a cheap one; the rules limit how many cheap endpoints there are.
 CHEAP_KIND_BONUS = 0.1
-# A call that must not be repeated ends as "may have run" when its endpoint is reclaimed. It goes to
-# a cheap endpoint only if the standard ones have one more request per slot.
+# Added to the cost of a cheap endpoint for a call that must not be repeated, which ends as "may
+# have run" when its endpoint is reclaimed. Such a call goes to a cheap endpoint only if the
+# standard ones have one more request per slot.
 RECLAIM_RISK_COST = 1.0
-# A single failure may be a lost connection; three in a row are the endpoint's fault.
+# Failures in a row after which an endpoint is ejected: a single failure may be a lost connection;
+# three in a row are the endpoint's fault.
 EJECT_AFTER_FAILURES = 3
-# The first ejection lasts 2 s, because a restart takes seconds. Each return of an endpoint that
-# still fails costs some callers one try, so the duration doubles with each ejection in a row, up to
-# 30 s.
+# Durations of the first and of the longest ejection in seconds. The first one lasts 2 s, because a
+# restart takes seconds. Each return of an endpoint that still fails costs some callers one try, so
+# the duration doubles with each ejection in a row, up to 30 s.
 EJECTION_BASE_S = 2.0
 EJECTION_MAX_S = 30.0
-# If more than a third of the candidates are ejected, the cause is something that all endpoints
-# share, and the remaining ones would be overloaded. All candidates are then used again.
+# Largest share of the candidates that may be ejected at a time. If more than a third of them are
+# ejected, the cause is something that all endpoints share, and the endpoints that are not ejected
+# would be overloaded. All candidates are then used again.
 EJECTION_MAX_SHARE = 1 / 3
-# An endpoint counts as slow from three times the median pace; load alone does not cause such a
-# difference between equal endpoints. The cost of a slow endpoint is multiplied by the ratio of its
-# pace to the median.
+# An endpoint counts as slow from three times the median pace (seconds per unit of work); the number
+# of its requests alone does not cause such a difference between equal endpoints. The cost of a slow
+# endpoint is multiplied by the ratio of its pace to the median.
 SLOW_PACE_RATIO = 3.0
 # Weight of the previous average in the moving average of the pace: the effect of a slow phase fades
 # within ten requests.
 PREVIOUS_PACE_WEIGHT = 0.8
-# Engines announce digests of cached prompts over the same number of characters.
+# Length of the prompt prefix from which the digest is computed. Engines announce digests of cached
+# prompts over the same number of characters.
 PREFIX_CHARACTERS = 64
 CHEAP_KIND = "cheap"
 
@@ -77,13 +85,14 @@
     An endpoint that may get the request.
 
     :param kind: "cheap" for an endpoint that the platform may reclaim, otherwise "standard".
-    :param running: requests in work, from its last load report.
-    :param queued: waiting requests, from its last load report.
-    :param capacity: number of requests that it works on at a time.
-    :param in_flight: requests that this entry has sent to it and that have not ended.
-    :param sent_since: requests that this entry sent to it since the last load report was received.
-    :param cached: whether it announced that it has the request's prompt prefix in its cache.
-    :param connected: whether a connection to it is known to be idle.
+    :param running: requests in work, from the endpoint's last load report.
+    :param queued: waiting requests, from the endpoint's last load report.
+    :param capacity: number of requests that the endpoint works on at a time.
+    :param in_flight: requests that this entry has sent to the endpoint and that have not ended.
+    :param sent_since: requests that this entry sent to the endpoint since the last load report was
+        received.
+    :param cached: whether the endpoint announced that it has cached the request's prompt prefix.
+    :param connected: whether a connection to the endpoint is known to be idle.
     """
 
     endpoint: str
@@ -126,11 +135,10 @@
     @classmethod
     def from_data_centre(cls, data_centre: str, source: random.Random) -> Router:
         """
-        Build a router without recorded results.
+        Build the router of an entry, without recorded results of requests.
 
         :param data_centre: data centre in which this entry runs.
-        :param source: random number generator.
-        :return: the router.
+        :param source: random number generator, used to draw the endpoints that are compared.
         """
         return cls(data_centre, source)
 
@@ -138,7 +146,7 @@
         self, candidates: tuple[Candidate, ...], now: float, repeatable: bool = True
     ) -> str | None:
         """
-        Choose one of the candidates.
+        Choose the endpoint that a request is sent to.
 
         :param candidates: endpoints that may get the request.
         :param now: monotonic time in seconds.
@@ -155,7 +163,8 @@
         # Engines that have the prefix cached are always compared: two random draws would mostly
         # miss them. Their cost still lets an endpoint with a shorter queue win.
         drawn.extend(candidate for candidate in healthy if candidate.cached)
-        # Endpoints with an idle connection are always compared for the same reason.
+        # Endpoints with an idle connection are always compared too: two random draws would mostly
+        # miss them.
         drawn.extend(candidate for candidate in healthy if candidate.connected)
         if not repeatable:
             # Both random candidates may be cheap although a standard endpoint is free.
@@ -169,7 +178,7 @@
         """
         Record that an endpoint failed a request; eject it after several failures in a row.
 
-        :param endpoint: its id.
+        :param endpoint: id of the endpoint.
         :param now: monotonic time in seconds, as for `choose`.
         """
         history = self._history(endpoint)
@@ -182,9 +191,10 @@
 
     def answered(self, endpoint: str, pace: float) -> None:
         """
-        Record that an endpoint completed a request; reset its counts of failures and ejections.
+        Record that an endpoint completed a request; reset the endpoint's counts of failures and
+        ejections.
 
-        :param endpoint: its id.
+        :param endpoint: id of the endpoint.
         :param pace: seconds per unit of work; a unit is a token or a call.
         """
         history = self._history(endpoint)
@@ -195,10 +205,10 @@
 
     def ejected(self, now: float) -> tuple[str, ...]:
         """
-        Return the endpoints that are ejected at a time.
+        Return the endpoints that get no requests at the time `now`, because they are ejected.
 
         :param now: monotonic time in seconds, as for `choose`.
-        :return: their ids.
+        :return: ids of the ejected endpoints.
         """
         histories = self._history_by_endpoint.items()
         return tuple(endpoint for endpoint, history in histories if history.ejected_until > now)
@@ -207,7 +217,7 @@
         """
         Delete the recorded results of an endpoint that no longer exists.
 
-        :param endpoint: its id.
+        :param endpoint: id of the endpoint.
         """
         self._history_by_endpoint.pop(endpoint, None)
 
@@ -235,8 +245,9 @@
         return paces[(len(paces) - 1) // 2] if paces else None
 
     def _cost(self, candidate: Candidate, median_pace: float | None, cheap_cost: float) -> float:
-        # The report is up to a second old. Unless the requests sent since are added, all requests
-        # until the next report would go to the endpoint that was idle at the time of this one.
+        # The load report is up to a second old. If the requests that were sent since were not
+        # added, all requests until the next report would go to the endpoint that was idle at the
+        # time of the last one.
         reported = candidate.running + candidate.queued + candidate.sent_since
         work = max(reported, candidate.in_flight)
         cost = (work + 1) / max(1, candidate.capacity)
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/sampling.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/sampling.py
@@ -1,17 +1,17 @@
 """
-Selects the samples of a training step to start, and the stragglers to race.
+Selects the samples of a training step to start, and those that get a second attempt (a race).
 
-A step asks for some dozens to thousands of samples in groups. A group is unusable until its last
-sample is complete, and a step until its last group. Sample lengths differ by a factor of ten, an
-engine may slow down or hang, and new weights are published every few minutes, after which older
-samples are worth less. If samples started in the order of the request, the first free slot would go
-to a new group while started groups lack one sample: many groups would be half complete when the
-weights change, and would become stale together. Without races, the slowest engine would determine
-the duration of the step, during which the trainer is idle.
+A training step needs some dozens to thousands of samples in groups. A group is unusable until its
+last sample is complete, and a step is unusable until its last group is complete. Sample lengths
+differ by a factor of ten, an engine may slow down or hang, and new weights are published every few
+minutes, after which older samples are worth less. If samples started in the order of the request,
+the first free slot would go to a new group while started groups lack one sample: many groups would
+be half complete when the weights change, and would become stale together. Without second attempts,
+the slowest engine would determine the duration of the step, during which the trainer is idle.
 
 Samples of the groups that lack the fewest samples therefore start first. The remaining free slots
-go to races: a straggler gets a second attempt on another engine, and the attempt that ends first is
-used.
+go to races: a straggler (a sample that takes much longer than the others) gets a second attempt on
+another engine, and the attempt that ends first is used.
 """
 
 from __future__ import annotations
@@ -19,20 +19,23 @@
 import statistics
 from dataclasses import dataclass
 
-# An attempt that runs for more than 2.0 times the step's median duration is raced. Lengths of
-# samples vary, so a lower factor would race samples that are merely long; at twice the median, most
-# ordinary long samples have ended.
+# A sample is raced if its attempt runs for more than 2.0 times the median duration of the step's
+# finished samples. Lengths of samples vary, so with a lower factor, samples that are merely long
+# would be raced; at twice the median, most ordinary long samples have ended.
 RACE_MEDIAN_FACTOR = 2.0
-# No races before 4 samples have finished: a median of fewer is not meaningful.
+# Number of the step's finished samples before which nothing is raced: a median of fewer samples is
+# not meaningful.
 RACE_MIN_FINISHED = 4
-# Races use engine time that other trainers could use. They are bounded to a tenth of the step's
-# samples, also when all engines become slow together and every sample looks like a straggler.
+# Largest number of races as a share of the step's samples. Races use engine time that other
+# trainers could use, so they are bounded to a tenth of the samples, also when all engines become
+# slow together and every sample looks like a straggler.
 MAX_RACE_SHARE = 0.1
-# With 2 attempts, one race decides between a slow engine and a long sample; a third attempt would
-# add almost nothing.
+# Largest number of concurrent attempts at a sample. With 2 attempts, one race decides between a
+# slow engine and a long sample; a third attempt would add almost nothing.
 MAX_ATTEMPTS = 2
-# Samples are held back only for as many publications as each of the last 3 steps saw before its
-# batch was requested; a single step may be an exception.
+# Number of a trainer's latest steps from which its publications in the next step are estimated. The
+# start of samples is delayed only for as many publications as each of the last 3 steps had before
+# its batch was requested; a single step may be an exception.
 EXPECTED_FROM = 3
 
 
@@ -86,8 +89,10 @@
     """
     Estimate how many versions a trainer publishes between opening a step and requesting its batch.
 
-    :param earlier: these numbers of the trainer's earlier steps, the latest step last.
-    :return: the lowest number of the last `EXPECTED_FROM` steps; 0 if fewer are known.
+    :param earlier: number of versions that the trainer published in this span of each earlier step,
+        the latest step last.
+    :return: the lowest of these numbers in the last `EXPECTED_FROM` steps; 0 if fewer steps are
+        known.
     """
     if len(earlier) < EXPECTED_FROM:
         return 0
@@ -116,9 +121,10 @@
     """
     Return how many attempts one trainer's step may run at a time.
 
-    A trainer may always use an equal part of the slots, and beyond it the slots that the engines
-    report as free. When another trainer starts to use its part, the engines report no free slots,
-    and the extra slots are returned as their attempts end, since no new attempts start on them.
+    A trainer may always use an equal part of the slots, and beyond this part the slots that the
+    engines report as free. When another trainer starts to use its own part, the engines report no
+    free slots; the first trainer's extra slots then become free as their attempts end, since it
+    starts no new attempts on them.
 
     :param slots: slots of all engines that the trainers share.
     :param trainers: number of trainers that share the engines.
@@ -133,12 +139,12 @@
     members: tuple[MemberView, ...], free: int, durations_s: tuple[float, ...], now: float
 ) -> tuple[Start, ...]:
     """
-    Return the attempts to start: samples of nearly complete groups first, races of stragglers last.
+    Return the attempts to start: samples of nearly complete groups first, second attempts last.
 
     :param members: all samples of the step.
     :param free: free slots for further attempts.
     :param durations_s: durations of the step's finished samples, in seconds.
-    :param now: seconds on the clock of `started_s`.
+    :param now: present time in seconds on the clock of `started_s`.
     :return: at most `free` attempts, in the order in which they are to start.
     """
     if free <= 0:
@@ -171,7 +177,9 @@
 def _races(
     members: tuple[MemberView, ...], free: int, durations_s: tuple[float, ...], now: float
 ) -> tuple[Start, ...]:
-    """Return a start for each straggler, the longest-running first, within the limits for races."""
+    """
+    Return second attempts for stragglers, the longest-running first, within the limits for races.
+    """
     if len(durations_s) < RACE_MIN_FINISHED:
         return ()
     straggler_s = RACE_MEDIAN_FACTOR * statistics.median(durations_s)
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/slots.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/slots.py
@@ -2,11 +2,11 @@
 Number of requests that one entry may have in flight at a service's endpoints.
 
 Eight or nine entries send to three to five endpoints. The balancer keeps connections open, so that
-one entry may receive most of the load, and all samples of a trainer's step are requested by a
+one entry may receive most of the requests, and all samples of a trainer's step are requested by a
 single entry. If each entry used the complete capacity, nine times as many requests as the endpoints
-can work on would be sent and the surplus would wait in the endpoints' own first-come, first-served
-queues. The entries' fair queues, deadlines and early rejections would then have no effect, because
-no request would ever wait at an entry.
+can work on would be sent, and those that the endpoints cannot work on would wait in the endpoints'
+own first-come, first-served queues. The entries' fair queues, deadlines and early rejections would
+then have no effect, because no request would ever wait at an entry.
 
 The capacity is therefore divided over the entries by the number of requests that each has in flight
 or queued. `WorkTime` estimates how long a request takes.
@@ -16,20 +16,21 @@
 
 import math
 
-# 0.2 of the capacity is divided evenly, as in admission, so that an entry that had no work so far
-# can start some requests before the other entries have received its demand.
+# Share of the capacity that is divided evenly over the entries, as in admission, so that an entry
+# that had no requests so far can start some requests before the other entries have received its
+# demand.
 EVEN_SHARE = 0.2
-# With slots for a quarter more requests than the endpoints work on, an endpoint that finishes a
-# request starts the next one from its own queue instead of idling for a network round trip. A
-# quarter of 8 slots is 2 requests, about a hundred milliseconds of work, while a round trip takes
-# some milliseconds.
+# Slots of all entries together, divided by the number of requests that the endpoints work on at a
+# time. With a quarter more slots than that, an endpoint that finishes a request starts the next one
+# from its own queue instead of idling for a network round trip. A quarter of 8 slots is 2 requests,
+# about a hundred milliseconds of work, while a round trip takes some milliseconds.
 OVERCOMMIT = 1.25
-# Weight of the previous average at each new duration. About ten requests replace the average: it
-# follows a model that has become slower within a second under load, and one straggler changes it
-# little.
+# Weight of the previous average of `WorkTime` when a new duration is added. About ten requests
+# replace the average: it follows a model that has become slower within a second under load, and one
+# straggler changes it little.
 PREVIOUS_WEIGHT = 0.9
-# Expected time per unit until the first response. With 0, no request is rejected while the duration
-# is unknown.
+# Expected seconds per unit (token or call) until the first response. With 0, no request is rejected
+# while the duration is unknown.
 INITIAL_UNIT_S = 0.0
 
 
@@ -39,7 +40,7 @@
 
     :param capacity: requests that all endpoints of the service work on at a time.
     :param wanted: requests that this entry has in flight or queued.
-    :param wanted_elsewhere: the same number for each other entry.
+    :param wanted_elsewhere: requests that each other entry has in flight or queued.
     :return: this entry's slots, at least 1; 0 only if there is no capacity.
     """
     if capacity <= 0:
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/stragglers.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/stragglers.py
@@ -1,19 +1,19 @@
 """
-Chooses which runs move from a slow engine to a faster one.
+Chooses which runs (items that an engine works on) move from a slow engine to a faster one.
 
 Load pattern: one engine of five becomes three times slower for some seconds while it runs twelve
 half-finished items; the step that they belong to waits for all of them.
 
-Without this, the slow engine is detected only when its runs end, which is too late. An output of 38
-events took 6.7 s on such an engine instead of 1.4 s; the trainer's next step began 4.9 s late and
-its last step of the day was never submitted.
+Without this policy, the slow engine would be detected only when its runs end, which is too late. An
+output of 38 events took 6.7 s on such an engine instead of 1.4 s; the next step of the trainer
+began 4.9 s late, and the trainer's last step of the day was never submitted.
 
 The policy detects a slow engine by the pace of the events in its streams while they run. A moved
-run continues after its last event and costs the other engine one reading of its text, a few
-milliseconds. A run moves only to an engine that may run it and that has a free slot which no
-waiting item takes. When slots of engines with too old weights were counted as well, sixteen runs
-left the slow engine, the only one that might run them, and were sent back to it twice a second for
-six seconds.
+run continues after its last event and costs the engine that it moves to one reading of its text, a
+few milliseconds. A run moves only to an engine that may run it and that has a free slot which no
+waiting item takes. When the free slots of engines whose weights were too old for the runs were
+counted as well, sixteen runs left the slow engine, the only one that might run them, and were sent
+back to it twice a second for six seconds.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-# An engine is slow above this multiple of the median time per event. Load alone causes smaller
-# differences between equal engines: a full engine takes a quarter longer for an event than an empty
-# one.
+# An engine is slow above this multiple of the engines' median time per event. The number of items
+# on an engine alone causes smaller differences between equal engines: a full engine takes a quarter
+# longer for an event than an empty one.
 SLOW_PACE_RATIO = 1.7
 # Minimum number of remaining events for a move: the result of a shorter run arrives sooner than
 # a move would pay off.
 LEAST_LEFT = 6
-# Weight of a new measurement in the moving average: two measurements, half a second apart, are
-# enough to detect a slow engine.
+# Weight of a new measurement in the moving average of an engine's seconds per event: two
+# measurements, half a second apart, are enough to detect a slow engine.
 NEW_PACE_WEIGHT = 0.6
 
 
@@ -60,10 +60,10 @@
     """
     A run that may move to another engine.
 
-    :param number: the run's number.
-    :param engine: id of the engine that it runs on.
-    :param left: estimated number of events that it still has to produce.
-    :param engines: ids of the engines that may run it.
+    :param number: number by which the caller identifies the run.
+    :param engine: id of the engine that the run is on.
+    :param left: estimated number of events that the run still has to produce.
+    :param engines: ids of the engines that may continue the run.
     """
 
     number: int
@@ -74,10 +74,10 @@
 
 def slow_engines(pace_by_engine: Mapping[str, Pace]) -> frozenset[str]:
     """
-    Find the engines that are much slower than the median.
+    Find the engines whose time per event is more than `SLOW_PACE_RATIO` times the median.
 
-    :return: their ids; empty if the pace of fewer than three engines is known, because the median
-        of two does not show which of them is slow.
+    :return: ids of these engines; empty if the pace of fewer than three engines is known, because
+        the median of two engines does not show which one is slow.
     """
     paces = {engine: pace.seconds for engine, pace in pace_by_engine.items() if pace.seconds}
     if len(paces) < 3:
@@ -95,7 +95,7 @@
     waiting: int,
 ) -> tuple[int, ...]:
     """
-    Choose the runs that move.
+    Choose the runs that move from slow engines to free slots of other engines.
 
     :param runs: the runs that may move, on any engine.
     :param slow: ids of the slow engines.
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/version_hosts.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/version_hosts.py
@@ -1,23 +1,23 @@
 """
-Chooses which engine loads which weight version next.
+Chooses which engine loads which version of a model's weights next.
 
-Load pattern: every trainer publishes a new version of its model every few seconds, and every engine
-can serve every model. A load is expensive: it takes the model out of service on its engine for
-about a second, and loads become slower when too many run at once.
+Situation: every trainer publishes a new version of its model every few seconds, and every engine
+can serve every model. A load of weights is expensive: it takes the model out of service on its
+engine for about a second, and loads become slower when too many run at once.
 
 If each version were loaded on all engines, three trainers on five engines would cause fifteen loads
 every four seconds. The weight store cannot serve that many, so no engine would ever have the
 versions that jobs ask for.
 
-Each model therefore has a fixed share of the engines as its hosts. It keeps the same hosts from
-version to version, and only the loss of a host changes them. At most half of a model's hosts load
-at a time, so that the others continue to serve it.
+Each model therefore has a fixed share of the engines as its hosts. The model keeps the same hosts
+from version to version, and only the loss of a host changes them. At most half of a model's hosts
+load weights at a time, so that the other hosts continue to serve the model.
 
-Jobs that accept older versions do not need the newest one on all hosts. If they accept a lag of one
-version, half of the hosts load every other version, alternating with the other half. Each engine is
-then out of service half as often, and when a version is published, the half that loaded the
-previous one still serves all jobs. If all hosts loaded each version, each would be used for one
-step only.
+Jobs that accept older versions do not need the newest version on all hosts. If jobs accept weights
+that are one version old (a lag of one version), half of the hosts load every other version,
+alternating with the other half. Each engine is then out of service half as often, and when a
+version is published, the half that loaded the previous one still serves all jobs. If all hosts
+loaded each version, each load would serve for one step only.
 """
 
 from __future__ import annotations
@@ -28,9 +28,10 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-# At most two fifths of the engines load at a time: with more, a step that begins would find fewer
-# than half of the slots free. The limit grows with the fleet because a fixed limit of two was the
-# bottleneck of twenty engines: loads came later than the versions that jobs asked for.
+# Largest share of the engines that load weights at a time. With more than two fifths, a step that
+# begins would find fewer than half of the slots free. The limit grows with the fleet because a
+# fixed limit of two was the bottleneck of twenty engines: loads came later than the versions that
+# jobs asked for.
 MAX_LOADING_SHARE = 0.4
 MIN_LOADS_AT_ONCE = 2
 
@@ -40,9 +41,9 @@
     """
     An engine that may load weights.
 
-    :param engine: its id.
-    :param version_by_model: the version that it serves of each model.
-    :param loading: the model for which it is loading weights; empty if it is not loading.
+    :param engine: id of the engine.
+    :param version_by_model: version of the weights that the engine serves, by model.
+    :param loading: the model for which the engine is loading weights; empty if it loads nothing.
     """
 
     engine: str
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """A load of a model's version that an engine has to begin."""
+    """A load of one version of a model's weights, which an engine has to begin."""
 
     engine: str
     model: str
@@ -61,17 +62,17 @@
 
 def allowed_lag(newest: int, oldest_allowed: int) -> int:
     """
-    Compute how many versions an engine may be behind the newest one.
+    Compute how many versions an engine may be behind the newest version and still run a job.
 
     :param newest: newest published version of the model when the job was submitted.
     :param oldest_allowed: oldest version that the job accepts.
-    :return: a number of versions, never negative.
+    :return: the number of versions, never negative.
     """
     return max(0, newest - oldest_allowed)
 
 
 def loads_at_once(engines: int) -> int:
-    """Return how many loads may run at a time on a fleet of this many engines."""
+    """Return how many engines may load weights at a time in a fleet of this many engines."""
     return max(MIN_LOADS_AT_ONCE, int(engines * MAX_LOADING_SHARE))
 
 
@@ -79,9 +80,10 @@
     """
     Return the number of engines that load the new versions of each model.
 
-    A model gets no more hosts than its share. In the emulation of `bench/emulated.py` with two
-    trainers on five engines, twice as many hosts, each loading as seldom, saved steps no time (0.80
-    of the groups were in time with either number) and needed 59 loads instead of 36.
+    A model gets no more engines (hosts) than its share. In the emulation of `bench/emulated.py`
+    with two trainers on five engines, twice as many hosts, each of which loaded equally seldom,
+    saved steps no time (0.80 of the groups were in time with either number) and needed 59 loads
+    instead of 36.
 
     :return: number of engines divided by number of models, rounded up.
     """
@@ -96,12 +98,12 @@
     """
     Choose the engines that load the new versions of each model.
 
-    Engines with the newest version of the model are preferred, then those that are hosts of the
-    fewest other models.
+    Engines with the newest version of the model are preferred, then the engines that are hosts of
+    the fewest other models.
 
     :param hosts: engines that serve.
     :param version_by_model: newest version that the trainers published.
-    :return: engine ids by model, those with the newest version first.
+    :return: engine ids by model, the engines with the newest version first.
     """
     wanted = hosts_per_model(len(hosts), len(version_by_model))
     models_by_engine = {host.engine: 0 for host in hosts}
@@ -126,13 +128,14 @@
     lag_by_model: Mapping[str, int],
 ) -> tuple[Load, ...]:
     """
-    Choose the loads to begin now.
+    Choose which engines begin to load which versions now.
 
     :param hosts: engines that serve.
     :param version_by_model: newest version that the trainers published.
-    :param at_once: number of loads that the weight store can serve at a time, see `loads_at_once`.
-    :param lag_by_model: number of versions that an engine may be behind for the model's jobs; a
-        model that is not listed has 0.
+    :param at_once: largest number of loads that the weight store can serve at a time, see
+        `loads_at_once`.
+    :param lag_by_model: number of versions that an engine may be behind and still run the model's
+        jobs; 0 for a model without a value.
     :return: the loads; models whose newest version on any host is the lowest come first.
     """
     host_by_engine = {host.engine: host for host in hosts}
@@ -159,10 +162,11 @@
 
 def _due(hosts: Sequence[Host], model: str, version: int, lag: int) -> tuple[str, ...]:
     """
-    Choose the hosts that need the newest version; those that no job can use come first.
+    Choose the hosts that need the newest version; the hosts whose version is too old for all jobs
+    come first.
 
     Of the hosts that the next version will make too old, up to half of all hosts, rounded up, may
-    skip this version: the other half will serve while they load the next one.
+    skip this version: the other half will serve while these hosts load the next version.
     """
     too_old = [host for host in hosts if host.version_by_model.get(model, 0) < version - lag]
     oldest_usable = [
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/weights.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/weights.py
@@ -1,10 +1,10 @@
 """
-Chooses which engines load a new weight version now.
+Chooses which engines of a model load a new version of its weights now.
 
-Load pattern: a trainer publishes weights every few minutes. All engines that serve its model must
-load them from a weight store that serves only a few loads at a time, while sample requests and
-other callers' requests continue. A load may fail, hang, or be reported as done without having been
-done.
+Situation: a trainer publishes weights every few minutes. All engines that serve its model must load
+them from a weight store that serves only a few loads at a time, while sample requests and other
+callers' requests continue. A load of weights may fail, hang, or be reported as done without having
+been done.
 
 If every engine were ordered to load at once, the store would refuse most loads, the refused engines
 would retry together, and no engine would serve in the meantime. An engine whose load fails and is
@@ -19,13 +19,15 @@
 import math
 from dataclasses import dataclass
 
-# At least half of a model's engines serve while the others load. The only engine of a model loads
-# nevertheless, because samples from old weights would eventually be of no use.
+# Smallest share of a model's engines that serve while its other engines load weights. The only
+# engine of a model loads nevertheless, because samples from old weights would eventually be of no
+# use.
 MIN_SERVING_SHARE = 0.5
-# Delay of the first retry, which costs one second of staleness. Each further failure doubles it.
+# Delay in seconds of the first retry of a failed load, which costs one second of staleness. Each
+# further failure doubles the delay.
 RETRY_BASE_S = 1.0
-# The limit of 30 s keeps an engine that always fails from using the store more than twice a minute,
-# and is a small part of the minutes between two versions.
+# Longest delay of a retry in seconds. With 30 s, an engine that always fails uses the weight store
+# at most twice a minute, and the delay is a small part of the minutes between two versions.
 RETRY_MAX_S = 30.0
 
 
@@ -34,12 +36,12 @@
     """
     One engine that serves the model.
 
-    :param endpoint: its id.
-    :param version: version of the adapter that it announces; None if it has none.
-    :param loading: whether it has an order to load that has not ended.
+    :param endpoint: id of the endpoint.
+    :param version: version of the adapter that the engine announces; None if it has no adapter.
+    :param loading: whether the engine was ordered to load weights and this load has not ended.
     :param failures: number of failed loads of the wanted version in a row.
     :param failed_s: time of the last failure in seconds.
-    :param running: number of requests that it runs.
+    :param running: number of requests that the engine runs.
     """
 
     endpoint: str
@@ -70,7 +72,7 @@
     Choose the engines that load the wanted version now.
 
     :param engines: all serving engines of the model.
-    :param wanted: version to be loaded.
+    :param wanted: version of the weights to be loaded.
     :param free_store_slots: number of further loads that the weight store can serve now.
     :param now: time in seconds on the clock of `failed_s`.
     :return: ids of engines with the fewest failures first, then the oldest version, then the fewest
--- a/tests/unit/decisions/test_admission.py
+++ b/tests/unit/decisions/test_admission.py
@@ -71,8 +71,8 @@
     """
     A job starts and sends a hundred requests at once under a rate of ten per second.
 
-    Without a retry time of its own for each request, all rejected requests would be retried at once
-    and most of them rejected again.
+    If the rejections did not state different retry times, all rejected requests would be retried at
+    once and most of them rejected again.
     """
     admission = Admission.from_rules({"forge": _Rule(10.0, 10.0)}, 0.0)
     # Pending requests are (time of the next try, rejections so far).
@@ -92,9 +92,9 @@
 
 def test_an_account_connected_to_one_entry_gets_most_of_its_rate() -> None:
     """
-    All connections of an account end at one of nine entries.
+    All connections of an account lead to one of nine entries.
 
-    With its rate divided evenly, the account would get a ninth of it.
+    If the rate were divided evenly over the entries, the account would get a ninth of its rate.
     """
     entries = _Entries(9, {"forge": _Rule(90.0, 9.0)})
 
--- a/tests/unit/decisions/test_call_window.py
+++ b/tests/unit/decisions/test_call_window.py
@@ -35,9 +35,9 @@
 
 def replay(windows: list[CallWindow] | None) -> tuple[int, float, float]:
     """
-    Simulate four steps whose texts end together, beside a steady stream of lookups.
+    Simulate the calls of four steps whose texts end together, beside a steady stream of lookups.
 
-    :param windows: one for each sender; with None each call is sent at once.
+    :param windows: call window of each sender; with None each call is sent at once.
     :return: number of rejected lookups, share of lookups that waited in a queue, longest time in
         seconds from the end of a text to its score.
     """
@@ -80,21 +80,23 @@
 
 
 def test_lookups_are_served_while_the_calls_of_an_ending_step_run() -> None:
-    # Texts end at five senders at the same time. Without windows their calls fill the slots and the
-    # queue of the endpoints: lookups of 25 ms are rejected or wait for the duration of a call.
+    # Texts end at five senders at the same time. Without call windows, the calls for these texts
+    # would fill the slots and the queue of the endpoints: lookups of 25 ms would be rejected or
+    # wait for the duration of a call.
     refused_unlimited, waited_unlimited, last_unlimited_s = replay(None)
     refused, waited, last_s = replay([CallWindow() for _ in range(SENDERS)])
 
     assert refused_unlimited > 0
     assert refused <= refused_unlimited / 10
     assert waited < waited_unlimited / 2
-    # All calls of a step end before the next step's calls start.
+    # All calls of a step end before the calls of the next step start.
     assert last_unlimited_s < last_s < STEP_EVERY_S
 
 
 def test_a_window_grows_only_while_calls_wait() -> None:
-    # Each concurrent call needs a connection. A sender whose calls never wait keeps the initial
-    # limit; one that reads all texts of an engine gets the larger limit that these need.
+    # Each concurrent call needs a connection. A sender whose calls never wait must keep the initial
+    # limit; a sender that reads all texts of an engine must get the larger limit that these texts
+    # need.
     idle, busy = CallWindow(), CallWindow()
     for n in range(100):
         idle.began(n * 0.1, 0.0, CAPACITY)
@@ -108,7 +110,8 @@
 
 
 def test_a_call_window_is_limited_to_its_share_of_the_capacity() -> None:
-    # The same sender with twice the capacity and with about an eighth of it.
+    # The same sender calls endpoints with `CAPACITY`, with twice that and with about an eighth of
+    # it.
     limits = {}
     for capacity in (5, CAPACITY, 2 * CAPACITY):
         window = CallWindow()
--- a/tests/unit/decisions/test_capacity.py
+++ b/tests/unit/decisions/test_capacity.py
@@ -18,13 +18,15 @@
 
 class _Fleet:
     """
-    A fleet that carries out the plans of `Capacity`.
+    A simulated fleet that starts and stops endpoints as `Capacity` plans.
 
-    An endpoint serves `START_S` after its order; a stopped one disappears at once.
+    An endpoint serves `START_S` seconds after its order; a stopped endpoint disappears at once.
 
     :param orders: number of planned starts and stops.
-    :param refused: number of starts that were refused because the place was unavailable.
-    :param min_serving: lowest number of endpoints that served at a time in the last span.
+    :param refused: number of starts that were refused because the kind was unavailable in the data
+        centre.
+    :param min_serving: lowest number of endpoints that served at a time during the last call of
+        `run`.
     """
 
     def __init__(self, wanted: Wanted) -> None:
@@ -101,7 +103,7 @@
 
 def test_a_reclaim_costs_one_endpoint_and_is_replaced_by_the_standard_kind() -> None:
     # All cheap endpoints in derby are reclaimed at once, which costs the service one endpoint of
-    # five. A cheap replacement in derby would be reclaimed as well.
+    # five. A standard endpoint must replace it: a cheap one in derby would be reclaimed as well.
     fleet = _started_fleet()
 
     fleet.reclaim("derby")
@@ -144,7 +146,8 @@
 
 
 def test_a_surplus_of_some_seconds_stops_no_endpoint() -> None:
-    # A late announcement makes a lost endpoint count as serving for some seconds.
+    # A late announcement makes a lost endpoint count as serving for some seconds. If an endpoint
+    # were stopped for it, one would be missing afterwards.
     fleet = _started_fleet()
     fleet.serving["lost"] = Place("derby", STANDARD)
     fleet.run(30)
--- a/tests/unit/decisions/test_dispatch.py
+++ b/tests/unit/decisions/test_dispatch.py
@@ -87,8 +87,8 @@
 
 def test_a_job_with_more_items_than_slots_takes_little_longer_than_its_longest_item() -> None:
     # A trainer submits 112 items for 60 slots. When each item was counted with its maximum size,
-    # four items filled an engine, the last items began after six seconds, and the trainer
-    # discarded the step.
+    # four items filled an engine, the last items began after six seconds, and the trainer discarded
+    # the step of these items.
     items, events_by_key = job_of(112)
     longest_s = 100 * EVENT_S
 
@@ -101,8 +101,8 @@
 
 
 def test_long_items_begin_first() -> None:
-    # Guards against beginning a long item of a step only after the others have ended, which delays
-    # the step by the time of a complete item.
+    # If a long item of a step began only after the other items had ended, the step would be delayed
+    # by the running time of a complete item.
     items, events_by_key = job_of(112)
 
     assert run_job(items, events_by_key, sort=True) < run_job(items, events_by_key, sort=False)
@@ -130,8 +130,8 @@
 
 
 def test_a_slow_engine_is_not_preferred_for_having_the_prompt() -> None:
-    # Guards against sending an item that was moved away from a slow engine back to it because that
-    # engine has the item's prompt.
+    # An item was moved away from a slow engine, which has read the item's prompt. If the prompt
+    # outweighed the slowness, the item would be sent back to that engine.
     item = waiting_item(0, 100)
     slow = engine_capacity("b", slowness=5.0, groups={item.group})
 
@@ -140,7 +140,8 @@
 
 def test_long_items_go_to_the_fast_engines() -> None:
     # The engines of one data centre take a third longer for each event. An output of 134 events
-    # takes seven seconds there and five elsewhere, and its step waits for it.
+    # takes seven seconds there and five elsewhere. If a long item went there, its step would wait
+    # for it.
     capacities = [engine_capacity("a", slowness=1.3), engine_capacity("b"), engine_capacity("c")]
     items = [waiting_item(n, 9000 if n < 6 else 900, group=("job", str(n))) for n in range(24)]
     items = [dataclasses.replace(item, engines=frozenset("abc"), tokens=900) for item in items]
--- a/tests/unit/decisions/test_drain.py
+++ b/tests/unit/decisions/test_drain.py
@@ -10,9 +10,9 @@
 @pytest.mark.parametrize(
     ("draining", "now", "step"),
     [
-        # An entry may still send requests to the endpoint; a stop would break the latest ones.
+        # An entry may still send requests to the endpoint; a stop would break its latest requests.
         (Draining(0.0, None, 0, True), 50.0, DrainStep.WAIT),
-        # The announced load of zero may be older than the last request that an entry sent.
+        # The announcement of no requests may be older than the last request that an entry sent.
         (Draining(0.0, 3.0, 0, True), 5.0, DrainStep.WAIT),
         (Draining(0.0, 3.0, 0, False), 30.0, DrainStep.WAIT),
         # A long stream is still running.
--- a/tests/unit/decisions/test_fleet_size.py
+++ b/tests/unit/decisions/test_fleet_size.py
@@ -14,7 +14,8 @@
 
 
 def test_lost_endpoints_are_ordered_in_the_cheapest_data_centre() -> None:
-    # Two engines are lost. Without replacements, half of the trainers' steps are late from then on.
+    # Two of five engines are lost. Without replacements, half of the trainers' steps would be late
+    # from then on.
     fleet = ServiceFleet()
 
     order = next_order(fleet, MARKET, 5, {"derby": 2, "stoke": 1}, 10.0)
--- a/tests/unit/decisions/test_queueing.py
+++ b/tests/unit/decisions/test_queueing.py
@@ -30,7 +30,7 @@
 @dataclass
 class _Outcome:
     """
-    Results of one run.
+    Results of one run of requests through a queue.
 
     :param waits_s: seconds that each started request waited, by client account.
     :param in_time_s: seconds of work that ended before its deadline, by client account.
@@ -94,9 +94,10 @@
 
 def test_a_hot_account_does_not_starve_the_others() -> None:
     """
-    One account sends ten times the load that the slots can serve; three others send little.
+    One account sends ten times as many requests as the slots can serve; three others send few.
 
-    With first come, first served, the lookups of the three wait behind the hot account's requests.
+    In a first-come, first-served queue, the requests of the three accounts would wait behind those
+    of the hot account.
     """
     arrivals = _stream("hot", 100.0, 30.0, 0.5, wait_limit_s=20.0)
     for number in range(3):
@@ -123,8 +124,8 @@
     """
     An account sends long generations and, a second later, the first of many short lookups.
 
-    In order of arrival each lookup waits for all generations before it; if short requests always
-    went first, the generations would not run while lookups keep arriving.
+    In order of arrival, each lookup would wait for all generations before it; if short requests
+    always went first, the generations would not run while lookups keep arriving.
     """
     long = [(0.0, Item(f"long-{number}", "forge", 10.0, 500.0)) for number in range(10)]
     short = [
@@ -145,8 +146,8 @@
     For two minutes requests arrive at twice the rate that the slots can serve; callers time out
     after ten seconds.
 
-    Without shedding, requests start after their callers have timed out, and the endpoints are fully
-    busy with work whose results nobody receives.
+    Without shedding, requests would start after their callers have timed out, and the endpoints
+    would be fully busy with work whose results nobody receives.
     """
     arrivals = []
     for number in range(4):
@@ -197,8 +198,8 @@
     """
     A caller asks for up to 100,000 tokens, usually gets a hundred, and times out after a minute.
 
-    By the estimate for all the tokens the request would be rejected on an idle system, and again at
-    each retry.
+    If its work were estimated for all these tokens, the request would be rejected on an idle
+    system, and again at each retry.
     """
     queue = FairQueue.from_weights({}, 1)
     large = Item.from_estimate("large", "forge", 1250.0, 60.0, now=0.0)
@@ -224,9 +225,11 @@
 
 def test_an_idle_account_accumulates_no_credit() -> None:
     """
-    One account is idle while a hundred requests of another are served; then both are busy.
+    One account is idle while a hundred requests of another account are served; then both send
+    requests.
 
-    With credit for its idle time, the first account would get all slots until it had caught up.
+    With credit for its idle time, the first account would get all slots until it had been served as
+    much as the other one.
     """
     queue = FairQueue.from_weights({}, 1)
     for number in range(200):
--- a/tests/unit/decisions/test_retries.py
+++ b/tests/unit/decisions/test_retries.py
@@ -25,7 +25,7 @@
 
 
 def test_an_outage_does_not_treble_the_load() -> None:
-    # All tries fail for a minute. Three tries for each request would treble the load on the
+    # All tries fail for a minute. Three tries for each request would treble the requests to the
     # remaining endpoints and keep up the overload after its cause has ended.
     requests, retries = simulate(rate=50.0, seconds=60, failing=1.0)
 
--- a/tests/unit/decisions/test_routing.py
+++ b/tests/unit/decisions/test_routing.py
@@ -13,7 +13,9 @@
 
 
 class SimulatedEndpoints:
-    """Endpoints that each have `CAPACITY` slots and an unbounded queue; `speeds` is by endpoint."""
+    """
+    Endpoints with `CAPACITY` slots and an unbounded queue each; `speeds` has the speed of each.
+    """
 
     def __init__(self, speeds: list[float]) -> None:
         self.speeds = speeds
@@ -56,7 +58,7 @@
     Send requests at `rate` per second through several entries for 60 s.
 
     The entries see load reports that are up to `lag_s` old. `pick` chooses the endpoint. `routers`
-    (one per entry) get the pace of each answer at the time at which it arrives.
+    (one per entry) get the pace of each answer (seconds per unit of work) when the answer arrives.
 
     :return: sorted seconds that each request took beyond its own work.
     """
@@ -107,8 +109,8 @@
 
 
 def test_one_slow_endpoint_does_not_make_requests_wait() -> None:
-    # One of five endpoints has become ten times slower. With round robin every fifth request waits
-    # in its queue; the router sends them to the endpoints that complete work.
+    # One of five endpoints has become ten times slower. With round robin, every fifth request would
+    # wait in its queue; the router must send these requests to the fast endpoints.
     speeds = [1.0, 1.0, 1.0, 1.0, 0.1]
     counter = iter(range(1 << 30))
     round_robin = simulate_waits(speeds, 1, 0.5, 10.0, lambda *_: next(counter) % 5)
@@ -122,8 +124,9 @@
 
 
 def test_requests_sent_since_the_report_count_as_load() -> None:
-    # One entry has reports that are up to two seconds old. If it ignores the requests that it has
-    # sent since, queues grow beside free slots. The compared value is the mean over eight seeds.
+    # One entry has reports that are up to two seconds old. If the entry ignored the requests that
+    # it has sent since, queues would grow at some endpoints while others have free slots. The
+    # compared value is the mean over eight seeds.
     mean_by_counting = {}
     for counting in (True, False):
         waits: list[float] = []
@@ -137,8 +140,9 @@
 
 
 def test_entries_with_old_reports_do_not_choose_the_same_endpoint() -> None:
-    # Nine entries have reports that are up to a second old. With "least reported load" all of them
-    # send to the endpoint that was idle then: its queue grows while other endpoints are idle.
+    # Nine entries have reports that are up to a second old. If each entry chose the endpoint with
+    # the lowest reported load, all entries would send to the endpoint that was idle then: its queue
+    # would grow while other endpoints are idle.
     speeds = [1.0] * 5
 
     def least_reported(entry: int, reports: list[int], sent: list[int], now: float) -> int:
@@ -151,7 +155,8 @@
 
 
 def test_an_endpoint_that_fails_at_once_does_not_attract_requests() -> None:
-    # The endpoint e4 fails each request in a millisecond, so its reported load is always zero.
+    # The endpoint e4 fails each request in a millisecond, so it always reports no requests and
+    # looks idle.
     chooser = router()
     failures = 0
     for number in range(1000):
@@ -166,8 +171,8 @@
 
 @pytest.mark.parametrize("failing", [3, 5])
 def test_when_most_endpoints_fail_all_are_still_used(failing: int) -> None:
-    # A dependency that the endpoints share fails for a while. Requests must not be left without
-    # any endpoint, and the few endpoints that still work must not be overloaded.
+    # A dependency that the endpoints share fails for a while. If all failing endpoints were
+    # ejected, requests would have no endpoint, or would overload the few endpoints that still work.
     chooser = router()
     for index in range(failing):
         for _ in range(EJECT_AFTER_FAILURES):
@@ -189,8 +194,8 @@
 
 
 def test_a_common_prefix_does_not_overload_the_engine_that_caches_it() -> None:
-    # All requests have the same prompt. The engine that has it cached gets the first ones, and the
-    # other engines get requests as soon as its queue is longer than theirs.
+    # All requests have the same prompt. The engine that has the prompt cached must get the first
+    # requests, and the other engines must get requests as soon as its queue is longer than theirs.
     chooser = router()
     loads = [0] * 5
     for _ in range(40):
@@ -202,8 +207,8 @@
 
 
 def test_requests_that_must_not_be_repeated_go_to_the_standard_kind() -> None:
-    # Guards against sending ticket calls to cheap endpoints while repeatable streams occupy the
-    # standard ones: after a reclaim it is unknown which of the calls have run.
+    # Ticket calls must not be repeated. If they went to cheap endpoints while repeatable streams
+    # occupy the standard ones, it would be unknown after a reclaim which of the calls have run.
     chooser = router()
     fleet = (candidate(0), *(candidate(index, kind="cheap") for index in range(1, 5)))
     busy = (candidate(0, load=CAPACITY + 1), *fleet[1:])
--- a/tests/unit/decisions/test_sampling.py
+++ b/tests/unit/decisions/test_sampling.py
@@ -15,8 +15,8 @@
     """
     Two slots are free for four groups of four samples; group 2 lacks one sample.
 
-    In the order of the request, group 0 would take both slots. Group 2 would stay incomplete, and
-    its three finished samples could become stale.
+    If samples started in the order of the request, group 0 would take both slots. Group 2 would
+    stay incomplete, and its three finished samples could become stale.
     """
     members = tuple(
         MemberView(group, member, done=group == 2 and member < 3)
@@ -31,7 +31,8 @@
     """
     One engine hangs: its attempt runs for ten times the median while all other samples are done.
 
-    Without a race the step would take as long as the hanging engine, and the trainer would be idle.
+    Without a second attempt (a race), the step would take as long as the hanging engine, and the
+    trainer would be idle.
     """
     done = tuple(MemberView(0, member, done=True) for member in range(5))
     straggler = MemberView(0, 5, started_s=(0.0,))
@@ -46,9 +47,10 @@
 
 def test_races_are_limited_to_a_tenth_of_the_step() -> None:
     """
-    All engines slow down at once, so that every running attempt looks like a straggler.
+    All engines slow down at once, so that every running attempt counts as a straggler.
 
-    Without the limit the complete step would run twice on engines that are already overloaded.
+    Without a limit on second attempts, the complete step would run twice on engines that are
+    already overloaded.
     """
     done = tuple(MemberView(0, member, done=True) for member in range(10))
     slow = tuple(MemberView(1, member, started_s=(0.0,)) for member in range(30))
@@ -93,8 +95,9 @@
     Three trainers share 24 slots. The first generates samples while the two others train; then the
     second opens a step as well.
 
-    With fixed parts two thirds of the engines would be idle at first; without a guaranteed part the
-    second trainer would wait until the first one's step is complete.
+    If each trainer had a fixed third of the slots, two thirds of the engines would be idle at
+    first; without a guaranteed part, the second trainer would wait until the first trainer's step
+    is complete.
     """
     assert share_of_places(24, 3, running=0, free=24) == 24
     assert share_of_places(24, 3, running=24, free=0) == 24
--- a/tests/unit/decisions/test_slots.py
+++ b/tests/unit/decisions/test_slots.py
@@ -5,7 +5,8 @@
 
 def test_slots_of_all_entries_add_up_to_about_the_capacity() -> None:
     # Nine entries share 40 slots. If each entry used all of them, nine times as many requests would
-    # be sent, and the surplus would wait in the endpoints' first-come, first-served queues.
+    # be sent, and most of these requests would wait in the endpoints' first-come, first-served
+    # queues.
     wanted = (50.0, 10.0, *([0.0] * 7))
 
     slots = [
@@ -32,7 +33,8 @@
 
 
 def test_large_token_bounds_that_end_early_have_a_short_expected_time() -> None:
-    # Callers request up to 100,000 tokens and get some hundred tokens in 5 s.
+    # Callers request up to 100,000 tokens and get some hundred tokens in 5 s. The expected time
+    # must follow these 5 s.
     work_time = WorkTime()
     for _ in range(20):
         work_time.learn(100_000, 5.0)
--- a/tests/unit/decisions/test_stragglers.py
+++ b/tests/unit/decisions/test_stragglers.py
@@ -39,8 +39,8 @@
 
 def test_runs_move_away_from_an_engine_that_becomes_slow() -> None:
     # One of five engines becomes slow while it runs twelve items of a step. Without moves, the step
-    # waits seven seconds for outputs that take a second and a half on other engines, and the
-    # trainer is idle meanwhile.
+    # would wait seven seconds for outputs that take a second and a half on other engines, and the
+    # trainer would be idle meanwhile.
     assert run_step(moves=False) > 5.0
     assert run_step(moves=True) < 2.9
 
--- a/tests/unit/decisions/test_version_hosts.py
+++ b/tests/unit/decisions/test_version_hosts.py
@@ -29,9 +29,9 @@
 
 
 def test_three_models_share_five_engines() -> None:
-    # Three trainers publish a version every four seconds. Loads on all engines would be fifteen
-    # loads, which take seven seconds at two at a time, so that no engine ever had the versions that
-    # jobs ask for.
+    # Three trainers each publish a version every four seconds. If all five engines loaded each
+    # version, these fifteen loads would take seven seconds at two at a time, and no engine would
+    # ever have the versions that jobs ask for.
     hosts = [host(name, x=1, y=1, z=1) for name in "abcde"]
 
     chosen = choose_hosts(hosts, {"x": 2, "y": 2, "z": 2})
@@ -84,7 +84,7 @@
     """
     Engines during a training run with a version every four seconds and loads of 0.9 s.
 
-    :param loads: number of loads begun.
+    :param loads: number of loads of weights that were begun.
     :param lost_engine_s: sum over the engines of the seconds in which they could not serve.
     :param min_serving: lowest number of engines that served at a time.
     """
@@ -106,8 +106,9 @@
         """
         Simulate the training run.
 
-        :param planned_lag: lag that `next_loads` is called with.
-        :param accepted_lag: number of versions that jobs let an engine be behind.
+        :param planned_lag: number of versions that engines may be behind, as passed to
+            `next_loads`.
+        :param accepted_lag: number of versions that an engine may be behind and still run the jobs.
         """
         for tick in range(int(VERSIONS * PUBLISH_INTERVAL_S / TICK_S)):
             now = tick * TICK_S
@@ -129,8 +130,8 @@
 
 
 def test_jobs_that_accept_the_previous_version_need_half_the_loads() -> None:
-    # An engine is out of service while it loads. With five engines and a version every four seconds
-    # this costs a fifth of their capacity, and each load is expensive.
+    # An engine is out of service while it loads weights. If five engines loaded each version, every
+    # four seconds, this would cost a fifth of their capacity, and each load is expensive.
     every_version, alternating = _Fleet(5), _Fleet(5)
 
     every_version.run(planned_lag=0, accepted_lag=1)
--- a/tests/unit/decisions/test_weights.py
+++ b/tests/unit/decisions/test_weights.py
@@ -7,8 +7,8 @@
     """
     Six engines need new weights, and the weight store could serve all of them at a time.
 
-    If all were ordered at once, no engine would serve while they load, and requests would be
-    refused.
+    If all engines were ordered to load at once, no engine would serve in the meantime, and requests
+    would be refused.
     """
     engines = tuple(EngineView(f"n{number}", 1) for number in range(6))
 
@@ -30,8 +30,8 @@
     """
     One engine fails each load, and the weight store serves one load at a time.
 
-    If the failing engine were retried at once, it would occupy the store again and again while
-    healthy engines serve old weights.
+    If the failing engine were retried at once, it would occupy the weight store again and again
+    while healthy engines serve old weights.
     """
     failing = EngineView("n0", 1, failures=1, failed_s=0.0)
     healthy = EngineView("n1", 1)
