--- a/packages/ibisspring-cli/src/ibisspring_cli/control.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/control.py
@@ -14,7 +14,8 @@
 
 EXIT_REFUSED = 1
 EXIT_UNREACHABLE = 3
-# `replace` may take up to 120 s on the control daemon before it answers.
+# Time limit in seconds for the answer to a management request. The control daemon may need up to
+# 120 s before it answers `replace`.
 MANAGE_TIMEOUT_S = 130.0
 
 
@@ -107,7 +108,7 @@
 def _send_to(
     address: str, action: str, arguments: dict[str, Any]
 ) -> consensus_pb2.ManageReply | None:
-    """Send a management request to one daemon; return None if the call fails."""
+    """Send a management request to one control daemon; return None if the call fails."""
     request = consensus_pb2.ManageRequest(
         action=action, arguments=msgspec.msgpack.encode(arguments)
     )
@@ -123,10 +124,10 @@
     addresses: tuple[str, ...], action: str, arguments: dict[str, Any]
 ) -> consensus_pb2.ManageReply | None:
     """
-    Send a management request to each daemon in turn until the leader answers.
+    Send a management request to each control daemon in turn until the leader answers.
 
-    :return: the first reply that does not redirect to the leader, else the last redirect; None if
-        no daemon answers.
+    :return: the first reply that does not refer to another daemon as the leader; without one, the
+        last reply that does; None if no daemon answers.
     """
     last_reply = None
     for address in addresses:
@@ -142,7 +143,7 @@
 def _print_result(
     reply: consensus_pb2.ManageReply | None, as_json: bool, success_text: str
 ) -> None:
-    """Print the result of a management request; exit with an error code if it failed."""
+    """Print the reply to a management request; exit with an error code if the request failed."""
     if reply is None:
         click.echo(
             "no control daemon answers; check the addresses in --control and that the daemons run",
--- a/packages/ibisspring-cli/src/ibisspring_cli/endpoints.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/endpoints.py
@@ -56,10 +56,10 @@
 
 def endpoint_lines(endpoints: list[dict]) -> list[str]:
     """
-    Format endpoints as text.
+    Format endpoints as lines of text for the output of a command.
 
     :param endpoints: the list `endpoints` in the answer to the query `endpoints` or `status`.
-    :return: one line for each endpoint.
+    :return: one line for each endpoint, with its service, data centre, kind, state and versions.
     """
     lines = []
     for record in endpoints:
--- a/packages/ibisspring-cli/src/ibisspring_cli/explanations.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/explanations.py
@@ -1,4 +1,4 @@
-"""Selects the log lines that explain what happened to a request, job, item, endpoint or daemon."""
+"""Selects log lines that explain what happened to a request, job, item, endpoint or daemon."""
 
 from __future__ import annotations
 
@@ -15,11 +15,13 @@
 
     from ibisspring_cli.log_lines import ClockNote, LogLine
 
-# Context lines are selected from 10 s before the first line with the id to 1 s after the last one:
-# the state that daemons logged shortly before a decision explains that decision.
+# Period, in seconds, of the other lines that are selected as context: from 10 s before the first
+# line with the wanted id to 1 s after the last one. The state that daemons logged shortly before a
+# decision explains that decision.
 CONTEXT_BEFORE_S = 10.0
 CONTEXT_AFTER_S = 1.0
-# A line with one of these fields belongs to that request, job or item.
+# Fields that contain the id of a request, job or item. A line with such a field belongs to that
+# request, job or item.
 WORK_FIELDS = ("request", "job", "item")
 
 MEANING_BY_REASON = {
@@ -34,7 +36,7 @@
     "endpoints tried were slow or silent",
     Reason.MISMATCHED_ANSWER.value: "the answer on this connection belongs to another request",
     Reason.NO_LEADER.value: "no control daemon was leader, or the leader was unreachable",
-    # Outcomes of an item's run; see `Outcome.kind`.
+    # Outcomes of the run of a job's item on an engine; see `Outcome.kind`.
     "broken": "the engine's stream broke or stalled; the item continues on another engine",
     "failed": "the engine reported that this run failed; the item is retried",
     "stale": "the engine had another weight version than expected",
@@ -47,10 +49,11 @@
 @dataclass(frozen=True)
 class ExplainedLine:
     """
-    A log line of an explanation.
+    A log line that an explanation shows.
 
-    :param at_s: seconds after the first line that contains the id; negative before that line.
-    :param direct: True if the line contains the id, False for a line of the context.
+    :param at_s: seconds after the first line that contains the explained id; negative before that
+        line.
+    :param direct: True if the line contains the explained id, False for a line of the context.
     """
 
     at_s: float
@@ -64,10 +67,11 @@
     The log lines that explain what happened to an id.
 
     :param lines: lines in time order; empty if no line contains the id.
-    :param meanings: explanations of the reasons in the direct lines, the latest reason first.
-    :param clocks: the clocks by which the lines were ordered.
-    :param dropped_by_kind: number of lines, by kind, that daemons did not log in this period
-        because of their log limits.
+    :param meanings: explanations of the error reasons in the lines that contain the id, the latest
+        reason first.
+    :param clocks: the boot clocks by which the lines were ordered.
+    :param dropped_by_kind: number of lines, by `message_type`, that daemons did not log in this
+        period because of their log limits.
     """
 
     lines: tuple[ExplainedLine, ...]
@@ -83,7 +87,8 @@
     :param wanted: id of a request, job, item, endpoint or daemon.
     :param lines: log lines of any number of processes.
     :return: the lines that contain the id, and the lines of the same period about related ids (the
-        items of a job, the endpoints tried) or about the state known to the daemons.
+        items of a job, the endpoints to which a request was sent) or about the state known to the
+        daemons.
     """
     timed, clocks = merge_in_time_order(lines)
     wanted_ids = frozenset({wanted})
@@ -94,7 +99,8 @@
     first_s, last_s = direct[0][0], direct[-1][0]
     related = _related_ids([line for _, line in direct], wanted)
     if any(line.fields.get("reason") == Reason.NO_ENDPOINT.value for _, line in direct):
-        # No endpoint was tried, so the missing one may be any endpoint in the logs.
+        # The entry knew no endpoint of the service, so the line names none. The missing endpoint
+        # may be any endpoint in the logs.
         endpoints = (line.fields.get("endpoint") for _, line in timed)
         related |= {one for one in endpoints if isinstance(one, str)} - {wanted}
     explained = []
@@ -117,7 +123,7 @@
 
 
 def _related_ids(direct: list[LogLine], wanted: str) -> frozenset[str]:
-    """Return the ids related to `wanted`: a job's items, an item's job, the endpoints tried."""
+    """Return the ids related to `wanted`: items of a job, job of an item, endpoints of requests."""
     found: list[Any] = []
     for line in direct:
         fields = line.fields
@@ -133,11 +139,12 @@
 
 
 def _is_context(line: LogLine, related: frozenset[str]) -> bool:
-    """Return True if a line without the id is about a related id or about a daemon's state."""
+    """Return whether a line without the wanted id is about a related id or a daemon's state."""
     work_ids = [line.fields[name] for name in WORK_FIELDS if name in line.fields]
     if work_ids:
-        # A job's lines without an item (its acceptance) explain each of its items. A line with an
-        # item counts only if that item is related: other items of the same job are left out.
+        # Lines about a job as a whole (such as its acceptance) explain each of its items. A line
+        # about one item is selected only if that item is related to the wanted id; lines about
+        # other items of the same job are not.
         return any(_is_in(work_id, related) for work_id in work_ids) and (
             "item" not in line.fields or _is_in(line.fields["item"], related)
         )
--- a/packages/ibisspring-cli/src/ibisspring_cli/keys.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/keys.py
@@ -10,6 +10,7 @@
 from ibisspring_cli.session import read, show
 from ibisspring_core.rules import key_digest
 
+# Number of random bytes in an API key.
 KEY_BYTES = 32
 
 
--- a/packages/ibisspring-cli/src/ibisspring_cli/log_lines.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/log_lines.py
@@ -11,10 +11,11 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# If the difference between wall clock and boot clock of a VM changes by more than this between two
-# lines, the wall clock was set in between.
+# Seconds by which the difference between wall clock and boot clock of a VM may change between two
+# lines. After a larger change, the wall clock was set in between.
 CLOCK_STEP_S = 0.05
-# Wall clocks are corrected by seconds. A larger change of the difference means that the VM rebooted
+# Seconds by which setting a wall clock may change the difference between wall clock and boot clock;
+# wall clocks are corrected by seconds. A larger change of the difference means that the VM rebooted
 # and its boot clock started again at zero.
 MAX_CLOCK_STEP_S = 600.0
 # Fields that describe the origin of a line, not the logged event.
@@ -26,12 +27,12 @@
     """
     One log line of a daemon.
 
-    :param process: the daemon that wrote the line; empty if the line does not contain it.
-    :param kind: the line's `message_type`.
+    :param process: id of the daemon that wrote the line; empty if the line does not contain it.
+    :param kind: the line's `message_type`, which names the logged event.
     :param wall_s: time on the VM's wall clock, in seconds since 1970.
     :param boot_s: time on the VM's boot clock, in seconds; None if the line does not contain it.
     :param boot_index: number of reboots of the VM before this line, as seen in its boot clock.
-    :param fields: all fields that describe the event.
+    :param fields: the line's fields that describe the event, without HEADER_FIELDS.
     """
 
     process: str
@@ -42,18 +43,19 @@
     fields: dict[str, Any]
 
     def mentions(self, ids: frozenset[str]) -> bool:
-        """Return True if any field contains one of these ids."""
+        """Return whether any field of the line is one of these ids or a list with one of them."""
         return any(_contains_any(value, ids) for value in self.fields.values())
 
 
 @dataclass(frozen=True)
 class ClockNote:
     """
-    The clock by which the lines of one process were ordered, during one boot of its VM.
+    The boot clock by which the lines of one process were ordered, during one boot of its VM.
 
+    :param process: id of the daemon that wrote the lines.
     :param boot_index: number of reboots of the VM before these lines.
     :param line_count: number of lines that contain the boot clock's time.
-    :param steps_s: each change by which the wall clock was set, in seconds and in order.
+    :param steps_s: the changes by which the VM's wall clock was set, in seconds, earliest first.
     """
 
     process: str
@@ -63,7 +65,7 @@
 
 
 class _Header(msgspec.Struct):
-    """The fields that every line must have, and the optional fields about its origin."""
+    """The fields that every log line must have, and the optional fields about its origin."""
 
     message_type: str
     timestamp: float
@@ -73,7 +75,7 @@
 
 @dataclass
 class _Clock:
-    """Clock data from the lines of one process during one boot: wall clock minus boot clock."""
+    """Wall clock minus boot clock in the lines of one process during one boot, and its changes."""
 
     offsets_s: list[float] = field(default_factory=list)
     steps_s: list[float] = field(default_factory=list)
@@ -83,8 +85,9 @@
     """
     Parse log lines and skip all text that is not a log line of a daemon.
 
-    :param texts: lines in the order of each file; text before the JSON object is ignored.
-    :return: the lines that have a message type and a timestamp.
+    :param texts: lines of one or more files, those of one file in the file's order; text before the
+        JSON object of a line is ignored.
+    :return: the parsed lines that have a message type and a timestamp, in the given order.
     """
     lines = []
     offset_s_by_process: dict[str, float] = {}
--- a/packages/ibisspring-cli/src/ibisspring_cli/main.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/main.py
@@ -14,9 +14,10 @@
 from ibisspring_cli.status import status
 from ibisspring_cli.usage import usage
 
-# A rules change is acknowledged only when the lease of each entry that stopped answering has
-# expired and, after a change of the leader, when one full lease has passed. Even with the longest
-# permitted leases this takes less than the 15 s allowed for a change.
+# Default time limit, in seconds, for the answer to a command. A rules change is acknowledged only
+# when the lease of each entry that stopped answering has expired and, after a change of the leader,
+# when the time of one full lease has passed. Even with the longest permitted leases, this takes
+# less than the 15 s allowed for a rules change.
 DEFAULT_TIMEOUT_S = 30.0
 
 
--- a/packages/ibisspring-cli/src/ibisspring_cli/options.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/options.py
@@ -1,4 +1,4 @@
-"""Options shared by all commands."""
+"""Options that all commands of `ibisspring` share: addresses, output format and time limit."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 @dataclass(frozen=True)
 class Options:
     """
-    Options passed to every command.
+    Values of the options that are passed to every command of `ibisspring`.
 
-    :param addresses: IP:port of the control daemons.
-    :param as_json: print one JSON object instead of text.
-    :param timeout_s: time limit for an answer, in seconds.
+    :param addresses: IP:port of each control daemon.
+    :param as_json: whether a command prints one JSON object instead of text.
+    :param timeout_s: time limit for the answer of the control leader, in seconds.
     """
 
     addresses: tuple[str, ...]
@@ -32,12 +32,12 @@
         cls, addresses: tuple[str, ...], as_json: bool, timeout_s: float
     ) -> Options:
         """
-        Build the options from parsed command-line values.
+        Build the options from the command-line values that click parsed.
 
-        :param addresses: each text is one IP:port or several, separated by spaces or commas.
+        :param addresses: values of `--control`; each is one IP:port or several, separated by spaces
+            or commas.
         :param as_json: True if `--json` was given.
-        :param timeout_s: time limit for an answer, in seconds.
-        :return: the options, with the addresses split.
+        :param timeout_s: time limit for the answer of the control leader, in seconds.
         """
         return cls(split_addresses(addresses), as_json, timeout_s)
 
@@ -46,7 +46,8 @@
     """
     Split the values of an option that accepts several addresses.
 
-    :param texts: each text is one IP:port or several, separated by spaces or commas.
+    :param texts: values of the option; each is one IP:port or several, separated by spaces or
+        commas.
     :return: the addresses in their order on the command line.
     """
     return tuple(part for text in texts for part in text.replace(",", " ").split())
@@ -56,7 +57,7 @@
     """
     Pass the shared options to a command and accept `--json` after the command's name too.
 
-    :param command: function whose first parameter is an `Options`.
+    :param command: function that performs the command; its first parameter is an `Options`.
     :return: the callback to register with click.
     """
 
--- a/packages/ibisspring-cli/src/ibisspring_cli/session.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/session.py
@@ -26,11 +26,11 @@
 
 def read(options: Options, query: str, **arguments: Any) -> dict[str, Any]:
     """
-    Send a query to the control leader; if it is refused, print the error and exit.
+    Send a query to the control leader; if no leader answers, print the error and exit.
 
-    :param query: name of the query.
-    :param arguments: arguments of the query.
-    :return: the answer.
+    :param query: name of a query of the gRPC service `Control`, such as `status`.
+    :param arguments: arguments of the query by name.
+    :return: the leader's answer, a JSON object.
     """
 
     async def call(client: ControlClient) -> Any:
@@ -46,10 +46,10 @@
     """
     Commit a command through the control leader; if it is refused, print the error and exit.
 
-    :param command: command for the control state machine.
-    :param request_id: id under which a retry is recognised, so that the command is applied once.
+    :param command: command for the replicated state machine, such as `ApplyRules`.
+    :param request_id: id by which a retry is recognised, so that the command is applied only once.
     :param retry_command: command line to print for a retry if no answer arrives.
-    :return: the result of the committed command.
+    :return: the state machine's result of the committed command.
     """
 
     async def call(client: ControlClient) -> Any:
@@ -66,10 +66,10 @@
 
 def show(options: Options, answer: dict[str, Any], lines: list[str]) -> None:
     """
-    Print an answer as JSON or as text.
+    Print the answer to a command as JSON or as text.
 
-    :param answer: object printed with `--json`.
-    :param lines: text lines printed without `--json`.
+    :param answer: JSON object that is printed with `--json`.
+    :param lines: lines of text that are printed without `--json`.
     """
     if options.as_json:
         click.echo(json.dumps(answer))
@@ -80,9 +80,9 @@
 
 def fail(options: Options, code: int, reason: str, message: str, **extra_fields: Any) -> NoReturn:
     """
-    Print an error and exit.
+    Print an error and exit the process.
 
-    :param code: exit code.
+    :param code: exit code of the process, one of the constants `EXIT_…`.
     :param reason: value of a `Reason`.
     :param message: the error and how to resolve it.
     :param extra_fields: additional fields of the JSON object `error`.
@@ -98,7 +98,7 @@
     """
     Print all errors found in a file and exit with `EXIT_FINDINGS`.
 
-    :param findings: the errors, with file, line and column.
+    :param findings: the errors, each with its file, line and column.
     """
     if options.as_json:
         entries = [
--- a/packages/ibisspring-cli/src/ibisspring_cli/system_status.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/system_status.py
@@ -23,17 +23,20 @@
 if TYPE_CHECKING:
     from ibisspring_cli.options import Options
 
-# Time limit for the answer of one daemon.
+# Time limit in seconds for the answer of one daemon.
 CALL_TIMEOUT_S = 1.0
-# If no store is leader of the job log, the directory's status is printed after this time.
+# Time limit in seconds for the answer of the leader of the job log, one of the store daemons. If no
+# store is this leader, the directory's status is printed without the jobs after this time.
 JOBS_TIMEOUT_S = 3.0
 
 
 def show_system(options: Options, seeds: tuple[str, ...]) -> None:
     """
-    Print the status held by the leader of the directory and by the leader of the job log.
+    Print the status that the leaders of the directory and of the job log report.
 
-    :param seeds: peer addresses of control daemons; a follower redirects to the leader.
+    The leader of the directory is a control daemon, the leader of the job log a store.
+
+    :param seeds: peer addresses (IP:port) of control daemons; a follower redirects to the leader.
     """
     directory, jobs = asyncio.run(_read_status(seeds, options.timeout_s))
     if not isinstance(directory, DirectoryStatus):
--- a/packages/ibisspring-cli/src/ibisspring_cli/usage.py
+++ b/packages/ibisspring-cli/src/ibisspring_cli/usage.py
@@ -1,4 +1,4 @@
-"""`ibisspring usage`: shows the usage recorded in each usage window."""
+"""`ibisspring usage`: shows each client account's tokens, calls and seconds per usage window."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-control/src/ibisspring_control/endpoint_table.py
+++ b/packages/ibisspring-control/src/ibisspring_control/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The leader's table of endpoints, built from the entries' renewals."""
+"""The leader's table of endpoints, built from the records that entries send with renewals."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
     from collections.abc import Iterable
 
 GONE = "gone"
-# An endpoint is removed if no entry reports it for three rounds. In a round, every entry sends all
-# its endpoints: every 5 s, or every 1 s per entry if that is longer (ALL_ENDPOINTS_EVERY_S and
-# ALL_ENDPOINTS_SPACING_S in `entry_leases`).
+# Seconds after the last report of an endpoint by any entry until the endpoint is removed:
+# REMOVE_AFTER_S, or REMOVE_AFTER_PER_ENTRY_S for each entry if that is longer. These are three
+# rounds. In one round, every entry sends all its endpoints; a round takes 5 s, or 1 s per entry if
+# that is longer (ALL_ENDPOINTS_EVERY_S and ALL_ENDPOINTS_SPACING_S in `entry_leases`).
 REMOVE_AFTER_S = 15.0
 REMOVE_AFTER_PER_ENTRY_S = 3.0
 
 
 class EndpointTable:
-    """The newest record of each endpoint, by endpoint id."""
+    """The newest record of each endpoint that entries report, by endpoint id, and the disproofs."""
 
     def __init__(self) -> None:
         self.record_by_id: dict[str, EndpointRecord] = {}
@@ -53,9 +54,11 @@
 
     def add_disproofs(self, data: Iterable[bytes]) -> None:
         """
-        Add disproofs, which are announced weight versions that an engine's tokens contradicted.
+        Add disproofs: reports that an engine does not have the weight version that it announced.
 
-        :param data: encoded `Disproof` messages; those of unknown endpoints are ignored.
+        An entry recognizes this by the versions of the engine's tokens.
+
+        :param data: encoded `Disproof` messages; those of endpoints without a record are ignored.
         """
         for encoded in data:
             try:
@@ -73,10 +76,10 @@
 
     def sweep(self, now: float, entries: int) -> None:
         """
-        Remove endpoints that no entry reports any more.
+        Remove the endpoints that no entry has reported for the removal time (see REMOVE_AFTER_S).
 
         :param now: boot-clock seconds.
-        :param entries: number of entries that renew their lease.
+        :param entries: number of entries with a recorded lease; the removal time grows with it.
         """
         remove_after_s = max(REMOVE_AFTER_S, entries * REMOVE_AFTER_PER_ENTRY_S)
         for endpoint, received_s in list(self._received_s_by_id.items()):
--- a/packages/ibisspring-control/src/ibisspring_control/engine_orders/__init__.py
+++ b/packages/ibisspring-control/src/ibisspring_control/engine_orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines: loading of adapter weight versions in waves, and changes of role."""
+"""Orders to engines: to load an adapter's weights (a few engines at a time), to change role."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-control/src/ibisspring_control/engine_orders/loads.py
+++ b/packages/ibisspring-control/src/ibisspring_control/engine_orders/loads.py
@@ -1,4 +1,9 @@
-"""Table of weight loads in progress and failed loads; uses neither the network nor a clock."""
+"""
+Table of the weight loads that engines perform or that failed.
+
+A weight load is the loading of one version of an adapter's weights by one engine from the weight
+store. The table uses neither the network nor a clock: callers pass announcements and times.
+"""
 
 from __future__ import annotations
 
@@ -27,12 +32,15 @@
 @dataclass(frozen=True)
 class Load:
     """
-    One load to be ordered.
+    One weight load that is to be ordered from an engine.
 
+    :param target: model, adapter and version to be loaded.
+    :param endpoint: id of the engine.
     :param incarnation: incarnation of the engine that is to load the version.
     :param address: `host:port` of the engine.
-    :param attempt: unique number in its table. It makes the order id of a retry unique, because a
-        receiver answers a known order id without executing the order again.
+    :param attempt: number that is unique in the table. The order id contains this number, so that a
+        retry gets a new order id: an engine answers a known order id without executing the order
+        again.
     """
 
     target: Target
@@ -45,16 +53,16 @@
 @dataclass(frozen=True)
 class _Attempt:
     """
-    The last load of one adapter on one engine.
+    The last weight load of one adapter that was ordered from one engine.
 
     :param incarnation: incarnation of the engine.
-    :param version: the version that was ordered.
-    :param started_s: when the order was planned, seconds on the lease clock.
-    :param failures: number of consecutive failures of this version.
-    :param failed_s: when the last failure was recorded, seconds on the lease clock.
+    :param version: the weight version that was ordered.
+    :param started_s: time at which the order was planned, seconds on the lease clock.
+    :param failures: number of consecutive failed loads of this version.
+    :param failed_s: time at which the last failure was recorded, seconds on the lease clock.
     :param loading: True while the load is in progress.
-    :param disproved: the engine announces the version, but its tokens were of another version. Its
-        announcement then does not show whether a load succeeded.
+    :param disproved: True if the engine announces the version, but its tokens were of another
+        version. Its announcement then does not show whether a load succeeded.
     """
 
     incarnation: int
@@ -68,12 +76,12 @@
 
 class LoadTable:
     """
-    The loads that a leader ordered, evaluated by the versions that engines announce.
+    The weight loads that a leader ordered, evaluated by the versions that engines announce.
 
-    The answer 202 to an order only means that the engine accepted it. A load succeeded once the
-    engine announces the version, and failed if it does not announce it within `load_timeout_s`.
-    An error in this table only costs time and never produces a wrong label, because labels are
-    derived only from the engine's tokens.
+    The answer 202 to an order only means that the engine accepted the order. A load succeeded once
+    the engine announces the version, and failed if the engine does not announce the version within
+    `load_timeout_s` seconds. A wrong entry in this table only costs time and never puts a wrong
+    weight version on a sample's label, because labels are derived only from the engine's tokens.
     """
 
     def __init__(self, max_store_loads: int, load_timeout_s: float) -> None:
@@ -89,8 +97,8 @@
         """
         Update the table from the engines' announcements and choose the loads to order now.
 
-        :param target: the wanted version.
-        :param engines: the model's engines.
+        :param target: the adapter and the version that its engines should use.
+        :param engines: newest announcements of the engines that serve the target's model.
         :param now: seconds on the lease clock.
         :return: the loads to order; the table counts them as in progress from now on.
         """
@@ -105,14 +113,14 @@
         return tuple(loads)
 
     def loading_count(self) -> int:
-        """Return the number of loads in progress."""
+        """Return the number of loads in progress, which use slots of the weight store."""
         return sum(1 for attempt in self._attempt_by_adapter_key.values() if attempt.loading)
 
     def record_failure(self, load: Load, now: float) -> None:
         """
-        Record that the engine refused a load or that its order was not delivered.
+        Record that an engine refused to load a version or that the order was not delivered.
 
-        :param load: a load from `plan`; ignored if a newer version was ordered since.
+        :param load: a load that `plan` returned; ignored if a newer version was ordered since.
         :param now: seconds on the lease clock.
         """
         adapter_key = (load.endpoint, load.target.adapter)
@@ -123,12 +131,13 @@
 
     def record_disproof(self, disproof: Disproof, now: float) -> None:
         """
-        Record that an engine's tokens disproved a version that the engine announces.
+        Record that an engine does not have the version that it announces.
 
-        The load is ordered again, each time after a longer pause. The announcement cannot show
-        whether the repeated load succeeded; entries detect it by the engine's next labels.
+        `plan` orders the load again, each time after more seconds. The engine's announcement cannot
+        show whether the repeated load succeeded; entries detect it by the versions of the tokens
+        that the engine generates afterwards.
 
-        :param disproof: reported by an entry.
+        :param disproof: an entry's report that the engine's tokens were of another version.
         :param now: seconds on the lease clock.
         """
         adapter_key = (disproof.endpoint, disproof.adapter)
@@ -149,7 +158,7 @@
         )
 
     def retain(self, engines: Iterable[EndpointRecord]) -> None:
-        """Remove all other engines, which frees the weight store slots of their loads."""
+        """Remove the loads of all other engines, which frees their slots of the weight store."""
         known = {(engine.endpoint, engine.incarnation) for engine in engines}
         for adapter_key, attempt in tuple(self._attempt_by_adapter_key.items()):
             if (adapter_key[0], attempt.incarnation) not in known:
@@ -169,7 +178,8 @@
         timed_out = attempt.loading and now - attempt.started_s > self._load_timeout_s
         if attempt.disproved and announced == attempt.version and not restarted:
             if timed_out:
-                # Trust the announcement again until tokens disprove it once more.
+                # The repeated load had `load_timeout_s` to end. Trust the engine's announcement
+                # again until its tokens disprove the version once more.
                 del self._attempt_by_adapter_key[adapter_key]
         elif restarted or (announced is not None and announced >= attempt.version):
             del self._attempt_by_adapter_key[adapter_key]
--- a/packages/ibisspring-control/src/ibisspring_control/engine_orders/service.py
+++ b/packages/ibisspring-control/src/ibisspring_control/engine_orders/service.py
@@ -1,4 +1,4 @@
-"""The service `engine_orders`: the leader orders engines to load weights and change roles."""
+"""The service `engine_orders`: the leader orders engines to load weights and to change roles."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
     from ibisspring_core.messages.endpoints import EndpointRecord
     from ibisspring_core.settings import ControlSettings, Settings
 
+# Seconds between two updates of the load table, each followed by the orders that it plans.
 TICK_S = 0.2
 
 
 class EngineOrders:
-    """Orders weight loads in waves while this replica acts as the leader."""
+    """Orders engines to load weights, a few at a time, while this replica acts as the leader."""
 
     name = "engine_orders"
 
@@ -34,18 +35,18 @@
     @classmethod
     def from_config(cls, settings: Settings) -> EngineOrders:
         """
-        Build the service.
+        Build the service with the weight store's URL and limits from a daemon's settings.
 
-        :param settings: settings of a daemon with the control role.
-        :return: the service.
+        :param settings: checked settings of a daemon with the control role.
         """
         return cls(settings.control)
 
     async def start(self, kernel: Kernel) -> None:
         """
-        Find the services and subscribe to the timer.
+        Start the periodic ordering of weight loads.
 
-        :param kernel: provides state, entry_leases, leader_duties, timer and counters.
+        :param kernel: registry of the daemon's services; provides state, entry_leases,
+            leader_duties, timer and counters.
         """
         self._state = kernel.find("state")
         self._entry_leases = kernel.find("entry_leases")
@@ -55,7 +56,7 @@
         self._subscription = self._timer.subscribe("engine_orders", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Cancel the timer and the orders in flight; an aborted order stays open in the state."""
+        """Stop ordering; abort the orders in flight, which stay open in the replicated state."""
         self._subscription.cancel()
         for task in tuple(self._sending):
             task.cancel()
@@ -67,7 +68,8 @@
 
         :param endpoint: id of the engine.
         :param role: name of the role as the engine defines it.
-        :return: the outcome of the order or a refusal, as from `LeaderDuties.send_order`.
+        :return: the outcome of the order or a refusal, as from `LeaderDuties.send_order`;
+            `NO_ENDPOINT` if no entry reports the engine.
         """
         record = self._entry_leases.endpoint_by_id.get(endpoint)
         if record is None:
@@ -82,8 +84,8 @@
             self._term = None
             return
         if self._term != leadership.term:
-            # The loads that an earlier leader ordered are not known here. The announcements of the
-            # engines show which versions they have.
+            # This replica became the leader. It does not know the loads that an earlier leader
+            # ordered; the announcements of the engines show which versions they have.
             self._term = leadership.term
             self._loads = self._new_load_table()
         engines = self._engines()
@@ -106,7 +108,7 @@
         )
 
     def _targets(self) -> tuple[Target, ...]:
-        """Return every adapter's wanted version, rotated at each call so that none is starved."""
+        """Return each adapter's newest version, rotated at each call so that none is starved."""
         targets = []
         for model, trainers in sorted(self._state.rules.rules.trainers_by_model.items()):
             for trainer in trainers:
--- a/packages/ibisspring-control/src/ibisspring_control/entry_lease.py
+++ b/packages/ibisspring-control/src/ibisspring_control/entry_lease.py
@@ -12,7 +12,8 @@
 
     :param view_index: index of the view that the entry acts on.
     :param rules_version: version of the rules that the entry acts on.
-    :param lapses_s: boot-clock seconds at which the lease has lapsed even with clock drift.
+    :param lapses_s: boot-clock seconds of the leader at which the lease has lapsed even if the
+        entry's clock is slower.
     :param all_requested_s: boot-clock seconds at which the leader last requested all endpoints from
         the entry.
     """
--- a/packages/ibisspring-control/src/ibisspring_control/entry_leases.py
+++ b/packages/ibisspring-control/src/ibisspring_control/entry_leases.py
@@ -1,10 +1,12 @@
 """
 Leases of the entries, granted by the leader.
 
-A lease starts when the entry sends its renewal. The leader grants the lease only after a quorum has
-confirmed its leadership in a round that began after the renewal was received. The renewal of every
-lease that an old leader granted was therefore sent before the next leader was elected, and a new
-leader that waits one lease length knows that all leases of its predecessors have lapsed.
+While an entry holds a lease, it may serve callers by the view (rules, weight versions and drains)
+that the leader sent to it. A lease starts when the entry sends its renewal. The leader grants the
+lease only after a quorum has confirmed its leadership in a round that began after the renewal was
+received. The renewal of every lease that an old leader granted was therefore sent before the next
+leader was elected. A new leader that waits for the length of one lease knows that all leases of
+earlier leaders have lapsed.
 """
 
 from __future__ import annotations
@@ -26,16 +28,21 @@
     from ibisspring_core.messages.endpoints import Disproof, EndpointRecord
     from ibisspring_core.settings import Settings
 
-# The clock rates of two VMs may differ by about 100 ppm; one percent and LEASE_MARGIN_S is ample.
+# The leader counts a lease as in force for its length times CLOCK_DRIFT_FACTOR plus LEASE_MARGIN_S
+# (seconds), since the entry's clock may be slower than the leader's. The clock rates of two VMs may
+# differ by about 100 ppm; one percent and LEASE_MARGIN_S is ample.
 CLOCK_DRIFT_FACTOR = 1.01
 LEASE_MARGIN_S = 0.05
+# Seconds between two removals of lapsed leases and of endpoints that no entry reports.
 SWEEP_EVERY_S = 0.25
-# A held call must end long before the client treats its connection as unresponsive.
+# Maximum seconds for which the answer to a renewal is held. The call must end long before the
+# client treats its connection as unresponsive.
 MAX_HOLD_S = 5.0
+# Holds end at multiples of this many seconds, see `hold_end_s`.
 HOLD_TICK_S = 0.25
-# Minimum interval between two requests for all endpoints of one entry: ALL_ENDPOINTS_EVERY_S, or
-# ALL_ENDPOINTS_SPACING_S per entry if that is longer. The total rate then does not grow with the
-# number of entries.
+# Minimum seconds between two requests to one entry to send all its endpoints:
+# ALL_ENDPOINTS_EVERY_S, or ALL_ENDPOINTS_SPACING_S per entry if that is longer. The number of such
+# requests per second then does not grow with the number of entries.
 ALL_ENDPOINTS_EVERY_S = 5.0
 ALL_ENDPOINTS_SPACING_S = 1.0
 
@@ -59,16 +66,15 @@
     @classmethod
     def from_config(cls, settings: Settings) -> EntryLeases:
         """
-        Build the service.
+        Build the lease service of a control daemon from the daemon's settings.
 
         :param settings: checked settings of the control role.
-        :return: the service.
         """
         return cls(settings.control.entry_lease_s, settings.control.usage_window_s)
 
     @property
     def endpoint_by_id(self) -> dict[str, EndpointRecord]:
-        """Endpoints that live entries reported; complete on the leader only."""
+        """Endpoints that live entries reported, by id; complete on the leader only."""
         return self._endpoints.record_by_id
 
     def pop_disproofs(self) -> tuple[Disproof, ...]:
@@ -76,7 +82,7 @@
         return self._endpoints.pop_disproofs()
 
     async def start(self, kernel: Kernel) -> None:
-        """Find the services and subscribe to view changes and the timer."""
+        """Subscribe to changes of the replicated view and start the periodic removal of leases."""
         self._consensus = kernel.find("consensus")
         self._state = kernel.find("state")
         self._views = EntryViews(self._state, self._usage_window_s)
@@ -84,13 +90,13 @@
         kernel.find("timer").subscribe("entry_leases", SWEEP_EVERY_S, self._sweep)
 
     async def stop(self) -> None:
-        """No-op: the sweep ends when the service `timer` stops."""
+        """No-op: the periodic removal of lapsed leases ends when the service `timer` stops."""
 
     def live_leases(self) -> tuple[EntryLease, ...]:
         """
-        Find the leases that may be in force.
+        Return the leases that may still be in force on this replica's clock.
 
-        :return: the leases, sorted by daemon and incarnation.
+        :return: the recorded leases that have not lapsed, sorted by daemon and incarnation.
         """
         now = boot_now()
         leases = [lease for lease in self.lease_by_start.values() if lease.lapses_s > now]
@@ -98,13 +104,15 @@
 
     async def renew(self, request: control_pb2.RenewRequest) -> control_pb2.RenewReply:
         """
-        Renew a lease after a quorum confirmed the leadership of this replica.
+        Renew an entry's lease after a quorum confirmed the leadership of this replica.
 
         The answer is held for at most `hold_s` while the entry's view is current. Without the hold,
         a change would reach an entry only at its next renewal.
 
-        :param request: the entry's renewal.
-        :return: the grant, with the newest view if the entry's view is outdated.
+        :param request: renewal with the index of the entry's view and the endpoints it reports.
+        :return: the granted lease, with the newest view if the entry's view is outdated;
+            `NOT_LEADER` if this replica is not the leader, `INVALID` if the entry's view has a
+            higher index than this state.
         """
         if not self._consensus.is_leader:
             return self._not_leader()
@@ -112,7 +120,7 @@
         self._update_leadership()
         # The lease is recorded before any answer is sent. If a granted lease were not recorded,
         # `wait_in_force` could return while its entry still accepts a withdrawn key. If the quorum
-        # does not confirm the leadership, the record only makes that wait longer.
+        # does not confirm the leadership, the recorded lease only makes `wait_in_force` longer.
         lease = self._record_renewal(request, received_s)
         for data in request.endpoints:
             self._endpoints.merge(data, received_s)
@@ -137,8 +145,8 @@
         Wait until every entry that may hold a lease acts on a view of at least a given log index.
 
         :param index: log index of the accepted change.
-        :param wait_limit_s: time limit in seconds.
-        :return: the index, or a refusal: `IN_PROGRESS` after the time limit, `NO_LEADER` if this
+        :param wait_limit_s: time limit of the wait in seconds.
+        :return: `index`, or a refusal: `IN_PROGRESS` after the time limit, `NO_LEADER` if this
             replica is no longer the leader.
         """
         end = boot_now() + wait_limit_s
@@ -166,7 +174,7 @@
             return
 
     async def _hold(self, request: control_pb2.RenewRequest, received_s: float) -> None:
-        """Wait while the entry's view is current, so that a change is sent to it at once."""
+        """Wait, at most for the hold time, while the entry's view is the newest one."""
         end = hold_end_s(received_s, min(request.hold_s, MAX_HOLD_S, self.lease_s / 2))
         while self._views.is_current(request) and boot_now() < end:
             changed = self._view_changed
@@ -176,15 +184,15 @@
                 return
 
     def _notify_view_changed(self) -> None:
-        """Wake all held renewals; later holds wait for a new event."""
+        """Let all held renewals be answered; later ones wait for the next change of the view."""
         self._view_changed.set()
         self._view_changed = asyncio.Event()
 
     async def _confirm_after_now(self) -> int | Refusal:
-        """Confirm the leadership in a quorum round shared by all renewals received before it."""
+        """Confirm the leadership in one quorum round for all renewals received before the round."""
         if self._confirming is not None and not self._confirming.done():
-            # This round began before the renewal was received, so it does not confirm that this
-            # replica was the leader at that time.
+            # The quorum round in progress began before the renewal was received, so it does not
+            # confirm that this replica was the leader when the renewal was received.
             await asyncio.wait([self._confirming])
         if self._confirming is None or self._confirming.done():
             self._confirming = asyncio.create_task(self._consensus.confirm_read())
@@ -236,10 +244,10 @@
         return self._leader_since_s + self._max_lease_s()
 
     async def _sweep(self, now: float) -> None:
-        """Remove lapsed leases and endpoints that no entry reports any more."""
-        # Without this update, the leadership would start with the first renewal or apply. An apply
-        # to a system without entries would then wait for a complete lease, even on a leader that
-        # was elected long before.
+        """Remove lapsed leases, and endpoints that no entry has reported for the removal time."""
+        # Without this update, the start of the leadership would be recorded only at the first
+        # renewal or apply. In a system without entries, an apply would then wait for the length of
+        # a complete lease, even on a leader that was elected long before.
         if self._consensus.is_leader:
             self._update_leadership()
         lapsed = [start for start, lease in self.lease_by_start.items() if lease.lapses_s <= now]
@@ -253,10 +261,11 @@
 
     def _refuse_ahead(self, request: control_pb2.RenewRequest) -> control_pb2.RenewReply:
         """
-        Refuse an entry that acts on a higher index than this state has.
+        Refuse an entry whose view has a higher log index than this replica's state.
 
-        This happens if control VMs were set up again, without their data, in a running system.
-        Granting the lease would revert accepted configuration.
+        An entry has such a view if control VMs were set up again, without their data, in a running
+        system. With a granted lease, the entry would revert to this older state and lose
+        configuration that operators had applied.
         """
         detail = f"the entry acts on index {request.view_index}, which this state does not have"
         eliot.log_message("entry_leases:entry_ahead", daemon=request.daemon, detail=detail)
@@ -271,11 +280,12 @@
     """
     Return the time at which a held renewal is answered at the latest.
 
-    Holds end at multiples of HOLD_TICK_S. The answers to all entries then share quorum rounds, and
-    the number of rounds per second does not grow with the number of entries.
+    The time is a multiple of HOLD_TICK_S, so many renewals are answered at the same time after one
+    shared quorum round. The number of rounds per second then does not grow with the number of
+    entries.
 
     :param received_s: boot-clock seconds at which the renewal was received.
-    :param max_hold_s: maximum hold in seconds.
+    :param max_hold_s: maximum time in seconds for which the renewal may be held.
     :return: boot-clock seconds.
     """
     return (received_s + max_hold_s) // HOLD_TICK_S * HOLD_TICK_S
--- a/packages/ibisspring-control/src/ibisspring_control/entry_views.py
+++ b/packages/ibisspring-control/src/ibisspring_control/entry_views.py
@@ -17,7 +17,7 @@
 
 
 class EntryViews:
-    """The newest view, encoded once for all entries."""
+    """The newest view (rules, versions, drains, live entries), encoded once for all entries."""
 
     def __init__(self, state: StateMachine, usage_window_s: float) -> None:
         self.peers_digest = 0
@@ -33,7 +33,8 @@
         Replace the live entries in the view.
 
         :param live: leases of the live entries, sorted by daemon and incarnation.
-        :param complete: True if no other entry can hold a lease.
+        :param complete: True if only the entries in `live` can hold a lease, because the leases
+            that earlier leaders granted have lapsed.
         """
         self._peer_by_daemon = {
             lease.daemon: PeerRecord(
@@ -47,16 +48,15 @@
 
     def is_current(self, request: control_pb2.RenewRequest) -> bool:
         """
-        Check whether an entry acts on the newest view.
+        Return whether an entry acts on the newest view.
 
-        :param request: the entry's renewal.
-        :return: True if the entry's view is the newest one.
+        :param request: renewal with the index of the entry's view and the digest of its peers.
         """
         return (request.view_index, request.peers_digest) == self._key()
 
     def encoded(self) -> bytes:
         """
-        Return the newest view, encoded on the first call after a change.
+        Return the newest view for the answer to a renewal; it is encoded once after each change.
 
         :return: an `EntryView`, encoded.
         """
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/backoff.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/backoff.py
@@ -2,16 +2,18 @@
 
 from __future__ import annotations
 
+# Seconds between a failed attempt and the next attempt: after the first failure, and at most.
 FIRST_PAUSE_S = 0.5
 MAX_PAUSE_S = 10.0
 
 
 class Backoff:
     """
-    Tracks a pause between attempts for each key; failures double it up to MAX_PAUSE_S.
+    Tracks, for each receiver, the pause (seconds without a request) before the next attempt.
 
-    Without this, a receiver that is down for an hour would be sent several new connections per
-    second, and would be busy with them for its first minute after it is up again.
+    Each failed attempt doubles the pause up to MAX_PAUSE_S. Without the pause, a receiver that is
+    down for an hour would be sent several new connections per second, and would be busy with them
+    for its first minute after it is up again.
     """
 
     def __init__(self) -> None:
@@ -20,19 +22,18 @@
 
     def ready(self, key: str, now: float) -> bool:
         """
-        Check whether the pause before the next attempt is over.
+        Return whether the pause before the next request to a receiver is over.
 
-        :param key: the receiver.
+        :param key: name of the receiver, such as `platform` or `usage`.
         :param now: boot-clock seconds.
-        :return: True if the next attempt may be made now.
         """
         return now >= self._next_s_by_key.get(key, 0.0)
 
     def record_attempt(self, key: str, failed: bool, now: float) -> None:
         """
-        Record the result of an attempt.
+        Record whether a request to a receiver failed.
 
-        :param key: the receiver.
+        :param key: name of the receiver, as for `ready`.
         :param failed: True if the attempt has to be repeated; False resets the pause.
         :param now: boot-clock seconds.
         """
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/drains.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/drains.py
@@ -21,15 +21,15 @@
     from ibisspring_core.counters import Counters
     from ibisspring_core.messages.endpoints import EndpointRecord
 
-# The drain of an endpoint that no entry reports for this long is cancelled, so that a new endpoint
-# may use the same id.
+# Seconds after the last report of a draining endpoint by any entry until its drain is cancelled, so
+# that a new endpoint may use the same id.
 CANCEL_ABSENT_AFTER_S = 600.0
 OPERATOR = "leader_duties"
 SERVING = "serving"
 
 
 class Drains:
-    """Advances the drains in the replicated state up to the stop order and their removal."""
+    """Sends the stop orders for drains in the replicated state, and cancels drains that ended."""
 
     def __init__(
         self,
@@ -46,15 +46,16 @@
         self._orders = orders
         self._counters = counters
         self._limits = limits
-        # Observations of the current term. A new leader starts without them, which only makes its
-        # drains take longer.
+        # What this leader has observed in its term: since when each drain is in force, and since
+        # when each draining endpoint is absent. A new leader starts without these observations,
+        # which only makes its drains take longer.
         self._term = 0
         self._in_force_by_endpoint: dict[str, tuple[float, int]] = {}
         self._absent_since_by_endpoint: dict[str, float] = {}
 
     async def run(self, leadership: Leadership, now: float, wall_s: float) -> None:
         """
-        Advance each drain: wait, send the stop order, or cancel the drain of a removed endpoint.
+        Decide for each drain: wait, send the stop order, or cancel the drain of a removed endpoint.
 
         :param leadership: the leadership under which stop orders are sent.
         :param now: boot-clock seconds.
@@ -66,8 +67,9 @@
             self._absent_since_by_endpoint.clear()
         for drain in tuple(self._state.drains.drain_by_endpoint.values()):
             record = self._leases.endpoint_by_id.get(drain.endpoint)
-            # An endpoint that has left `serving` never returns to it in the same incarnation, so a
-            # stopped endpoint counts as removed, although entries may still report it.
+            # An endpoint that has left the state `serving` never returns to it in the same
+            # incarnation. An endpoint whose stop order is done and that is not serving therefore
+            # counts as removed, although entries may still report it.
             stopped = self._is_stopped(drain.endpoint)
             if record is None or (stopped and record.state != SERVING):
                 await self._cancel_if_absent(drain, stopped, now)
@@ -116,8 +118,9 @@
         """
         Return the id of the stop order to send for an endpoint.
 
-        The id depends only on the endpoint's record and the replicated state, so that a new leader
-        continues the order of its predecessor instead of sending a second order with another id.
+        The order id depends only on the endpoint's record and the replicated state, so that a new
+        leader continues the stop order of the leader before it instead of sending a second one with
+        another id.
 
         :return: the order id, or None if the order is open (`Orders.resume` resolves it) or done.
         """
@@ -140,8 +143,9 @@
 
     async def _cancel_if_absent(self, drain: Drain, stopped: bool, now: float) -> None:
         since_s = self._absent_since_by_endpoint.setdefault(drain.endpoint, now)
-        # Within seconds, entries send all endpoints to a new leader; until then, every endpoint is
-        # missing from its table.
+        # Entries send all endpoints to a new leader within seconds. Until they have done so, every
+        # endpoint is absent from the new leader's table. If the drain were cancelled without a
+        # wait, the endpoint would receive new requests again.
         wait_s = self._limits.settle_s if stopped else CANCEL_ABSENT_AFTER_S
         if now - since_s < wait_s:
             return
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/fleet.py
@@ -1,4 +1,4 @@
-"""Starts and drains endpoints so that the fleet matches the `place` rules."""
+"""Orders starts and drains of endpoints so that each service has those its `place` rule names."""
 
 from __future__ import annotations
 
@@ -23,10 +23,12 @@
     from ibisspring_core.counters import Counters
     from ibisspring_core.messages.endpoints import EndpointRecord
 
-# Entries send all their endpoints to a new leader with their first renewals. A plan made earlier
-# would treat the empty table as a lost fleet and order the complete fleet again.
+# Seconds after a new leader may send orders until it makes its first plan. Entries send all their
+# endpoints to a new leader with their first renewals. A plan made before that would treat the empty
+# endpoint table as a lost fleet and order the complete fleet again.
 TABLE_SYNC_S = 6.0
-# An ordered endpoint that has not announced itself within this time counts as failed.
+# Seconds after the order to start an endpoint until it counts as failed if it has not announced
+# itself.
 START_TIMEOUT_S = 120.0
 OPERATOR = "leader_duties"
 SERVING = "serving"
@@ -35,10 +37,11 @@
 @dataclass(frozen=True)
 class _KnownEndpoint:
     """
-    A serving endpoint that this leader knows.
+    A serving endpoint in the endpoint table of this leader.
 
+    :param place: data centre and kind (cheap or standard) of the endpoint.
     :param since_s: wall-clock seconds at which the endpoint was first found in the table; 0 if it
-        was in the first table of this leader.
+        was there when this leader first read the table.
     """
 
     place: Place
@@ -47,7 +50,7 @@
 
 
 class Fleet:
-    """Plans the endpoints of each service that has a `place` rule, and executes the plan."""
+    """Plans the endpoints of each service with a `place` rule; orders their starts and drains."""
 
     def __init__(
         self,
@@ -69,7 +72,7 @@
 
     async def run(self, leadership: Leadership, now: float, wall_s: float) -> None:
         """
-        Plan each service once and execute the resulting steps.
+        Plan the endpoints of each service once, and order the planned starts and drains.
 
         :param leadership: the leadership under which orders are sent.
         :param now: boot-clock seconds.
@@ -80,8 +83,8 @@
             self._capacity = Capacity()
             self._known_by_endpoint = {}
             self._order_number = 0
-        # Only live entries report endpoints. While no entry is live, a fleet that is serving would
-        # appear to be lost.
+        # Only entries with a live lease report endpoints. If a plan were made while there is no
+        # such entry, a fleet that is serving would appear to be lost and be ordered again.
         if now < leadership.may_send_from_s + TABLE_SYNC_S or not self._leases.live_leases():
             return
         self._update_known_endpoints(now, wall_s)
@@ -111,8 +114,8 @@
         first_update = not self._known_by_endpoint
         for endpoint, record in serving.items():
             if endpoint not in self._known_by_endpoint:
-                # Endpoints in the first table of a new leader may be older than the open orders, so
-                # they must not be matched to an order.
+                # Endpoints that a new leader finds when it first reads the table may be older than
+                # the recent start orders, so they must not be matched to such an order.
                 since_s = 0.0 if first_update else wall_s
                 self._known_by_endpoint[endpoint] = _KnownEndpoint(
                     _place_of(record), record.service, since_s
@@ -127,7 +130,7 @@
         )
 
     def _pending(self, service: str, wall_s: float) -> tuple[Place, ...]:
-        """Return the places of ordered endpoints that have not announced themselves."""
+        """Return data centre and kind of each ordered endpoint that has not announced itself."""
         arrivals = [
             arrival for arrival in self._known_by_endpoint.values() if arrival.service == service
         ]
@@ -178,7 +181,7 @@
 
 
 def _place_of_start_order(order: Order, service: str) -> Place | None:
-    """Return the place at which an order starts an endpoint; None for refused and other orders."""
+    """Return the place in a start order for a service; None if it is refused or another order."""
     if order.outcome == "refused" or not order.order_id.startswith(f"start-{service}-"):
         return None
     body = json.loads(order.body)
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/leadership.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/leadership.py
@@ -12,10 +12,10 @@
 @dataclass(frozen=True)
 class Leadership:
     """
-    Leadership of this replica in one term.
+    Leadership of this replica in one consensus term.
 
     :param term: the term in which this replica is the leader.
-    :param may_send_from_s: boot-clock seconds from which this replica may send.
+    :param may_send_from_s: boot-clock seconds from which this replica may send orders and reports.
     """
 
     term: int
@@ -33,26 +33,25 @@
     @classmethod
     def from_config(cls, consensus: Any, settings: ControlSettings) -> LeadershipWatch:
         """
-        Build the watch.
+        Build the watch with the time that a new leader waits before it sends orders.
 
         A new leader sends nothing for the length of its predecessor's lease plus one order timeout.
         Without this wait, an order that the predecessor sent at the end of its lease could still be
         in flight when the new leader's first order arrives. The receiver would get orders from two
-        senders, and a receiver that ignores fencing numbers could not tell which one is current.
+        leaders, and a receiver that ignores fencing numbers could not tell which one is current.
 
-        :param consensus: the service `consensus`.
+        :param consensus: the service `consensus`, asked for the leadership and its lease.
         :param settings: leader lease and order timeout, equal on all control daemons.
-        :return: the watch.
         """
         return cls(consensus, settings.leader_lease_s + settings.order_timeout_s)
 
     def current(self, now: float) -> Leadership | None:
         """
-        Return the leadership in which this replica may send now.
+        Return the leadership in which this replica may send orders and reports now.
 
         :param now: boot-clock seconds.
-        :return: the leadership, or None if this replica is a follower or is still waiting for the
-            end of its predecessor's lease and orders.
+        :return: None if this replica is a follower, or still waits for the end of the lease and the
+            orders of the leader before it.
         """
         if not self._consensus.is_leader:
             self._leadership = None
@@ -66,11 +65,11 @@
 
     def lease_left_s(self, leadership: Leadership) -> float:
         """
-        Return the remaining time of the leader lease.
+        Return the remaining time of the leader lease in the term of a leadership.
 
-        :param leadership: from `current`.
-        :return: seconds; 0 once the lease lapsed or another term began, also if this replica is the
-            leader of that term.
+        :param leadership: a leadership that `current` returned.
+        :return: seconds; 0 once the lease lapsed or a later term began, also if this replica is the
+            leader of the later term.
         """
         if not self._consensus.is_leader or self._consensus.term != leadership.term:
             return 0.0
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/orders.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/orders.py
@@ -36,10 +36,10 @@
 @dataclass(frozen=True)
 class OrderEnd:
     """
-    The final outcome of an order.
+    The final outcome of an order to the platform or to an engine.
 
     :param outcome: `done`, `refused`, `unavailable` or `unknown`.
-    :param detail: explanation from the receiver, or of the outcome `unknown`.
+    :param detail: the receiver's explanation; for the outcome `unknown`, that of this daemon.
     """
 
     outcome: str
@@ -49,12 +49,13 @@
 @dataclass(frozen=True)
 class OrderSettings:
     """
-    Settings for sending orders.
+    Settings for sending orders to the platform and to engines.
 
-    :param sender: this daemon's id, for the receiver's log.
-    :param platform_url: base URL of the platform.
-    :param timeout_s: time limit for an answer.
-    :param min_lease_s: minimum remaining lease, in seconds, when bytes are written.
+    :param sender: id of this daemon, which the receiver writes to its log.
+    :param platform_url: URL of the platform, to which an order's path is appended.
+    :param timeout_s: time limit in seconds for the answer to an order.
+    :param min_lease_s: minimum remaining time of the leader lease, in seconds, when the bytes of an
+        order are written.
     """
 
     sender: str
@@ -70,19 +71,20 @@
     """
     Insert the fencing number into an order's body.
 
-    The number is assigned when the intent is committed, so the logged body does not contain it.
-    The state keeps both, so every leader sends the same bytes for an order id.
+    The fencing number is assigned when the intent is committed, so the committed body does not
+    contain it. The replicated state keeps both, so every leader sends the same bytes for an order
+    id.
 
-    :param body: a JSON object as committed.
-    :param fencing: the committed fencing number.
-    :return: the request body to send.
+    :param body: the order as committed, a JSON object.
+    :param fencing: the fencing number that was assigned at the commit.
+    :return: body of the HTTP request to the receiver.
     """
     separator = b"" if body[1:2] == b"}" else b","
     return b'{"fencing":%d%s%s' % (fencing, separator, body[1:])
 
 
 class Orders:
-    """Commits, sends and resolves orders, one at a time per receiver."""
+    """Commits, sends and resolves orders; each receiver gets one order at a time."""
 
     def __init__(
         self,
@@ -99,8 +101,8 @@
         self._counters = counters
         self._settings = settings
         self._url_of = url_of
-        # A receiver that checks fencing numbers refuses a lower number after a higher one, so the
-        # orders to a receiver are sent in the order of their fencing numbers.
+        # A receiver that checks fencing numbers refuses a lower number after a higher one. The lock
+        # makes the orders to one receiver leave in the sequence of their fencing numbers.
         self._lock_by_receiver: dict[str, asyncio.Lock] = {}
 
     async def send(
@@ -113,8 +115,9 @@
         :param receiver: `platform` or `endpoint:<id>`.
         :param order_id: idempotency key of the order; never reused for another order.
         :param order: the order's fields without `order_id` and `fencing`.
-        :return: the outcome, or a refusal. After `MAY_HAVE_RUN` the order stays open and `resume`
-            resolves it. `IN_PROGRESS` if an earlier order to this receiver is open.
+        :return: the order's outcome, or a refusal: `IN_PROGRESS` if an earlier order to this
+            receiver is open; `MAY_HAVE_RUN` if no answer came (the order stays open and `resume`
+            resolves it).
         """
         if self._url_of(receiver) is None:
             return Refusal(Reason.NO_ENDPOINT, not_run=True, detail=f"unknown receiver {receiver}")
@@ -136,8 +139,8 @@
         Find the outcome of an open order, or send the order again under the same id.
 
         :param leadership: the leadership under which the requests are sent.
-        :param order: the open order.
-        :return: as for `send`.
+        :param order: an order that the replicated state holds as open.
+        :return: the order's outcome or a refusal, as for `send`.
         """
         async with self._lock_of(order.intent.receiver):
             if not self._is_open(order.intent.order_id):
@@ -156,11 +159,11 @@
 
     def _has_other_open_order(self, receiver: str, order_id: str) -> bool:
         """
-        Check whether another order to a receiver is open.
+        Return whether an order to a receiver is open that has another id.
 
-        A new order that is sent now would overtake the open order with a higher fencing number. A
-        receiver that checks fencing numbers would then always refuse the open order, although the
-        order may still be needed.
+        A new order that is sent while an earlier one is open would arrive with a higher fencing
+        number. A receiver that checks fencing numbers would then always refuse the earlier order,
+        although that order may still be needed.
         """
         return any(
             order.intent.receiver == receiver and order.intent.order_id != order_id
@@ -237,10 +240,10 @@
 
 def parse_order_end(answer: HttpAnswer) -> OrderEnd | None:
     """
-    Parse a receiver's answer.
+    Parse the outcome of an order from a receiver's answer.
 
-    :param answer: from the platform or an engine.
-    :return: the order's outcome; None if the answer does not contain one.
+    :param answer: HTTP answer of the platform or of an engine.
+    :return: None if the answer does not contain an outcome.
     """
     if answer.status == HTTP_CONFLICT:
         return OrderEnd("refused", "the receiver saw a higher fencing number")
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/proposals.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/proposals.py
@@ -1,4 +1,4 @@
-"""Commits the leader's own commands."""
+"""Commits commands that the leader itself proposes, such as order intents and window closings."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     """
     Commit one command through this replica.
 
-    :param consensus: the service `consensus`.
+    :param consensus: the service `consensus` of this replica.
     :param command: a command of `COMMANDS`.
     :param request_id: idempotency key; a retry after `MAY_HAVE_RUN` must use the same one.
-    :return: the state machine's result, or a refusal.
+    :return: the state machine's result, or a refusal if the command is not known to be committed.
     """
     envelope = Envelope(request_id, wall_now(), msgspec.Raw(COMMANDS.encode(command)))
     committed = await consensus.propose(encode(envelope))
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/service.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/service.py
@@ -1,4 +1,4 @@
-"""The service `leader_duties`: performs the leader's duties while its lease is valid."""
+"""The service `leader_duties`: orders, usage reports and drains while the leader lease is valid."""
 
 from __future__ import annotations
 
@@ -20,13 +20,15 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings import Settings
 
+# Seconds between two runs of each duty: resuming open orders, reporting usage, managing endpoints.
 ORDERS_TICK_S = 0.25
 USAGE_TICK_S = 0.5
 ENDPOINTS_TICK_S = 1.0
-# Open orders that are resumed concurrently. A receiver that does not answer occupies one of these
-# slots for the complete order timeout.
+# Maximum number of open orders that are resumed at the same time. A receiver that does not answer
+# occupies one of these slots for the complete order timeout.
 MAX_CONCURRENT_RESUMES = 16
-# Longer than entries take to send all their endpoints to a new leader.
+# Seconds for which a new leader does not resume an order whose receiver it does not know. Entries
+# take less time than this to send all their endpoints to a new leader.
 UNKNOWN_RECEIVER_WAIT_S = 30.0
 ENDPOINT_RECEIVER = "endpoint:"
 USAGE = "usage"
@@ -34,10 +36,10 @@
 
 class LeaderDuties:
     """
-    Sends platform orders, engine orders and usage reports, on the leader only.
+    Sends orders to the platform and to engines, and usage reports, on the leader only.
 
-    A follower sends nothing, and neither does a new leader while it waits for the end of its
-    predecessor's lease and orders.
+    A follower sends nothing, and neither does a new leader while it waits for the end of the lease
+    and the orders of the leader before it.
     """
 
     name = "leader_duties"
@@ -50,15 +52,14 @@
     @classmethod
     def from_config(cls, settings: Settings) -> LeaderDuties:
         """
-        Build the service.
+        Build the service from a daemon's settings: URLs, time limits and the usage window.
 
         :param settings: checked settings with a `control` section.
-        :return: the service.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Subscribe the duties to the timer."""
+        """Start the periodic duties: resume orders, report usage, manage endpoints."""
         self._state = kernel.find("state")
         self._leases = kernel.find("entry_leases")
         self._build_duties(kernel.find("consensus"), kernel.find("counters"))
@@ -96,15 +97,16 @@
         self._fleet = Fleet(consensus, state, self._leases, self._orders, counters)
 
     async def stop(self) -> None:
-        """Cancel the duties; an order in flight is aborted and stays open in the state."""
+        """Stop the periodic duties; an order in flight is aborted and stays open in the state."""
         for subscription in self._subscriptions:
             subscription.cancel()
 
     def leadership(self) -> Leadership | None:
         """
-        Return the leadership in which this replica may act now.
+        Return the leadership in which this replica may send orders now.
 
-        :return: None if this replica is a follower or waits for the end of its predecessor's lease.
+        :return: None if this replica is a follower, or waits for the end of the lease and the
+            orders of the leader before it.
         """
         return self._watch.current(boot_now())
 
@@ -112,14 +114,15 @@
         self, receiver: str, order_id: str, order: dict[str, Any]
     ) -> OrderEnd | Refusal:
         """
-        Send one order as the leader.
+        Send one order to the platform or to an endpoint, as the leader.
 
         :param receiver: `platform` or `endpoint:<id>`.
         :param order_id: idempotency key of the order; never reused for another order, but a retry
             after a refusal uses the same one.
         :param order: the order's fields without `order_id` and `fencing`, see docs/API.md.
-        :return: the outcome, or a refusal: `NO_LEADER` if this replica may not act as the leader,
-            `MAY_HAVE_RUN` if no answer came (the order is resolved later under the same id).
+        :return: the order's outcome, or a refusal: `NO_LEADER` if this replica may not act as the
+            leader, `MAY_HAVE_RUN` if no answer came (the order is resolved later under the same
+            id).
         """
         leadership = self.leadership()
         if leadership is None:
@@ -156,7 +159,8 @@
         now = boot_now()
         if not self._backoff.ready(receiver, now):
             return
-        # Until the entries have sent their endpoints to a new leader, every receiver is unknown.
+        # Until the entries have sent their endpoints to a new leader, every endpoint is unknown as
+        # a receiver. An order to an unknown receiver would be resolved as `unknown`.
         if (
             self._url_of(receiver) is None
             and now < leadership.may_send_from_s + UNKNOWN_RECEIVER_WAIT_S
--- a/packages/ibisspring-control/src/ibisspring_control/leader_duties/usage_reports.py
+++ b/packages/ibisspring-control/src/ibisspring_control/leader_duties/usage_reports.py
@@ -1,4 +1,4 @@
-"""Closes usage windows in the replicated log, reports them and records the acknowledgement."""
+"""Closes usage windows in the log, sends them to the usage interface and records its answer."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     from ibisspring_control.state.usage import UsageWindow
     from ibisspring_core.counters import Counters
 
-# Seconds between the end of a window and its closing. Entries flush usage every second; usage that
-# arrives after the closing is counted as late in the next window.
+# Seconds after the end of a usage window until it is closed. Entries send usage every second; usage
+# that arrives after the closing is counted as late in the next window.
 CLOSE_AFTER_S = 3.0
 HTTP_OK = 200
 HTTP_CONFLICT = 409
@@ -29,13 +29,14 @@
 @dataclass(frozen=True)
 class ReportSettings:
     """
-    Settings for usage reports.
-
-    :param reporter: this daemon's id.
-    :param usage_url: base URL of the usage interface.
-    :param window_s: length of a window in seconds.
-    :param timeout_s: time limit for an answer.
-    :param min_lease_s: minimum remaining lease, in seconds, when bytes are written.
+    Settings for the usage reports that the leader sends.
+
+    :param reporter: id of this daemon, for the field `reporter` of a report.
+    :param usage_url: URL of the usage interface, to which a report's path is appended.
+    :param window_s: length of a usage window in seconds.
+    :param timeout_s: time limit in seconds for the answer to a report.
+    :param min_lease_s: minimum remaining time of the leader lease, in seconds, when the bytes of a
+        report are written.
     """
 
     reporter: str
@@ -46,7 +47,7 @@
 
 
 class UsageReports:
-    """Closes and reports usage windows, oldest first."""
+    """Closes usage windows and reports them to the usage interface, oldest first."""
 
     def __init__(
         self,
@@ -65,10 +66,10 @@
 
     async def run(self, leadership: Leadership, wall_s: float) -> bool:
         """
-        Close the windows that have ended, and report the closed windows.
+        Close the usage windows that have ended, and report the closed ones.
 
         :param leadership: the leadership under which reports are sent.
-        :param wall_s: wall-clock seconds.
+        :param wall_s: wall-clock seconds, from which the ended windows are determined.
         :return: False if a report or a commit has to be retried.
         """
         for window in self._state.unreported_windows():
--- a/packages/ibisspring-control/src/ibisspring_control/role.py
+++ b/packages/ibisspring-control/src/ibisspring_control/role.py
@@ -1,4 +1,4 @@
-"""Builds the services of the control role."""
+"""Builds the services that a daemon with the control role runs."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 def build_services(settings: Settings) -> tuple[Service, ...]:
     """
-    Build the services of this role in start order.
+    Build the services of the control role for a daemon's kernel.
 
-    :param settings: checked settings.
-    :return: the services.
+    :param settings: checked settings of a daemon with the control role.
+    :return: the services in the order in which they are started.
     """
     return (
         StateMachine.from_config(settings),
--- a/packages/ibisspring-control/src/ibisspring_control/rpc/control_service.py
+++ b/packages/ibisspring-control/src/ibisspring_control/rpc/control_service.py
@@ -1,4 +1,4 @@
-"""The gRPC service `Control`: commands, reads and renewals from entries and operators."""
+"""The gRPC service `Control`: commands, queries and lease renewals of entries and operators."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
 
-# A call waits for this long and the client then repeats it with the same request id. A longer call
-# would look like an unresponsive connection to the client.
+# Seconds for which one call waits until every entry acts on an operator's change. Afterwards the
+# call is answered with `UNKNOWN`, and the client repeats it with the same request id. With a longer
+# wait, the client would treat the connection as unresponsive.
 IN_FORCE_WAIT_S = 1.0
 MAX_REQUEST_ID_CHARS = 200
 
 
 class ControlService(control_pb2_grpc.ControlServicer):
-    """Answers requests on the leader; other replicas return the leader that they know."""
+    """Answers requests on the leader; other replicas return the id of the leader that they know."""
 
     def __init__(self, consensus: Any, state: Any, leases: Any, counters: Any) -> None:
         self._consensus = consensus
@@ -36,10 +37,10 @@
     @classmethod
     def from_kernel(cls, kernel: Kernel) -> ControlService:
         """
-        Build the service.
+        Build the service for the gRPC server from the services of this daemon.
 
-        :param kernel: provides consensus, state, entry_leases and counters.
-        :return: the servicer.
+        :param kernel: registry of the daemon's services; provides consensus, state, entry_leases
+            and counters.
         """
         return cls(
             kernel.find("consensus"),
@@ -51,7 +52,7 @@
     async def Propose(  # noqa: N802
         self, request: control_pb2.ProposeRequest, context: Any
     ) -> control_pb2.ProposeReply:
-        """Commit one command; an operator's change is acknowledged once every entry acts on it."""
+        """Commit one command; acknowledge an operator's change once every live entry acts on it."""
         command = _parse_command(request)
         if isinstance(command, Refusal):
             return control_pb2.ProposeReply(status=control_pb2.INVALID, detail=command.detail)
@@ -62,10 +63,10 @@
         index = committed.index
         changed = isinstance(RESULTS.decode(committed.result), RulesApplied | Done)
         # Operators rely on the answer. If a drain were acknowledged before every entry received it,
-        # requests that start after the answer could still be sent to the endpoint.
+        # requests that start after the answer could still be sent to the draining endpoint.
         if isinstance(command, KEYED_BY_REQUEST_ID) and changed:
-            # A resend returns the result of the first application, so the first log index is the
-            # one that has to be in force.
+            # A resent command is not applied again: its result is that of the first application.
+            # The log index of the first application is therefore the one to wait for.
             index = self._state.first_index_of(request.request_id) or index
             in_force = await self._leases.wait_in_force(index, IN_FORCE_WAIT_S)
             if isinstance(in_force, Refusal):
@@ -97,7 +98,7 @@
     async def Renew(  # noqa: N802
         self, request: control_pb2.RenewRequest, context: Any
     ) -> control_pb2.RenewReply:
-        """Renew an entry's lease."""
+        """Renew an entry's lease; the answer may be held until the view for entries changes."""
         return await self._leases.renew(request)
 
     def _refused_reply(self, refusal: Refusal) -> control_pb2.ProposeReply:
--- a/packages/ibisspring-control/src/ibisspring_control/rpc/queries.py
+++ b/packages/ibisspring-control/src/ibisspring_control/rpc/queries.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class QueryContext:
-    """The services that a query reads, after a quorum confirmed the leadership."""
+    """The services whose data a query reads, after a quorum confirmed this replica as leader."""
 
     consensus: Any
     state: StateMachine
--- a/packages/ibisspring-control/src/ibisspring_control/rpc/server.py
+++ b/packages/ibisspring-control/src/ibisspring_control/rpc/server.py
@@ -19,8 +19,8 @@
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", TCP_USER_TIMEOUT_MS),
-    # Peers send a ping every ten seconds. With the library's default minimum interval, the server
-    # would close their connections because of too many pings.
+    # The other control daemons send a ping every ten seconds. With the library's default minimum
+    # interval, the server would close their connections because of too many pings.
     ("grpc.http2.min_ping_interval_without_data_ms", 5_000),
     # A second daemon on the same port must fail to start instead of sharing the port.
     ("grpc.so_reuseport", 0),
@@ -30,10 +30,10 @@
 
 class ControlRpc:
     """
-    The gRPC server of the role.
+    The gRPC server of the control role.
 
-    It starts after and stops before the other services of the role, so that no call reaches a
-    service that is not running.
+    The server starts after and stops before the other services of the role, so that no call reaches
+    a service that is not running.
     """
 
     name = "control_rpc"
@@ -45,10 +45,9 @@
     @classmethod
     def from_config(cls, settings: Settings) -> ControlRpc:
         """
-        Build the service.
+        Build the server for the address `control.listen` of a daemon's settings.
 
-        :param settings: settings of a daemon with the control role.
-        :return: the service.
+        :param settings: checked settings of a daemon with the control role.
         """
         return cls(settings.control.listen)
 
@@ -60,8 +59,8 @@
         consensus_pb2_grpc.add_ConsensusServicer_to_server(
             ConsensusService.from_kernel(kernel), self._server
         )
-        # A replica without this package's state machine, as in the tests of the consensus, does not
-        # serve `Control`.
+        # Tests of the consensus package run a replica without the state machine of this package;
+        # such a replica does not serve `Control`.
         if kernel.find_optional("entry_leases") is not None:
             from ibisspring_control.rpc.control_service import ControlService
 
--- a/packages/ibisspring-control/src/ibisspring_control/state/__init__.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: deterministic, without I/O, one module per kind of state."""
+"""The replicated state machine: deterministic, without I/O, with one module for each table."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-control/src/ibisspring_control/state/claims.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/claims.py
@@ -1,4 +1,9 @@
-"""Claims of idempotency keys: an entry claims the key before it sends a non-idempotent request."""
+"""
+Claims of idempotency keys.
+
+An entry claims the idempotency key of a caller's non-idempotent request before it sends the request
+to an endpoint. A resend through any entry finds the claim and is not sent a second time.
+"""
 
 from __future__ import annotations
 
@@ -17,17 +22,22 @@
 MAY_HAVE_RUN = "may_have_run"
 NOT_RUN = "not_run"
 
-# A caller may resend a key for one day, as is usual for idempotency keys.
+# Seconds after the claim of a key until the claim is removed. A caller may resend a request with
+# its key for one day, as is usual for idempotency keys.
 CLAIM_RETENTION_S = 86_400.0
-# When the table is full, settled claims older than this are evicted. Younger ones are not evicted,
-# because a resend of an evicted key would run a second time; new claims are refused instead.
+# Minimum age, in seconds, of a settled claim that is evicted when the table of MAX_CLAIMS claims is
+# full. Younger claims are not evicted, because a resend of an evicted key would run a second time;
+# new claims are refused instead.
 MIN_CLAIM_RETENTION_S = 3_600.0
 MAX_CLAIMS = 100_000
-# Many times the number of daemons in a large system. Without a limit, the names of daily replaced
-# VMs would accumulate over years.
+# Number of daemons with a known incarnation above which those without a claim are removed: many
+# times the number of daemons in a large system. Without this limit, the names of daily replaced VMs
+# would accumulate over years.
 MAX_DAEMONS = 5_000
-# Longer than any request may take, so the entry that holds the claim is no longer running it.
+# Seconds after which a claim that is still `running` counts as `may_have_run`. This is longer than
+# any request may take, so the entry that holds the claim no longer runs the request.
 RUNNING_LIMIT_S = 600.0
+# A larger answer is not stored. Above MAX_ALL_ANSWERS_BYTES in total, the oldest ones are evicted.
 MAX_ANSWER_BYTES = 65_536
 MAX_ALL_ANSWERS_BYTES = 8_388_608
 TABLE_FULL_DETAIL = "the table of idempotency keys is full; the request was not sent"
@@ -36,15 +46,18 @@
 @dataclass(frozen=True)
 class Claim:
     """
-    One claimed key.
+    One claimed idempotency key.
 
+    :param key: idempotency key that the caller sent.
     :param digest: digest of the request; the same key with another digest is a conflict.
     :param request_id: id of the request that holds the claim.
+    :param daemon: id of the entry that runs the request.
     :param index: log index of the claim.
     :param stamped_s: wall-clock seconds at which the key was claimed.
     :param state: `running`, `done` or `may_have_run`.
-    :param status: HTTP status of the answer.
-    :param answer: body of the answer; empty if it was too large to be stored.
+    :param status: HTTP status of the endpoint's answer; 0 while there is no answer.
+    :param answer: body of the endpoint's answer; empty if the body is not stored, because it was
+        too large or was evicted.
     :param stored: whether `answer` is the complete body.
     """
 
@@ -65,14 +78,14 @@
 
 @dataclass(frozen=True)
 class ClaimsSnapshot:
-    """All claims, ordered by log index, and the newest known incarnation of each daemon."""
+    """All claims, sorted by log index, and the newest known incarnation of each daemon."""
 
     claims: tuple[Claim, ...] = ()
     incarnation_by_daemon: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 class Claims:
-    """Claims by client account and key, ordered by log index."""
+    """Claims by client account and idempotency key, sorted by log index."""
 
     def __init__(self, snapshot: ClaimsSnapshot) -> None:
         self.claim_by_key = {(claim.client_account, claim.key): claim for claim in snapshot.claims}
@@ -80,11 +93,11 @@
         self.answer_bytes = sum(len(claim.answer) for claim in snapshot.claims)
 
     def snapshot(self) -> ClaimsSnapshot:
-        """Return all claims, in an order that is the same on all replicas."""
+        """Return all claims, sorted by log index, so that all replicas agree."""
         return ClaimsSnapshot(tuple(self.claim_by_key.values()), dict(self.incarnation_by_daemon))
 
     def record_start(self, daemon: str, incarnation: int) -> None:
-        """Record a start of a daemon; requests that an earlier start left running may have run."""
+        """Record a daemon's start; requests that its earlier starts left running may have run."""
         newest = max(incarnation, self.incarnation_by_daemon.get(daemon, 0))
         self.incarnation_by_daemon[daemon] = newest
         if len(self.incarnation_by_daemon) > MAX_DAEMONS:
@@ -97,7 +110,7 @@
         self.incarnation_by_daemon = {name: starts[name] for name in sorted(needed & set(starts))}
 
     def claim(self, command: ClaimKey, position: LogPosition) -> ClaimState | Refused:
-        """Claim a free key for a request, or return the state of the existing claim."""
+        """Claim an idempotency key for a request, or return the state of its existing claim."""
         self.record_start(command.daemon, command.incarnation)
         self._remove_expired(position)
         if command.incarnation < self.incarnation_by_daemon[command.daemon]:
@@ -126,8 +139,8 @@
         claim = self.claim_by_key.get(claim_key)
         if claim is None:
             return ClaimState("released", command.request_id)
-        # Only the request that holds the claim may settle it. A stored answer is never replaced,
-        # because callers may have received it.
+        # Only the request that holds the claim may settle the claim. A stored answer is never
+        # replaced, because callers may have received it.
         if claim.request_id != command.request_id or claim.state == DONE:
             return self._with_state(claim, claim.state)
         if command.outcome == NOT_RUN:
@@ -163,9 +176,9 @@
         owner = (claim.request_id, claim.daemon, claim.incarnation)
         if owner == (command.request_id, command.daemon, command.incarnation):
             return ClaimState("granted", claim.request_id, claim.daemon)
-        # The claim was committed before the first byte of the request was sent. If its entry has
-        # restarted since, or the claim is older than any request may take, it is unknown whether
-        # the request ran.
+        # The claim was committed before the first byte of the request was sent. If the entry that
+        # holds the claim has restarted since, or the claim is older than any request may take, it
+        # is unknown whether the request ran.
         restarted = claim.incarnation < self.incarnation_by_daemon.get(claim.daemon, 0)
         if restarted or position.stamped_s - claim.stamped_s > RUNNING_LIMIT_S:
             return self._with_state(claim, MAY_HAVE_RUN)
--- a/packages/ibisspring-control/src/ibisspring_control/state/drains.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/drains.py
@@ -1,4 +1,4 @@
-"""Endpoints that are being drained."""
+"""Drains: endpoints that get no new requests, so that they can be stopped when they are idle."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 if TYPE_CHECKING:
     from ibisspring_control.state.moment import LogPosition
 
-# More than the number of endpoints in a system. Every entry receives the complete list.
+# Maximum number of drains at the same time, since every entry receives the complete list. This is
+# more than the number of endpoints in a system.
 MAX_DRAINS = 1_000
 
 
 @dataclass(frozen=True)
 class Drain:
-    """A drain that was requested and is not cancelled."""
+    """A drain of one endpoint that was requested and is not cancelled."""
 
     endpoint: str
     operator: str
@@ -44,7 +45,7 @@
         return DrainsSnapshot(tuple(by_endpoint[endpoint] for endpoint in sorted(by_endpoint)))
 
     def apply(self, command: DrainEndpoint, position: LogPosition) -> Done | Refused:
-        """Start or cancel a drain; repeating the command changes nothing."""
+        """Start or cancel the drain of an endpoint; a repeated command changes nothing."""
         if command.cancel:
             self.drain_by_endpoint.pop(command.endpoint, None)
             return Done()
--- a/packages/ibisspring-control/src/ibisspring_control/state/machine.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/machine.py
@@ -1,9 +1,9 @@
 """
-The replicated state machine.
+The replicated state machine, to which every control daemon applies the committed commands.
 
 The state machine is deterministic: it uses no clock, file or random number, so replicas that apply
-the same log have byte-identical state, including those that started from a snapshot. Results must
-not depend on anything that a snapshot does not store, such as the order of a dict.
+the same log have byte-identical state, including replicas that started from a snapshot. Results
+must not depend on anything that a snapshot does not store, such as the order of a dict.
 """
 
 from __future__ import annotations
@@ -39,14 +39,17 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings import Settings
 
+# Operators' commands, which have no idempotency key other than the request id: a resent command is
+# answered with the stored result of its first application.
 KEYED_BY_REQUEST_ID = (commands.ApplyRules, commands.DrainEndpoint)
+# Commands that change the view that is sent to entries.
 CHANGES_VIEW = (commands.ApplyRules, commands.DrainEndpoint, commands.PublishVersion)
 _CANONICAL = msgspec.msgpack.Encoder(order="sorted")
 
 
 @dataclass(frozen=True)
 class Snapshot:
-    """The complete state."""
+    """The complete replicated state at one log index, as a snapshot stores it."""
 
     applied_index: int = 0
     view_index: int = 0
@@ -89,38 +92,34 @@
 
     @classmethod
     def empty(cls) -> StateMachine:
-        """
-        Build the state as it is before the first log entry.
-
-        :return: the state machine.
-        """
+        """Build the state machine with the state before the first log entry."""
         return cls(Snapshot())
 
     @classmethod
     def from_config(cls, settings: Settings) -> StateMachine:
         """
-        Build the state as it is before the first log entry.
+        Build the state machine of a daemon with the state before the first log entry.
 
-        No setting affects it, because replicas with different settings must have the same state.
+        No setting affects the state, because replicas with different settings must have the same
+        state.
 
-        :param settings: checked settings.
-        :return: the state machine.
+        :param settings: checked settings of the daemon; not used.
         """
         return cls.empty()
 
     async def start(self, kernel: Kernel) -> None:
-        """No-op: consensus restores the state and applies the log."""
+        """No-op: the consensus service restores the state from a snapshot and applies the log."""
 
     async def stop(self) -> None:
-        """No-op: the state is only in memory."""
+        """No-op: the consensus service stores the log and the snapshots of the state."""
 
     def apply(self, index: int, data: bytes) -> bytes:
         """
         Apply one committed command.
 
-        :param index: its log index, higher than every applied index.
-        :param data: an `Envelope`, encoded.
-        :return: the result, encoded by RESULTS.
+        :param index: log index of the command, higher than every applied index.
+        :param data: the command in an encoded `Envelope`.
+        :return: the command's result, encoded by RESULTS.
         """
         if index <= self.applied_index:
             raise ValueError(f"log index {index} is not above the applied index")
@@ -129,8 +128,8 @@
             envelope = decode(data, Envelope)
             command = COMMANDS.decode(bytes(envelope.command))
         except msgspec.DecodeError as error:
-            # Every replica returns the same refusal for these bytes. Raising an exception would
-            # stop every replica at this log entry, also after each restart.
+            # Every replica returns the same refusal for undecodable bytes. An exception would stop
+            # every replica at this log entry, also after each restart.
             return RESULTS.encode(Refused(Reason.BAD_REQUEST.value, str(error)))
         position = LogPosition(index, envelope.stamped_s)
         if not isinstance(command, KEYED_BY_REQUEST_ID):
@@ -181,26 +180,22 @@
 
     def unreported_windows(self) -> tuple[UsageWindow, ...]:
         """
-        Find the usage windows that the usage interface has not acknowledged.
+        Return the usage windows whose report the usage interface has not acknowledged.
 
-        :return: windows that are open, or closed and not acknowledged, oldest first.
+        :return: the open windows, and the closed ones without an acknowledgement, oldest first.
         """
         return self.usage.unreported_windows()
 
     def open_orders(self) -> tuple[Order, ...]:
         """
-        Find the orders that are not resolved.
+        Return the orders to the platform and to endpoints whose outcome is not recorded.
 
-        :return: the orders, sorted by fencing number.
+        :return: the open orders, sorted by fencing number.
         """
         return self.orders.open_orders()
 
     def draining_endpoints(self) -> tuple[str, ...]:
-        """
-        Find the endpoints that are being drained.
-
-        :return: their ids, sorted.
-        """
+        """Return the ids of the endpoints that are being drained, sorted."""
         return tuple(sorted(self.drains.drain_by_endpoint))
 
     def subscribe_view(self, callback: Callable[[], None]) -> None:
@@ -226,11 +221,11 @@
 
     def entry_view(self) -> EntryView:
         """
-        Build the view that entries act on, without its peers.
+        Build the view (rules, weight versions, drains) that entries act on.
 
-        The service `entry_leases` adds the live entries as peers.
+        The view does not contain the live entries; the service `entry_leases` adds them as peers.
 
-        :return: the view at `view_index`.
+        :return: the view at log index `view_index`.
         """
         versions = self.trainers.version_by_trainer
         return EntryView(
@@ -264,9 +259,9 @@
 
     def restore(self, data: bytes) -> None:
         """
-        Replace the complete state.
+        Replace the complete state by that of a snapshot.
 
-        :param data: bytes from `snapshot`; raises `msgspec.DecodeError` if they are malformed.
+        :param data: bytes that `snapshot` returned; malformed bytes raise `msgspec.DecodeError`.
         """
         self._set_state(decode(data, Snapshot))
         self._notify_view_changed()
--- a/packages/ibisspring-control/src/ibisspring_control/state/orders.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/orders.py
@@ -1,4 +1,8 @@
-"""Orders to the platform and to endpoints; each intent gets the next fencing number."""
+"""
+Orders to the platform and to endpoints, such as to start an endpoint or to load weights.
+
+An order is recorded as an intent before it is sent, and each intent gets the next fencing number.
+"""
 
 from __future__ import annotations
 
@@ -18,21 +22,23 @@
 if TYPE_CHECKING:
     from ibisspring_control.state.moment import LogPosition
 
-# Resolved orders are kept so that a resent intent or resolution is recognized as a repetition.
+# Maximum number of orders with a recorded outcome that are kept, so that a resent intent or outcome
+# is recognized as a repetition.
 MAX_RESOLVED_ORDERS = 1_000
 
 
 @dataclass(frozen=True)
 class Order:
     """
-    One order.
+    One order to the platform or to an endpoint.
 
     :param receiver: `platform` or `endpoint:<id>`.
-    :param body: the order as JSON; a retry sends the same bytes.
+    :param body: the order as JSON, without its fencing number; a retry sends the same bytes.
     :param fencing: fencing number; a receiver may reject a lower number after a higher one.
     :param index: log index of the intent.
     :param stamped_s: wall-clock seconds of the intent.
     :param outcome: `done`, `refused` or `unknown`; empty while the order is open.
+    :param detail: explanation of the outcome.
     """
 
     order_id: str
@@ -46,7 +52,7 @@
 
     @property
     def intent(self) -> OrderIntent:
-        """The order as it was proposed, used to send it again."""
+        """The intent as it was proposed, used to send the order again."""
         return OrderIntent(self.order_id, self.receiver, self.body)
 
 
@@ -66,7 +72,7 @@
         self.order_by_id = {order.order_id: order for order in snapshot.orders}
 
     def snapshot(self) -> OrdersSnapshot:
-        """Return all orders, in an order that is the same on all replicas."""
+        """Return all orders, sorted by fencing number, so that all replicas agree."""
         return OrdersSnapshot(self.fencing, tuple(self.order_by_id.values()))
 
     def record_intent(
@@ -103,7 +109,7 @@
         return Done()
 
     def open_orders(self) -> tuple[Order, ...]:
-        """Return the orders that are not resolved, sorted by fencing number."""
+        """Return the orders without a recorded outcome, sorted by fencing number."""
         return tuple(order for order in self.order_by_id.values() if not order.outcome)
 
     def _remove_oldest_resolved(self) -> None:
--- a/packages/ibisspring-control/src/ibisspring_control/state/rule_versions.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/rule_versions.py
@@ -1,4 +1,9 @@
-"""Versions of the rules file; a new version is applied by compare-and-set."""
+"""
+Versions of the rules file.
+
+An operator applies a new version with the number of the version that it is based on. If another
+version is in force by then, the new one is refused (compare-and-set).
+"""
 
 from __future__ import annotations
 
@@ -17,9 +22,11 @@
 if TYPE_CHECKING:
     from ibisspring_control.state.moment import LogPosition
 
-# Covers the versions that are accepted while an operator leaves a file open over lunch, on a day
-# with 260 changes. A conflict can then show the changes since the operator's base version.
+# Number of newest rules versions that are kept. They cover the versions that are accepted while an
+# operator leaves a file open over lunch, on a day with 260 changes. A conflict can then show the
+# changes since the version that the operator's file is based on.
 MAX_KEPT_VERSIONS = 20
+# Maximum numbers of changed lines and of errors in the answer to an operator.
 MAX_CHANGED_LINES = 40
 MAX_FINDINGS = 20
 
@@ -29,7 +36,9 @@
     """
     One accepted rules file.
 
-    :param index: log index at which it came into force.
+    :param version: number of the version; each accepted file gets the next one.
+    :param index: log index at which the version came into force.
+    :param stamped_s: wall-clock seconds at which the file was accepted.
     """
 
     version: int
@@ -41,7 +50,7 @@
 
 @dataclass(frozen=True)
 class RulesSnapshot:
-    """The newest MAX_KEPT_VERSIONS versions, oldest first."""
+    """The newest MAX_KEPT_VERSIONS rules versions, oldest first."""
 
     versions: tuple[RulesVersion, ...] = (RulesVersion(0, 0, 0.0, "", ""),)
 
@@ -55,17 +64,17 @@
 
     @property
     def current(self) -> RulesVersion:
-        """The version in force; version 0 is the empty file."""
+        """The rules version in force; version 0 is the empty file."""
         return self.versions[-1]
 
     def snapshot(self) -> RulesSnapshot:
-        """Return the kept versions, oldest first."""
+        """Return the kept rules versions, oldest first."""
         return RulesSnapshot(tuple(self.versions))
 
     def apply(
         self, command: ApplyRules, position: LogPosition
     ) -> RulesApplied | RulesConflict | Refused:
-        """Put a file in force if its base is the current version and it has no findings."""
+        """Put a rules file in force if it is based on the current version and has no errors."""
         if command.base != self.current.version:
             return self._conflict(command.base)
         rules = parse_rules(command.text)
@@ -94,8 +103,9 @@
     @staticmethod
     def _parse(text: str) -> Rules:
         rules = parse_rules(text)
-        # A file that an older release accepted may have findings in a newer release. Replicas must
-        # have the same rules, so the daemon does not start from such a snapshot without rules.
+        # A rules file that an older release accepted may have errors in a newer release. All
+        # replicas must have the same rules, so the daemon must not start from such a snapshot
+        # without rules; it fails instead.
         if not isinstance(rules, Rules):
             raise ValueError(f"the rules in the snapshot do not parse: {rules[0]}")
         return rules
--- a/packages/ibisspring-control/src/ibisspring_control/state/steps.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/steps.py
@@ -1,4 +1,9 @@
-"""Training steps: one complete batch per step, within the staleness limit, each sample once."""
+"""
+Training steps: a trainer's requests for one batch of samples each.
+
+Each step delivers one complete batch whose samples are within the trainer's staleness limit, and no
+sample is delivered twice.
+"""
 
 from __future__ import annotations
 
@@ -26,23 +31,24 @@
 ACKNOWLEDGED = "acknowledged"
 CONFLICT = "conflict"
 
-# A trainer resends its last one or two steps. Steps below its value in `lowest_by_trainer` are
-# refused.
+# Maximum number of kept steps of one trainer. A trainer resends only its last one or two steps;
+# steps with a lower number than the trainer's value in `lowest_by_trainer` are refused.
 MAX_STEPS_PER_TRAINER = 8
 
 
 @dataclass(frozen=True)
 class Step:
     """
-    One step of one trainer.
+    One training step of one trainer.
 
-    :param digest: digest of the step's request; another digest for the same step is a conflict.
+    :param digest: digest of the trainer's request; another digest for the same step is a conflict.
     :param samples: number of samples in the batch.
-    :param daemon: the entry that owns the step.
-    :param epoch: incremented each time that another entry takes over the step.
+    :param daemon: id of the entry that owns the step, that is, gathers its samples.
+    :param epoch: number of the step's owner; incremented when another entry takes over the step.
     :param state: `open`, `delivered` or `acknowledged`.
+    :param batch_digest: digest of the delivered batch; empty while the step is open.
     :param sample_hashes: xxh3 of the ids of every sample that was ever delivered for the step,
-        sorted. A hash has eight bytes, less than an id.
+        sorted. Hashes are stored because a hash has eight bytes, less than an id.
     """
 
     trainer: str
@@ -67,14 +73,14 @@
 
 
 class Steps:
-    """Steps by trainer and step number."""
+    """Training steps by trainer and step number."""
 
     def __init__(self, snapshot: StepsSnapshot) -> None:
         self.step_by_key = {(step.trainer, step.step): step for step in snapshot.steps}
         self.lowest_by_trainer = dict(snapshot.lowest_by_trainer)
 
     def snapshot(self) -> StepsSnapshot:
-        """Return all steps, sorted by trainer and step."""
+        """Return all kept steps, sorted by trainer and step number."""
         steps = tuple(step for _, step in sorted(self.step_by_key.items()))
         return StepsSnapshot(steps, dict(self.lowest_by_trainer))
 
@@ -83,13 +89,13 @@
         return tuple(step for key, step in sorted(self.step_by_key.items()) if key[0] == trainer)
 
     def open(self, command: OpenStep, rules: Rules) -> StepState | Refused:
-        """Open a step or take it over for another entry; return its resulting state."""
+        """Open a step, or make another entry its owner; return the resulting state of the step."""
         key = (command.trainer, command.step)
         step = self.step_by_key.get(key)
         if step is not None:
             return self._reopen(step, command)
-        # A removed step that is opened again would start at epoch 1 and could deliver the same
-        # sample ids a second time.
+        # If a step whose record was removed were opened again, it would start at epoch 1 and could
+        # deliver the same sample ids a second time.
         if command.step < self.lowest_by_trainer.get(command.trainer, 0):
             return Refused(
                 Reason.STALE.value, f"step {command.step} is older than the steps that are kept"
@@ -113,8 +119,9 @@
     def _reopen(self, step: Step, command: OpenStep) -> StepState:
         if step.digest != command.digest:
             return dataclasses.replace(_state_of(step), state=CONFLICT)
-        # Two entries may detect the loss of the owner at the same time. The log decides which one
-        # takes over: the second command has an outdated epoch and is answered with the new owner.
+        # Two entries may detect the loss of the step's owner at the same time. The entry whose
+        # command is first in the log takes over the step. The second command has an outdated epoch
+        # and is answered with the new owner.
         taken_over = command.take_over_epoch == step.epoch and step.state != ACKNOWLEDGED
         if not taken_over:
             return _state_of(step)
@@ -133,10 +140,11 @@
         self, command: DeliverBatch, rules: Rules, trainer_version: int
     ) -> StepState | BatchStale | Refused:
         """
-        Deliver a complete batch.
+        Record the delivery of a complete batch, or refuse the batch.
 
-        The staleness limit is enforced here, because the log orders this command relative to the
-        trainer's published versions. A sample may have become stale since the entry checked it.
+        The staleness limit is enforced here, because the log fixes whether a weight version was
+        published before or after this command. A sample may have become stale since the entry
+        checked it.
         """
         step = self.step_by_key.get((command.trainer, command.step))
         if step is None:
@@ -174,7 +182,7 @@
         return any(not hashes.isdisjoint(step.sample_hashes) for step in steps)
 
     def acknowledge(self, command: AckStep) -> StepState | Refused:
-        """Record that the trainer received the batch."""
+        """Record that the trainer received the delivered batch of a step."""
         step = self.step_by_key.get((command.trainer, command.step))
         if step is None or step.state == OPEN:
             return Refused(Reason.CONFLICT.value, f"step {command.step} has no delivered batch")
--- a/packages/ibisspring-control/src/ibisspring_control/state/trainers.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/trainers.py
@@ -1,4 +1,4 @@
-"""Each trainer's newest published weight version; it never decreases."""
+"""Each trainer's newest published weight version, whose number never decreases."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class TrainerVersion:
-    """The newest version that a trainer published in the weight store."""
+    """The newest weight version that a trainer published, and the log index of its publication."""
 
     trainer: str
     model: str
@@ -25,31 +25,31 @@
 
 @dataclass(frozen=True)
 class TrainersSnapshot:
-    """The newest version of each trainer, sorted by trainer."""
+    """The newest weight version of each trainer, sorted by trainer."""
 
     versions: tuple[TrainerVersion, ...] = ()
 
 
 class Trainers:
-    """Newest published version by trainer."""
+    """Newest published weight version by trainer."""
 
     def __init__(self, snapshot: TrainersSnapshot) -> None:
         self.version_by_trainer = {version.trainer: version for version in snapshot.versions}
 
     def snapshot(self) -> TrainersSnapshot:
-        """Return all versions, sorted by trainer."""
+        """Return the newest weight version of each trainer, sorted by trainer."""
         by_trainer = self.version_by_trainer
         return TrainersSnapshot(tuple(by_trainer[trainer] for trainer in sorted(by_trainer)))
 
     def version_of(self, trainer: str) -> int:
-        """Return the trainer's newest version; 0 if it has not published one."""
+        """Return the trainer's newest weight version; 0 if the trainer has not published one."""
         known = self.version_by_trainer.get(trainer)
         return known.version if known is not None else 0
 
     def publish(
         self, command: PublishVersion, rules: Rules, position: LogPosition
     ) -> Done | Refused:
-        """Record a newer version if a share rule allows the trainer to train this model."""
+        """Record a newer weight version if a share rule allows the trainer to train this model."""
         if command.trainer not in rules.trainers_by_model.get(command.model, ()):
             detail = f"no share rule lets {command.trainer!r} train {command.model!r}"
             return Refused(Reason.NOT_ALLOWED.value, detail)
--- a/packages/ibisspring-control/src/ibisspring_control/state/usage.py
+++ b/packages/ibisspring-control/src/ibisspring_control/state/usage.py
@@ -1,4 +1,8 @@
-"""Usage windows: each usage record is counted once, and a closed window never changes."""
+"""
+Usage windows: the usage of client accounts in consecutive periods of equal length.
+
+Each usage record is counted once, and the figures of a closed window never change.
+"""
 
 from __future__ import annotations
 
@@ -19,23 +23,27 @@
 if TYPE_CHECKING:
     from ibisspring_control.state.moment import LogPosition
 
-# Reported windows are kept for `usage show`: four hours at one minute per window.
+# Maximum number of reported windows in the state. They are kept for the operator's command
+# `usage show`: four hours at one minute per window.
 MAX_REPORTED_WINDOWS = 240
-# Starts of one daemon whose resends are still accepted. Resends end within seconds, while a daemon
-# runs for minutes or longer between two starts.
+# Maximum number of starts of one daemon whose last usage sequence is kept, so that resent usage is
+# recognized. A daemon resends usage within seconds, but runs for minutes or longer between two
+# starts.
 MAX_STARTS_PER_DAEMON = 8
-# An entry may be disconnected before it receives the acknowledgement of a batch, and resend the
-# batch afterwards. One week is longer than any such disconnection.
+# Seconds for which the last usage sequence of a daemon's start is kept. An entry may be
+# disconnected before it receives the acknowledgement of its usage, and resend the usage afterwards.
+# One week is longer than any such disconnection.
 SEQUENCE_RETENTION_S = 604_800.0
 
 
 @dataclass(frozen=True)
 class UsageLine:
     """
-    Usage of one client account on one service in one window.
+    Usage of one client account on one service in one usage window.
 
-    :param late: True if the work ended in an earlier window that was already closed.
-    :param endpoint_s: seconds that endpoints worked.
+    :param late: True if the work ended in an earlier window that was already closed when the usage
+        was counted.
+    :param endpoint_s: seconds that endpoints worked on the calls.
     """
 
     client_account: str
@@ -51,7 +59,8 @@
     """
     One usage window.
 
-    :param window: number of the window.
+    :param window: number of the window; window n starts n window lengths after 1970.
+    :param lines: usage by client account, service and `late`.
     :param closed_index: log index of the command that closed the window; 0 while it is open.
     :param closed_s: wall-clock seconds at which the window was closed.
     :param reported: True once the usage interface acknowledged the window.
@@ -71,7 +80,7 @@
 
 @dataclass(frozen=True)
 class UsageSequence:
-    """Newest usage sequence of one start of a daemon, the window that counted it, and when."""
+    """Newest counted usage of one start of a daemon: its sequence number, its window, its time."""
 
     daemon: str
     incarnation: int
@@ -82,7 +91,7 @@
 
 @dataclass(frozen=True)
 class UsageSnapshot:
-    """All windows and sequences, sorted."""
+    """All usage windows and sequences, sorted; windows up to `closed_through` are closed."""
 
     closed_through: int = -1
     windows: tuple[UsageWindow, ...] = ()
@@ -93,7 +102,7 @@
 
 
 class Usage:
-    """Windows by number; lines of an open window by client account, service and `late`."""
+    """Usage windows by number; usage of an open window by client account, service and `late`."""
 
     def __init__(self, snapshot: UsageSnapshot) -> None:
         self.closed_through = snapshot.closed_through
@@ -109,7 +118,7 @@
             self.lines_by_window[window.window] = {_key(line): line for line in window.lines}
 
     def snapshot(self) -> UsageSnapshot:
-        """Return all windows and sequences, sorted."""
+        """Return all usage windows and sequences, sorted, so that all replicas agree."""
         windows = sorted(
             [*self.closed_by_window.values(), *self._open_windows()], key=_window_index
         )
@@ -141,15 +150,15 @@
         starts = sorted(start for start in self.sequence_by_start if start[0] == command.daemon)
         if len(starts) < MAX_STARTS_PER_DAEMON:
             return True
-        # Records of a start that is no longer tracked may be resends; counting them could bill
-        # them twice.
+        # Usage of a start whose sequence is no longer kept may be a resend. If it were counted, it
+        # could be billed twice.
         if command.incarnation < starts[0][1]:
             return False
         del self.sequence_by_start[starts[0]]
         return True
 
     def close(self, command: CloseWindow, position: LogPosition) -> Done:
-        """Close a window, which fixes its figures; closing it again changes nothing."""
+        """Close a usage window, which makes its figures final; closing it again changes nothing."""
         if command.window <= self.closed_through:
             return Done()
         lines: dict[LineKey, UsageLine] = {}
@@ -171,7 +180,7 @@
                 del self.sequence_by_start[start]
 
     def mark_reported(self, command: WindowReported) -> Done | Refused:
-        """Record that the usage interface acknowledged a closed window."""
+        """Record that the usage interface acknowledged the report of a closed window."""
         window = self.closed_by_window.get(command.window)
         if window is None:
             if command.window <= self.closed_through:
@@ -184,7 +193,7 @@
         return Done()
 
     def unreported_windows(self) -> tuple[UsageWindow, ...]:
-        """Return the windows that are open, or closed and not acknowledged, oldest first."""
+        """Return the open usage windows and the closed, unacknowledged ones, oldest first."""
         closed = [window for window in self.closed_by_window.values() if not window.reported]
         return tuple(sorted([*closed, *self._open_windows()], key=_window_index))
 
--- a/packages/ibisspring-daemon/src/ibisspring_daemon/__init__.py
+++ b/packages/ibisspring-daemon/src/ibisspring_daemon/__init__.py
@@ -1,3 +1,3 @@
-"""The daemon: the executable `ibisspringd`."""
+"""The executable `ibisspringd`, which runs a daemon with one or more roles."""
 
 from __future__ import annotations
--- a/packages/ibisspring-daemon/src/ibisspring_daemon/main.py
+++ b/packages/ibisspring-daemon/src/ibisspring_daemon/main.py
@@ -18,9 +18,9 @@
 
 async def run(settings: Settings) -> None:
     """
-    Run a daemon until SIGTERM or SIGINT, then stop it gracefully.
+    Run a daemon until SIGTERM or SIGINT, then stop its services in reverse start order.
 
-    :param settings: validated settings.
+    :param settings: validated settings of the daemon.
     """
     kernel = build_kernel(settings)
     loop = asyncio.get_running_loop()
--- a/packages/ibisspring-daemon/src/ibisspring_daemon/wiring.py
+++ b/packages/ibisspring-daemon/src/ibisspring_daemon/wiring.py
@@ -1,4 +1,4 @@
-"""Builds the kernel of a daemon from the services of its roles."""
+"""Builds a daemon's kernel, which starts and stops the services of the daemon's roles."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 
 def build_kernel(settings: Settings) -> Kernel:
     """
-    Build the kernel of one daemon.
+    Build the kernel of one daemon with the services of the daemon's roles.
 
-    A role's package is imported only if the daemon has that role; an import of the other roles
-    would use memory for nothing.
+    The kernel is the registry in which the services find each other. The package of a role is
+    imported only if the daemon has that role; an import of the other packages would use memory for
+    nothing.
 
-    :param settings: validated settings.
-    :return: the kernel; `Kernel.start` has not been called.
+    :param settings: validated settings with the roles of the daemon.
+    :return: the kernel; the caller starts its services with `Kernel.start`.
     """
     services = [
         GrpcRuntime(),
--- a/tests/unit/cli/test_explain.py
+++ b/tests/unit/cli/test_explain.py
@@ -83,9 +83,10 @@
 
 def test_setting_the_wall_clock_does_not_change_the_order() -> None:
     """
-    The wall clock of one VM is 5 s ahead for one line and is then set back.
+    The wall clock of one VM is 5 s ahead when it writes one line, and is then set back.
 
-    If lines were ordered by wall clock, that line would follow the lines that it caused elsewhere.
+    If lines were ordered by wall clock, the line written with the wrong time would follow the later
+    lines that other VMs logged because of it.
     """
     lines = parse_lines(
         [
--- a/tests/unit/control/engine_orders/test_loads.py
+++ b/tests/unit/control/engine_orders/test_loads.py
@@ -38,9 +38,9 @@
 
 def test_a_load_that_is_never_announced_is_ordered_again_as_another_attempt() -> None:
     """
-    An engine accepts the order with 202 but does not load the version.
+    An engine accepts the order to load a version with 202 but does not load it.
 
-    A leader that treats the 202 as success would never order the load again.
+    If the leader treated the answer 202 as success, it would never order the load again.
     """
     table = LoadTable(1, LOAD_TIMEOUT_S)
     (first,) = table.plan(TARGET, (_engine(0),), 0.0)
@@ -77,8 +77,8 @@
     An engine announces version 2 but its tokens are of version 1, also after the load is repeated.
 
     If the leader trusted the announcement, the engine would stay on old weights until the next
-    version. If the leader repeated the load without a pause, it would permanently occupy a slot of
-    the weight store.
+    version. If the leader repeated the load without an increasing delay, the loads of this engine
+    would permanently occupy a slot of the weight store.
     """
     table = LoadTable(1, LOAD_TIMEOUT_S)
     engine = _engine(0, version=2)
--- a/tests/unit/control/leader_duties/conftest.py
+++ b/tests/unit/control/leader_duties/conftest.py
@@ -35,7 +35,7 @@
 
 @dataclass
 class Control:
-    """In-memory stand-in for both the consensus service and the state machine."""
+    """In-memory stand-in for the consensus service and the state machine; commits at once."""
 
     is_leader: bool = True
     term: int = 1
--- a/tests/unit/control/leader_duties/test_fleet.py
+++ b/tests/unit/control/leader_duties/test_fleet.py
@@ -20,7 +20,7 @@
 
 @dataclass
 class _System:
-    """Stand-in for the leases, the state and the orders that `Fleet` uses."""
+    """Stand-in for the entry leases, the state and the orders that `Fleet` uses."""
 
     endpoint_by_id: dict[str, EndpointRecord] = field(default_factory=dict)
     entries: tuple[str, ...] = ("e1",)
@@ -43,7 +43,7 @@
         return OrderEnd(self.outcome)
 
     def announce(self, endpoint: str, order: dict) -> None:
-        """Announce the endpoint that an order started."""
+        """Put an endpoint with the kind and data centre of an order into the endpoint table."""
         self.endpoint_by_id[endpoint] = EndpointRecord(
             endpoint, 1, 1, "lm", "engine", order["kind"], order["data_centre"], "127.0.0.1:1"
         )
@@ -68,8 +68,9 @@
 async def test_a_new_leader_orders_nothing_from_an_incomplete_endpoint_table(
     fleet, system, leadership
 ) -> None:
-    # The endpoint table of a new leader is empty until entries renew, and while no entry is live. A
-    # leader that plans from the empty table would order the complete fleet again.
+    # The endpoint table of a new leader is empty until entries renew their leases, and while no
+    # entry has a lease. If the leader planned from the empty table, it would order the complete
+    # fleet again.
     await fleet.run(leadership, TABLE_SYNC_S - 1.0, WALL_S)
     system.entries = ()
     await fleet.run(leadership, READY_S, WALL_S)
@@ -80,8 +81,8 @@
 async def test_an_ordered_endpoint_counts_until_it_announces_itself_or_times_out(
     fleet, system, leadership
 ) -> None:
-    # Endpoints take a minute to start. A leader that counts only announced endpoints would order
-    # them again with each plan.
+    # Endpoints take a minute to start. If the leader counted only the endpoints that announced
+    # themselves, it would order the missing ones again with each plan.
     await fleet.run(leadership, READY_S, WALL_S)
     await fleet.run(leadership, READY_S + 1.0, WALL_S + 1.0)
     assert len(system.sent) == 4
@@ -100,7 +101,8 @@
 async def test_a_reclaimed_endpoint_is_replaced_by_the_standard_kind(
     fleet, system, leadership, counters
 ) -> None:
-    # Both cheap endpoints of derby are reclaimed at the same time.
+    # The platform reclaims both cheap endpoints of derby at the same time. If they were replaced by
+    # cheap endpoints in derby, these would be reclaimed again.
     for number in range(4):
         kind = "cheap" if number < 2 else "standard"
         system.announce(f"lm-{number}", {"kind": kind, "data_centre": "derby"})
--- a/tests/unit/control/leader_duties/test_orders.py
+++ b/tests/unit/control/leader_duties/test_orders.py
@@ -51,7 +51,7 @@
     control, orders, leadership, fake_platform
 ) -> None:
     # The platform executes an order and its answer is lost, so the order stays open in the state.
-    # A retry with a new id or with other bytes would start a second endpoint.
+    # If the retry had a new order id or other bytes, the platform would start a second endpoint.
     fake_platform.faults.drop_answer = True
     refusal = await orders.send(leadership, "platform", "o1", START)
     assert refusal.reason is Reason.MAY_HAVE_RUN
@@ -94,8 +94,9 @@
 async def test_a_new_order_does_not_overtake_an_open_one(
     control, orders, leadership, fake_platform
 ):
-    # The answer of the first order is lost. A second order that is sent now would have a higher
-    # fencing number, and a platform that checks it would always refuse the first order afterwards.
+    # The answer to the first order is lost, so this order is open. If a second order were sent now,
+    # it would have a higher fencing number, and a platform that checks fencing numbers would always
+    # refuse the first order afterwards.
     fake_platform.faults.drop_answer = True
     await orders.send(leadership, "platform", "o1", START)
 
@@ -108,8 +109,9 @@
 async def test_resume_does_not_resend_an_order_that_ended_in_the_meantime(
     control, orders, leadership, fake_platform
 ) -> None:
-    # The periodic resume of open orders finds an order that `send` is still sending. If `resume`
-    # did not check again under the lock that the order is open, the order would be sent twice.
+    # The leader periodically resumes open orders and finds one that `send` is still sending. If
+    # `resume` did not check again, after `send` released the receiver's lock, that the order is
+    # open, the order would be sent twice.
     fake_platform.faults.answer_late_s = 0.3
     sending = asyncio.create_task(orders.send(leadership, "platform", "o1", START))
     await wait_until(lambda: fake_platform.sent, "the order to arrive")
--- a/tests/unit/control/leader_duties/test_usage_reports.py
+++ b/tests/unit/control/leader_duties/test_usage_reports.py
@@ -41,8 +41,9 @@
 async def test_a_report_whose_answer_was_lost_is_resent_with_the_same_figures(
     control, reports, leadership, fake_usage
 ) -> None:
-    # The usage interface accepts a report and its answer is lost. The retry must have the same key
-    # and the figures that the log fixed, so that no usage is counted twice and no figure differs.
+    # The usage interface accepts a report and its answer is lost. If the retry had another
+    # idempotency key, its usage would be counted twice. If the retry had other figures than those
+    # that the log fixed when the window was closed, the two reports would differ.
     fake_usage.faults.drop_answer = True
     await reports.run(leadership, AFTER_CLOSE_S)
     fake_usage.faults.drop_answer = False
--- a/tests/unit/control/rpc/test_control_service.py
+++ b/tests/unit/control/rpc/test_control_service.py
@@ -30,7 +30,7 @@
 
 
 class _Consensus:
-    """Stand-in: applies each command at once, or refuses it."""
+    """Stand-in for the consensus service: applies each command at once, or refuses it."""
 
     leader_hint = "c2"
     term = 3
@@ -50,7 +50,7 @@
 
 
 class _Leases:
-    """Stand-in: every entry acts on `in_force`."""
+    """Stand-in for the entry leases: every entry acts on the view of log index `in_force`."""
 
     endpoint_by_id: dict = {}
 
@@ -94,10 +94,11 @@
 
 async def test_an_apply_is_acknowledged_once_its_first_index_is_in_force(served) -> None:
     """
-    An apply is committed while an entry still acts on the old rules. The command line repeats the
-    request with the same request id, and the repetition gets a higher log index.
+    An apply of rules is committed while an entry still acts on the old rules. The command line
+    repeats the request with the same request id, and the repetition gets a higher log index.
 
-    A wait for the log index of the repetition would never end, because no view has that index.
+    If the service waited until the entries act on the log index of the repetition, the wait would
+    never end, because no view has that index.
     """
     request_id = new_request_id()
     assert (await served.apply(request_id)).status == control_pb2.UNKNOWN
@@ -112,9 +113,9 @@
 
 async def test_a_conflicting_apply_is_answered_at_once(served) -> None:
     """
-    Two operators apply with the same base, and the second one gets a conflict.
+    Two operators apply rules that are based on the same version; the second one gets a conflict.
 
-    A refused command changes nothing, so no entry will ever act on its log index. If the service
+    The refused command changes nothing, so no entry will ever act on its log index. If the service
     waited for that index, the second operator would get `UNKNOWN` instead of the conflict.
     """
     served.leases.in_force = 1
@@ -129,10 +130,10 @@
 @pytest.mark.parametrize("cancel", [False, True])
 async def test_a_drain_is_acknowledged_once_every_entry_acts_on_it(served, cancel):
     """
-    A drain is committed, but an entry between two renewals has not received it.
+    A drain is committed, but an entry has not renewed its lease since and does not know the drain.
 
-    If the drain were acknowledged then, a generation that the operator starts after the
-    acknowledgement could run on the drained engine.
+    If the drain were acknowledged before this entry acts on it, a generation that the operator
+    starts after the acknowledgement could run on the drained engine.
     """
     request_id = new_request_id()
     drain = DrainEndpoint("engine-1", "ana", cancel)
--- a/tests/unit/control/state/test_machine.py
+++ b/tests/unit/control/state/test_machine.py
@@ -50,7 +50,7 @@
 
 
 class _Log:
-    """Applies commands to a state machine at increasing log indexes."""
+    """A state machine and a log whose entries are applied to it at increasing indexes."""
 
     def __init__(self) -> None:
         self.state = StateMachine.empty()
@@ -78,9 +78,10 @@
     log,
 ) -> None:
     """
-    Two operators edit version 1 at the same time and both apply their file.
+    Two operators edit version 1 of the rules at the same time and both apply their file.
 
-    Without the compare-and-set, the second apply would silently revert the first one's change.
+    If the second file were accepted although it is not based on version 2, it would silently revert
+    the first operator's change.
     """
     added = f"timeout archive-app 2 s {ASKED}\n"
     assert log.apply(ApplyRules(1, RULES + added, "bor")) == RulesApplied(2)
@@ -93,10 +94,10 @@
 
 def test_a_resent_apply_returns_the_first_result_and_changes_nothing() -> None:
     """
-    The answer of an apply is lost, so the command line resends the same file.
+    The answer to an apply of rules is lost, so the command line resends the same file.
 
-    Without the stored result, the resend's base would be outdated by the operator's own change and
-    the resend would be refused as a conflict.
+    Without the stored result of the first apply, the resent one would be refused as a conflict: the
+    version that it is based on is outdated by the operator's own change.
     """
     log = _Log()
     first = log.apply(ApplyRules(0, RULES, "ana"), _request_id(1))
@@ -114,7 +115,7 @@
     A command is resent after its stored result was removed, and once more after a change to a
     leader whose clock is ten minutes behind.
 
-    If the command were applied again, it would drain an endpoint whose drain the operator has
+    If the resent command were applied, it would drain an endpoint whose drain the operator has
     cancelled since.
     """
     log = _Log()
@@ -156,10 +157,10 @@
 
 def test_a_claimed_ticket_is_granted_once_and_answered_from_the_store(log) -> None:
     """
-    The answer of a non-idempotent request is lost, and the caller resends it through another entry,
+    The answer to a non-idempotent request is lost, and the caller resends it through another entry,
     both while the first request runs and after it ended.
 
-    If the key were granted twice, the request would run twice.
+    If the idempotency key were granted to both, the request would run twice.
     """
     assert log.apply(_claim("r1")).state == "granted"
     assert log.apply(_claim("r1")).state == "granted"
@@ -179,10 +180,11 @@
 
 def test_a_claim_of_a_restarted_entry_may_have_run(log) -> None:
     """
-    An entry crashes after it claimed a key and restarts; the caller resends the request.
+    An entry crashes after it claimed an idempotency key, and restarts; the caller resends the
+    request.
 
-    It is unknown whether the request was sent, so the answer must not be "not run", and the request
-    must not run a second time.
+    It is unknown whether the first request was sent. If the key were granted to the resent one, the
+    request could run twice. If the answer were "not run", it could be false.
     """
     log.apply(_claim("r1"))
     log.apply(DaemonStarted("e1", 2))
@@ -207,8 +209,8 @@
     Usage is resent after a lost acknowledgement, also by an earlier start of a restarted entry, and
     some usage arrives after its window was closed and reported.
 
-    Usage that is counted twice is billed twice. Usage that is added to the closed window would make
-    a second report differ from the first.
+    If usage were counted twice, it would be billed twice. If usage were added to a closed window, a
+    second report of the window would differ from the first.
     """
     log.apply(_usage(1, 5, 100))
     log.apply(_usage(1, 5, 100))
@@ -266,7 +268,8 @@
     The samples are within the staleness limit when the entry checks them, but the trainer publishes
     a version before the batch is delivered.
 
-    A check anywhere else than in the delivery command would let stale samples into training.
+    If the limit were checked only before the delivery command is applied, stale samples would get
+    into training.
     """
     log.apply(_open("e1"))
     log.apply(PublishVersion("reader", "scorer-lm", 4))
@@ -278,10 +281,10 @@
 
 def test_a_step_that_was_taken_over_is_delivered_by_its_new_owner_only(log) -> None:
     """
-    An entry is disconnected while it gathers a step. Another entry takes over the step and delivers
-    it, then the first entry reconnects and delivers too.
+    An entry is disconnected while it gathers the samples of a step. Another entry takes over the
+    step and delivers a batch, then the first entry reconnects and delivers a batch too.
 
-    If both were accepted, the trainer would train on the samples of the step twice.
+    If both batches were accepted, the trainer would train on the samples of the step twice.
     """
     assert log.apply(_open("e1")).epoch == 1
     assert log.apply(_open("e2")).daemon == "e1"
@@ -335,8 +338,9 @@
     """
     A replica is restored from a snapshot several times while 300 commands are applied.
 
-    If the order of a dict determined which claims are removed, this replica would remove other
-    claims than the others, and one leader would grant a resend that the next leader refuses.
+    If the order of a dict determined which claims are removed, the restored replica would remove
+    other claims than the replica that was never restored. One leader would then grant a resent
+    request that the next leader refuses.
     """
     uninterrupted = _Log().with_rules()
     restarted = _Log().with_rules()
--- a/tests/unit/control/state/test_machine_fuzz.py
+++ b/tests/unit/control/state/test_machine_fuzz.py
@@ -48,7 +48,7 @@
 
 
 def _command(draw: random.Random, at: int) -> Any:
-    """A random command whose keys and numbers often repeat; the numbers grow with the index."""
+    """Return a random command; its keys and numbers often repeat, and numbers grow with `at`."""
     number = at // 30 + draw.randrange(3)
     daemon = draw.choice(("e1", "e2"))
     key = draw.choice(("k1", "k2"))
@@ -81,7 +81,7 @@
 
 
 class _History:
-    """Records earlier results and checks that later results do not contradict them."""
+    """Records the results of earlier commands and checks that later ones do not contradict them."""
 
     def __init__(self) -> None:
         self.fencing_by_order: dict[str, int] = {}
--- a/tests/unit/control/test_entry_leases.py
+++ b/tests/unit/control/test_entry_leases.py
@@ -27,7 +27,7 @@
 
 @dataclass
 class _Consensus:
-    """Stand-in: is the leader, and confirms reads after 10 ms."""
+    """Stand-in for the consensus service: confirms the leadership after 10 ms."""
 
     name = "consensus"
     is_leader: bool = True
@@ -77,9 +77,11 @@
 
 async def test_a_change_is_in_force_once_every_live_entry_has_applied_it(system) -> None:
     """
-    An operator withdraws a key. One entry has the new rules, another one has not renewed since.
+    An operator withdraws an API key. One entry has the new rules, another one has not renewed its
+    lease since and still acts on the old rules.
 
-    If the change were acknowledged after its commit, the second entry would still accept the key.
+    If the change were acknowledged as soon as it is committed, the second entry would still accept
+    the withdrawn key after the acknowledgement.
     """
     await system.renew("e1", 0)
     await system.renew("e2", 0)
@@ -110,9 +112,11 @@
 
 async def test_a_new_leader_waits_for_the_end_of_leases_granted_by_its_predecessor(system) -> None:
     """
-    The old leader granted a lease and crashed; the new leader has not received a renewal.
+    The old leader granted a lease and crashed; the new leader has not received a renewal, so its
+    table of leases is empty.
 
-    With its empty table, the new leader would conclude that no entry acts on an older index.
+    If the new leader relied on its empty table, it would conclude that no entry acts on a view of
+    an older index, although the entry with the old leader's lease may do so.
     """
     index = system.apply_rules()
     assert await system.leases.wait_in_force(index, LONG_S) == index
@@ -145,9 +149,11 @@
 
 async def test_a_grant_needs_a_quorum_round_that_began_after_its_renewal(system) -> None:
     """
-    A renewal is received during the quorum round of an earlier renewal.
+    Seven renewals are received during the quorum round of an earlier renewal.
 
-    That round does not confirm the leadership after its start: a new leader may have been elected.
+    That round confirms the leadership only for the time at which the round began; a new leader may
+    have been elected since. If the seven leases were granted by that round, the new leader could
+    wrongly count them as lapsed.
     """
     first = asyncio.create_task(system.renew("e1", 0))
     await asyncio.sleep(0)
@@ -178,7 +184,8 @@
 @pytest.mark.parametrize("system", [2 * LONG_S], indirect=True)
 async def test_a_held_renewal_is_answered_when_the_view_changes(system) -> None:
     """
-    The renewal of an entry is held because its view is current; then a rules file is accepted.
+    The answer to an entry's renewal is held because the entry's view is the newest one; then a
+    rules file is accepted.
 
     Without the hold, the change would reach the entry only at its next renewal.
     """
@@ -209,7 +216,8 @@
 
 def test_holds_end_at_common_ticks_within_their_limit() -> None:
     """
-    1000 renewals are received within one second, and each may be held for half a second.
+    1000 renewals are received within one second, and the answer to each may be held for half a
+    second.
 
     If each hold ended at its own time, each renewal would need its own quorum round.
     """
--- a/tests/unit/docs/test_imports.py
+++ b/tests/unit/docs/test_imports.py
@@ -1,4 +1,4 @@
-"""Checks that no modules of the packages import each other in a cycle."""
+"""Checks that no modules of `packages` and `platform` import each other in a cycle."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def _imports(path: Path) -> set[str]:
-    """Return the modules imported at module level, including those under `if TYPE_CHECKING`."""
+    """Return the modules that a file imports at module level, also under `if TYPE_CHECKING`."""
     imported = set()
     tree = ast.parse(path.read_text(encoding="utf-8"))
     blocks = [tree.body]
--- a/tests/unit/docs/test_proofs.py
+++ b/tests/unit/docs/test_proofs.py
@@ -1,4 +1,6 @@
-"""Checks that docs/PROOFS.md covers every promise and names only existing tests."""
+"""
+Checks that docs/PROOFS.md has a row for every promise of the project and names only existing tests.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/encoded/test_encoded_messages.py
+++ b/tests/unit/encoded/test_encoded_messages.py
@@ -1,10 +1,11 @@
 """
 Bytes of messages, stored records and JSON documents stay the same from release to release.
 
-Class names and field names are written into these bytes. A renamed class or field would make a
-daemon of the next release reject the messages of its peers, or lose what its own disk holds.
-`encoded_messages.json` holds one sample of each type, written by an earlier release;
-`python -m unit.encoded.test_encoded_messages` adds the types that it lacks.
+Class names and field names are written into these bytes. If a class or field were renamed, a daemon
+of the next release would reject the messages of its peers, or lose what its own disk holds. The
+file `encoded_messages.json` contains one encoded sample of each type, written by an earlier
+release; `python -m unit.encoded.test_encoded_messages` adds samples of the types that the file
+lacks.
 """
 
 from __future__ import annotations
@@ -52,7 +53,8 @@
     "jobs_commands": JOBS_COMMANDS,
     "peers": PEER_MESSAGES,
 }
-# Types that are stored or sent without their kind, by the names that they had first.
+# Types that are stored or sent without the name of their kind of message, by the name of their
+# sample in `encoded_messages.json`. The name of a sample is the first name that its type had.
 TYPE_BY_NAME: dict[str, Any] = {
     "hard_state": StoredHardState,
     "segment_start": SegmentStart,
@@ -65,7 +67,7 @@
     "job_group": directory.Group,
     "endpoint_record": EndpointRecord,
 }
-# Types that are read from JSON or written as JSON.
+# Types that are read from JSON or written as JSON, by the name of their sample.
 JSON_TYPE_BY_NAME: dict[str, Any] = {
     "boot_file": BootFile,
     "configuration": Document,
@@ -83,7 +85,7 @@
 
 
 def sample(kind: inspect.Type, name: str) -> Any:
-    """Plain data that converts to a type; each field holds its own name or a fixed value."""
+    """Return plain data that converts to a type; a field holds its own name or a fixed value."""
     if isinstance(kind, inspect.DataclassType | inspect.StructType):
         return {field.encode_name: sample(field.type, field.encode_name) for field in kind.fields}
     if isinstance(kind, inspect.UnionType):
