--- a/packages/ibisspring-jobs/src/ibisspring_jobs/commands.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/commands.py
@@ -17,7 +17,11 @@
 
 @dataclass(frozen=True)
 class RecordResults:
-    """Append results to the job's list in this order; an item that is listed already is skipped."""
+    """
+    Append results to the job's list in this order.
+
+    A result is skipped if its item already has a result in the list.
+    """
 
     job: str
     results: tuple[ItemResult, ...]
@@ -28,8 +32,8 @@
     """
     Append results whose complete text is already in the log as parts.
 
-    The results come without their `output`, which each store joins from the parts. Without this,
-    each text would be replicated twice: once as its parts and once in its result.
+    The results come without their `output`, which each store joins from the parts. If they
+    contained it, each text would be replicated twice: once as its parts and once in its result.
     """
 
     job: str
@@ -38,7 +42,7 @@
 
 @dataclass(frozen=True)
 class KeepTexts:
-    """Store parts of the texts of items that are not listed yet."""
+    """Store parts of the texts of items that have no listed result yet."""
 
     job: str
     parts: tuple[TextPart, ...]
@@ -46,7 +50,7 @@
 
 @dataclass(frozen=True)
 class CloseJob:
-    """End a job: its items that are not listed are dropped and no longer run."""
+    """End a job: its items without a listed result are removed and no longer run."""
 
     job: str
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
@@ -1,8 +1,9 @@
 """
 Assigns the items of all open jobs to engines and runners, on the leader of the jobs' log.
 
-The module does no I/O and reads no clock: every method that depends on the time takes it as `now`,
-in seconds since boot.
+An engine (inference endpoint) generates the text of an item; a runner is the entry daemon that
+sends the item's request to the engine. The module does no I/O and reads no clock: every method that
+depends on the time takes it as `now`, in seconds since boot.
 """
 
 from __future__ import annotations
@@ -29,24 +30,24 @@
     from ibisspring_jobs.state import JobRecord, JobsState
 
 # Seconds until an item may run again after a failed run. Without this delay, an engine that fails
-# every request at once would use up the item's attempts.
+# every request immediately would use up the item's attempts.
 FAILED_RETRY_DELAY_S = 0.2
-# An item is abandoned only this many seconds after the time limit of its job, because a clock that
-# is slightly ahead would otherwise abandon it too early.
+# Seconds between the time limit of a job and the abandonment of its items. Without them, a leader
+# whose clock is slightly ahead would abandon the items too early.
 GIVE_UP_SLACK_S = 1.0
-# A run may move to another engine only after this many seconds: the first events of a run show
-# nothing about the speed of its engine, and an item that has just moved is not moved again.
+# Seconds that a run must have lasted before it may move to another engine. Its first events show
+# nothing about the speed of the engine, and an item that has just moved is not moved again.
 MIN_RUN_BEFORE_MOVE_S = 0.4
-# Tokens per stream event of current engines, to estimate the events that a run still has to
-# produce.
+# Number of tokens in one stream event of current engines. By it the number of events that a run
+# still has to produce is estimated from the item's expected number of tokens.
 TOKENS_PER_EVENT = 60
 
 
 class Dispatcher:
     """
-    The runs under one epoch; a new leader of the jobs' log starts a new epoch.
+    Assigns items during one epoch: the consensus term of one leader of the jobs' log.
 
-    :param run_by_number: runs in progress by the number of their assignment.
+    :param run_by_number: the runs that have not ended, by the number of their assignment.
     """
 
     def __init__(self, state: JobsState, context: Surroundings, epoch: int) -> None:
@@ -61,12 +62,12 @@
 
     def take(self, call: TakeWork, now: float) -> Runner:
         """
-        Register a runner's call for work, and compare the runs that it reports with those known.
+        Register a runner's call for work, and compare its runs with those of the dispatcher.
 
-        Runs that the runner does not have are removed, and runs that are unknown here are
-        cancelled.
+        A run that only the dispatcher knows is removed, so that its item can be assigned again. A
+        run that only the runner reports is cancelled with the runner's next answer.
 
-        :return: the runner.
+        :return: the runner that called; the answer to its call is built from this object.
         """
         runner, lost = self.runners.register_call(call, now)
         for number in lost:
@@ -78,7 +79,12 @@
         return runner
 
     def move_stragglers(self, now: float) -> None:
-        """Move runs from engines that are much slower than the median to others with free slots."""
+        """
+        Move runs from engines that are much slower than the median to engines with free slots.
+
+        A moved run is stopped by its runner, and its item continues at the other engine after the
+        last event that the run produced.
+        """
         slow = self.engines.paces.slow()
         if not slow:
             return
@@ -115,8 +121,8 @@
         """
         Estimate the events that a run still has to produce.
 
-        :return: the expected total minus the events so far, and at least LEAST_LEFT; 0.0 if the
-            item is listed or its job has ended.
+        :return: the expected number of events of the text minus those produced so far, and at least
+            LEAST_LEFT; 0.0 if the item's result is listed or the job has ended.
         """
         item = self.items.item_of(run)
         if item is None:
@@ -135,9 +141,9 @@
 
     def sweep(self, now: float) -> list[tuple[str, ItemResult]]:
         """
-        Remove the runs of runners that timed out, and find the items past their time limit.
+        Remove the runs of runners that timed out, and find the items past their job's time limit.
 
-        :return: job id and abandoned result of each item of a job whose time limit has passed.
+        :return: pairs of job id and abandoned result, one for each such item, to be committed.
         """
         for runner in self.runners.remove_timed_out(now):
             for number in tuple(runner.sequence_by_number):
@@ -155,7 +161,9 @@
 
     def cancel_finished_runs(self, job: str) -> None:
         """
-        Cancel the runs of a job's items that are listed, or all of them if the job has ended.
+        Cancel the runs of those items of a job that have a listed result.
+
+        If the job has ended, all its runs are cancelled.
 
         :param job: id of the job.
         """
@@ -171,7 +179,7 @@
                 runner.wake.set()
 
     def match(self, now: float) -> None:
-        """Assign waiting items to engines and available runners, as far as slots are free."""
+        """Assign waiting items to engines with free slots, each through an available runner."""
         if not any(runner.is_available(now) for runner in self.runners.runner_by_address.values()):
             return
         self._assign_unscored(now)
@@ -180,11 +188,11 @@
 
     def _assign_unscored(self, now: float) -> None:
         """
-        Assign the reward calls of items whose text is complete and that no runner has.
+        Assign the reward calls of complete texts that no runner is scoring.
 
-        Normally the runner that received a text also makes its reward call. If that runner or the
-        leader of the jobs' log fails in between, the text must neither be generated again nor
-        remain without a score.
+        Normally the runner that received a text also makes its reward call (the request that scores
+        the text). If that runner or the leader of the jobs' log fails between the two, the text
+        must neither be generated again nor remain without a score.
         """
         for key in self.items.awaiting_score():
             runner = self.runners.choose(key[1], "", now)
@@ -213,7 +221,11 @@
         return self.runners.choose(record.endpoint, record.data_centre, now, connected)
 
     def release_connection(self, outcome: Outcome, now: float) -> None:
-        """Record that a run ended and that its connection is idle, if the engine keeps it open."""
+        """
+        Record that a run's connection to its engine is idle again, if the engine keeps it open.
+
+        Later runs of the engine are preferably assigned to the runner that has this connection.
+        """
         run = self.run_by_number.get(outcome.number)
         if run is not None:
             self.engines.connection_released(run, outcome, now)
@@ -224,8 +236,8 @@
         """
         Assign an item to a runner.
 
-        :param record: the endpoint; None if the item's text is complete and only its reward call is
-            to be made.
+        :param record: the engine that is to generate the text; None if the text is complete and
+            only its reward call is to be made.
         """
         job = self._state.job_by_id[key[0]].job
         item = self._state.job_by_id[key[0]].item_by_id[key[1]]
@@ -266,11 +278,13 @@
 
     def split_outcome(self, outcome: Outcome) -> tuple[Outcome, ...]:
         """
-        Split a completed run's outcome if earlier parts of its text are in the log.
+        Split the outcome of a completed run if earlier parts of the item's text are in the log.
 
-        A result that contains the complete text would replicate these parts a second time.
+        Without the split, the result would contain the complete text, and these parts would be
+        replicated a second time.
 
-        :return: the last text part and the outcome without text; otherwise the unchanged outcome.
+        :return: the last part of the text and the outcome without text; only the unchanged outcome
+            if no part is in the log.
         """
         run = self.run_by_number.get(outcome.number)
         job_record = self._state.job_by_id.get(run.job) if run is not None else None
@@ -289,12 +303,12 @@
         """
         Add the text that a run produced to the progress of its item.
 
-        The text of a run that ended early is committed in the same way as that of a run in
-        progress. If it were kept only in memory, the log would lack the text before the item's next
-        run, and a new leader would resume the item at that gap.
+        The last text of a run that ended early is committed in the same way as that of a run in
+        progress. If this text were kept only in memory, the log would lack it, and a new leader
+        would resume the item at the gap.
 
-        :return: job id and the part to be committed to the log; None if the text does not continue
-            the known text, or if the job does not accept its weight versions.
+        :return: job id and the part to be committed to the log; None if the part does not continue
+            the known text, or if the job does not accept the part's weight versions.
         """
         run = self.run_by_number.get(outcome.number)
         job_record = self._state.job_by_id.get(run.job) if run is not None else None
@@ -327,8 +341,8 @@
 
         An item with a result is not assigned again while the result is being committed.
 
-        :return: job id and result if the item is completed or abandoned; None if it runs again or
-            the outcome does not count.
+        :return: job id and result if the item is completed or abandoned; None if the item runs
+            again, or if the outcome is ignored because another run has continued the text.
         """
         job_and_result = self._apply_outcome(outcome, now)
         if job_and_result is not None:
@@ -348,8 +362,8 @@
         if progress.events == run.resume_after + outcome.after:
             progress.add(outcome)
         elif outcome.kind == "done":
-            # Another run of the item has changed its text meanwhile, so the text of this run does
-            # not continue it.
+            # Another run of the item has extended or reset the item's text meanwhile, so the text
+            # of this run does not continue it.
             return None
         if not progress.versions_allowed(job_record.job):
             eliot.log_message("dispatch:versions", item=run.item, versions=progress.versions)
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/engines.py
@@ -1,4 +1,9 @@
-"""What the dispatcher learned about the engines from its own runs."""
+"""
+What the dispatcher knows about engines (inference endpoints) from the runs that it assigned.
+
+These are the pace of each engine, idle connections, cached prompts, and pauses: times during which
+an engine gets no new runs because one of its runs ended badly.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +23,11 @@
     from ibisspring_jobs.runs import Run
     from ibisspring_jobs.surroundings import Surroundings
 
-# Seconds for which an engine gets no new runs after a run ended badly, by the kind of the outcome:
-# the stream broke, the engine rejected the run, or it had another weight version than expected. By
-# then the next directory update usually shows the cause.
+# Seconds for which an engine gets no new runs after one of its runs ended badly, by the kind of the
+# outcome: the stream broke, the engine rejected the run, or it had another weight version than
+# expected. After this time the daemon's directory view usually shows the cause.
 PAUSE_S = {"broken": 0.5, "turned_away": 0.1, "stale": 0.2, "failed": 0.0}
-# Memory limit of engines whose service does not state one.
+# Memory of an engine, in tokens, if its service states no limit: more than all items can take.
 UNLIMITED_MEMORY_TOKENS = 1 << 30
 
 
@@ -32,7 +37,7 @@
 
     In all methods `now` is in seconds since boot.
 
-    :param paces: seconds per event of each engine.
+    :param paces: for each engine, the seconds that it takes per event of a stream.
     """
 
     def __init__(self, context: Surroundings) -> None:
@@ -47,8 +52,8 @@
         """
         Return the ids of the engines that may run a job's items now.
 
-        Engines are excluded while they are paused, load weights of the job's model, or have a
-        weight version below the job's minimum.
+        An engine is excluded while it is paused after a run that ended badly, while it loads
+        weights of the job's model, or while its weight version is below the job's minimum.
         """
         allowed = []
         for record in self._context.serving(job.service):
@@ -69,11 +74,11 @@
 
     def pause(self, engine: str, model: str, kind: str, now: float) -> None:
         """
-        Assign no runs to an engine for a while, after one of its runs ended badly.
+        Assign no runs to an engine for PAUSE_S seconds, after one of its runs ended badly.
 
-        :param model: model of the run; an engine with a stale version is paused for this model
-            only.
-        :param kind: kind of the run's outcome, which determines the length of the pause.
+        :param model: model of the run; an engine with a stale weight version is paused for this
+            model only.
+        :param kind: kind of the run's outcome; PAUSE_S gives the length of the pause by this kind.
         """
         paused_model = model if kind == "stale" else ""
         self._paused_until_by_engine[(engine, paused_model)] = now + PAUSE_S.get(kind, 0.0)
@@ -95,7 +100,7 @@
         self, service: str, records: Iterable[EndpointRecord], runs: Iterable[Run], now: float
     ) -> list[EngineRoom]:
         """
-        Return the free slots and memory of the given engines, with their pace and connections.
+        Return the free slots, free memory, pace and idle connections of the given engines.
 
         :param records: the engines, all of the same service.
         :param runs: all runs in progress, which use slots and memory.
@@ -133,17 +138,21 @@
 
     def run_started(self, runner: str, engine: str, group: tuple[str, str], now: float) -> None:
         """
-        Record that a run uses a connection, and that the engine caches the prompt of its group.
+        Record that a run uses a connection, and that the engine caches its group's prompt.
 
         :param runner: address of the runner.
-        :param group: job id and group of the item.
+        :param group: job id and group of the run's item; the items of a group share their prompt.
         """
         self._idle_by_runner.taken((runner, engine), now)
         self._idle.taken((engine,), now)
         self._groups_by_engine.setdefault(engine, set()).add(group)
 
     def connection_released(self, run: Run, outcome: Outcome, now: float) -> None:
-        """Record that a run ended and that its connection is idle, if the engine keeps it open."""
+        """
+        Record that a run's connection is idle, if the engine keeps it open after the run's end.
+
+        :param outcome: how the run ended, with the seconds that the engine keeps the connection.
+        """
         if outcome.kept_s:
             self._idle_by_runner.released((run.runner, run.endpoint), now, outcome.kept_s)
             self._idle.released((run.endpoint,), now, outcome.kept_s)
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/items.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/items.py
@@ -1,4 +1,9 @@
-"""The items of all open jobs that are not listed: their progress, their runs and their order."""
+"""
+The items of all open jobs that have no listed result: their progress, runs and start order.
+
+A result is listed when it has a position in its job's list of results. The reward call of an item
+is the request that scores its complete text.
+"""
 
 from __future__ import annotations
 
@@ -22,9 +27,9 @@
 
 class Items:
     """
-    The items under one epoch of the dispatcher.
+    The items without a listed result, during one epoch of the dispatcher.
 
-    :param committing: items whose result is being committed to the log.
+    :param committing: items whose result is being committed to the log; they are not started again.
     :param unscored: items whose text is complete but not scored, and whose reward call is assigned
         to no runner.
     """
@@ -44,7 +49,11 @@
         }
 
     def progress_of(self, key: ItemKey) -> ItemProgress:
-        """Return the progress of an item; after a change of leader, restore it from the log."""
+        """
+        Return the progress of an item.
+
+        After a change of the jobs' leader, the progress is restored from the parts in the log.
+        """
         progress = self._known_progress(key)
         if progress is None:
             job_record = self._state.job_by_id[key[0]]
@@ -66,7 +75,7 @@
 
     def run_ended(self, key: ItemKey, number: int) -> None:
         """
-        Record that a run of an item ended; a complete text without a score is to be scored.
+        Record that a run of an item ended; an item with a complete text is marked as unscored.
 
         :param number: number of the assignment.
         """
@@ -81,7 +90,7 @@
 
     def remove_finished(self, job: str) -> None:
         """
-        Remove the items of a job that are listed, or all of them if the job has ended.
+        Remove the items of a job that have a listed result, or all its items if the job has ended.
 
         :param job: id of the job.
         """
@@ -107,7 +116,11 @@
             ]
 
     def awaiting_score(self) -> Iterable[ItemKey]:
-        """Yield the items whose text is complete and whose reward call is assigned to no runner."""
+        """
+        Yield the items whose text is complete and whose reward call is assigned to no runner.
+
+        Items that meanwhile have a listed result are skipped and removed from `unscored`.
+        """
         for key in sorted(self.unscored):
             job_record = self._state.job_by_id.get(key[0])
             if (
@@ -121,7 +134,7 @@
                 yield key
 
     def services(self) -> frozenset[str]:
-        """Return the names of the services that have items without a result."""
+        """Return the names of the services that have items without a listed result."""
         return frozenset(job_record.job.service for job_record in self._open_jobs())
 
     def _open_jobs(self) -> Iterator[JobRecord]:
@@ -133,6 +146,9 @@
         """
         Yield the items of a service that may start now, in the order in which they should start.
 
+        Items are skipped while they run, while their result is being committed, until the delay
+        after a failed run has passed, and while no engine may run their job.
+
         :param now: seconds since boot.
         """
         jobs = [job_record for job_record in self._open_jobs() if job_record.job.service == service]
@@ -166,7 +182,7 @@
         return ordered
 
     def item_of(self, run: Run) -> JobItem | None:
-        """Return the item of a run; None if the item is listed or its job has ended."""
+        """Return the item of a run; None if its result is listed or its job has ended."""
         job_record = self._state.job_by_id.get(run.job)
         return job_record.item_by_id.get(run.item) if job_record is not None else None
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/membership.py
@@ -1,4 +1,9 @@
-"""The service `job_membership`: bootstraps the jobs' log and replaces its failed replicas."""
+"""
+The service `job_membership`: bootstraps the jobs' log and replaces its failed replicas.
+
+A replica is a store's copy of the log. A member is a store whose replica votes on the log's
+entries.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +22,7 @@
     from ibisspring_core.messages.directory import Renew
     from ibisspring_core.settings.vm import VmSettings
 
-# Interval at which the leader compares the members of the log with the available stores.
+# Seconds between two comparisons, by the leader, of the log's members with the available stores.
 TICK_S = 0.3
 
 
@@ -26,7 +31,8 @@
     Manages which stores hold a replica of the jobs' log.
 
     Every store reports its disk to the directory. The stores that the directory selected bootstrap
-    the log. The leader replaces members that no longer answer it or that are being retired.
+    the log. The leader of the log replaces members that no longer answer it or that an operator
+    retires.
     """
 
     name = "job_membership"
@@ -38,15 +44,17 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> JobMembership:
         """
-        Build the service.
+        Build the service `job_membership` of a store.
 
-        :param settings: checked settings of a store.
-        :return: the service.
+        :param settings: the store's settings, already validated; `losses` determines the number of
+            members.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Subscribe to the directory view and start the ticks."""
+        """
+        Subscribe to the directory view, and start to compare members with stores periodically.
+        """
         self._consensus = kernel.find("consensus")
         self._jobs = kernel.find("jobs")
         self._view = kernel.find("directory_view")
@@ -55,7 +63,7 @@
         self._ticks = kernel.find("timer").subscribe("job_membership", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Stop the ticks."""
+        """Stop the periodic comparison of the log's members with the available stores."""
         self._ticks.cancel()
 
     def _describe(self, renew: Renew) -> Renew:
@@ -75,9 +83,9 @@
         """
         Bootstrap the log if the directory selected this store's disk as one of its first replicas.
 
-        The selection is replicated and names disk ids, so each selected store writes the same first
-        log entry. A store that has lost its disk since has a new disk id, is therefore not in the
-        selection, and bootstraps nothing.
+        The selection is replicated and contains disk ids, so each selected store writes the same
+        first log entry. A store that has lost its disk since the selection has a new disk id, which
+        the selection does not contain, and bootstraps nothing.
         """
         group = self._view.view.job_group
         if group is None or not self._consensus.core.is_empty:
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/paces.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/paces.py
@@ -1,7 +1,8 @@
 """
 The pace of each engine: how many seconds it takes per event of a stream.
 
-The paces are computed from the event counts that runners report for their running streams.
+The paces are computed from the numbers of events that runners report for their running streams. By
+them the dispatcher finds slow engines and moves their runs to others.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
     from ibisspring_core.messages.jobs import TakeWork
     from ibisspring_jobs.runs import Run
 
-# Seconds of streaming, summed over an engine's streams, that a runner's call must cover before it
-# counts as a measurement of the engine's pace.
+# Minimum seconds of streaming, summed over the streams of one engine that a runner's call reports,
+# for the call to count as a measurement of the engine's pace.
 MIN_MEASURED_S = 0.3
 
 
 class EnginePaces:
-    """Paces by engine id."""
+    """The current pace of each engine, by engine id, as a moving average of measurements."""
 
     def __init__(self) -> None:
         self._pace_by_engine: dict[str, Pace] = {}
@@ -42,7 +43,7 @@
 
     def measure(self, call: TakeWork, run_by_number: dict[int, Run], now: float) -> None:
         """
-        Update the paces from the event counts in a runner's call.
+        Update the paces of engines from the numbers of events in a runner's call.
 
         :param call: a runner's call for work, with the number of events of each of its streams.
         :param run_by_number: runs in progress; their `events` and `last_update_at` are updated.
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/peaks.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/peaks.py
@@ -1,4 +1,9 @@
-"""The recent peak number of open items of each service, by which the fleet is sized."""
+"""
+The recent peak of each service: the highest number of its open items in the last seconds.
+
+Open items have no listed result, and their job has not ended. By the peak the directory decides how
+many engines the service needs.
+"""
 
 from __future__ import annotations
 
@@ -7,16 +12,17 @@
 if TYPE_CHECKING:
     from ibisspring_jobs.state import JobsState
 
-# Seconds after which a peak is replaced by a lower current value. Longer than the pause between two
-# steps of a trainer, so that the fleet does not shrink and grow with each step.
+# Seconds after which the peak number of open items is replaced by a lower current number. They are
+# more than the time between two steps of a trainer, so that the fleet of engines does not shrink
+# and grow with each step.
 PEAK_RETENTION_S = 20.0
 
 
 class Peaks:
     """
-    Peaks by service.
+    The peak number of open items of each service.
 
-    :param peak_by_service: highest recent number of items that are not listed, by service name.
+    :param peak_by_service: highest recent number of open items, by service name.
     """
 
     def __init__(self) -> None:
@@ -25,7 +31,9 @@
 
     def update(self, state: JobsState, now: float) -> None:
         """
-        Update the peaks with the current number of open items.
+        Update the peaks with the current numbers of open items.
+
+        A higher number replaces the peak at once, a lower one after PEAK_RETENTION_S seconds.
 
         :param now: seconds since boot.
         """
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/progress.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/progress.py
@@ -1,4 +1,4 @@
-"""The progress of an item that has no result yet: the text of its runs and their failures."""
+"""The progress of an item that has no result yet: the text so far, and how many runs failed."""
 
 from __future__ import annotations
 
@@ -16,14 +16,16 @@
 @dataclass
 class ItemProgress:
     """
-    Progress of one item, in memory; a new leader restores it from the parts in the log.
+    Progress of one item, in the memory of the jobs' leader.
 
-    :param parts: event data of the text so far, one string per part that contains events.
+    A new leader restores the text from the parts that are in the log.
+
+    :param parts: data of the text's events so far, one string per part that contains events.
     :param events: number of events in `parts`.
     :param versions: weight versions that produced the text, in order.
     :param complete: the text has ended; at most the item's reward call is still to be made.
-    :param failures: runs that the endpoint reported as failed.
-    :param not_before_s: earliest time of the next run, in seconds since boot.
+    :param failures: number of runs that the engine reported as failed.
+    :param not_before_s: earliest start of the next run, in seconds since boot.
     """
 
     parts: list[str] = field(default_factory=list)
@@ -42,7 +44,11 @@
         return progress
 
     def add(self, produced: Outcome | TextPart) -> None:
-        """Append the text that a run produced."""
+        """
+        Append a run's text since its last report to the item's text.
+
+        :param produced: the text, as the runner reported it or as it is stored in the log.
+        """
         self.complete = self.complete or produced.whole
         if not produced.events:
             return
@@ -56,7 +62,8 @@
         """
         Whether a job accepts the weight versions that produced the text.
 
-        Runs at engines with different versions may have contributed to the same text.
+        Runs at engines with different versions may have contributed to the same text, which a job
+        with `single_version` does not accept.
         """
         if any(version < job.min_version for version in self.versions):
             return False
@@ -73,7 +80,7 @@
         """
         Return the result of an item whose text is complete.
 
-        :param score: answer of the reward call; empty if the item has none.
+        :param score: answer to the reward call; empty if the item has no reward call.
         """
         return ItemResult(item, COMPLETED, "\n".join(self.parts), tuple(self.versions), score)
 
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/role.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/role.py
@@ -1,4 +1,4 @@
-"""The services of a daemon in the store role."""
+"""The services of a daemon in the store role, which keeps a replica of the jobs' log."""
 
 from __future__ import annotations
 
@@ -23,10 +23,9 @@
 
 def build_services(settings: VmSettings) -> tuple[Service, ...]:
     """
-    Build the services of this role in the order in which they are started.
+    Build the services of a store from its settings, in the order in which they are started.
 
-    :param settings: checked settings of a store.
-    :return: the services.
+    :param settings: the store's settings, already validated.
     """
     replica = ReplicaConfig(
         daemon=settings.peer_address,
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/runners.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/runners.py
@@ -1,4 +1,4 @@
-"""The runners (daemons that run items) and the assignments of each of them."""
+"""The runners (entry daemons that send items to engines) and the assignments of each of them."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
 
     from ibisspring_core.messages.jobs import Assignment, TakeWork
 
-# Runners call for work at least every 0.5 s. After this many seconds without a call, the items of a
-# runner are assigned to others. If the runner is still alive, its items run twice; until the limit
-# is reached, a trainer waits for the items of a failed runner.
+# Seconds without a call for work after which a runner's items are assigned to others. Runners call
+# at least every 0.5 s. With a shorter limit, the items of a slow runner that is still alive would
+# run twice; with a longer one, a trainer would wait longer for the items of a failed runner.
 RUNNER_TIMEOUT_S = 1.5
-# A runner calls again as soon as its previous call is answered, so for this many seconds after an
-# answer it counts as available. If it were skipped in the milliseconds until its next call, the
-# runs of its engines would be assigned to a runner that has no connections to them.
+# Seconds for which a runner still counts as available after its call for work was answered, because
+# it calls again as soon as it has the answer. If the runner were skipped in the milliseconds until
+# its next call, the runs of its engines would be assigned to a runner without connections to them.
 NEXT_CALL_GRACE_S = 0.1
-# The runs of an engine are assigned to the same runner until the runner has at least this many runs
-# and at least this many times the mean of all runners. The loss of a runner then costs no more than
-# the last second of a few texts.
+# A runner is overloaded when its number of runs is at least OVERLOAD_MIN_RUNS and at least
+# OVERLOAD_FACTOR times the mean of all runners. Until then, the runs of an engine are assigned to
+# the same runner. The limit keeps the loss of one runner small: it costs no more than the last
+# second of a few texts.
 OVERLOAD_MIN_RUNS = 8
 OVERLOAD_FACTOR = 2
 
@@ -31,21 +32,21 @@
 @dataclass
 class Runner:
     """
-    A runner and what is to be sent to it.
-
-    :param address: peer address of the daemon.
-    :param incarnation: differs after each restart of the daemon.
-    :param received_at: when its last call was received, in seconds since boot.
-    :param sequence: sequence number of its last call.
-    :param sequence_by_number: its assignments by number, each with the sequence number of the call
-        whose answer contains the assignment.
+    A runner, its assignments, and what is to be sent to it with the answer to its call for work.
+
+    :param address: peer address of the runner's daemon.
+    :param incarnation: id of the daemon's start; differs after each restart.
+    :param received_at: when the runner's last call was received, in seconds since boot.
+    :param sequence: sequence number of the runner's last call.
+    :param sequence_by_number: by assignment number, the sequence number of the call whose answer
+        contains the assignment.
     :param outbox: assignments to be sent with the next answer.
     :param cancelled: numbers of the assignments to stop, to be sent with the next answer.
     :param moved: numbers of the assignments to stop and report, to be sent with the next answer.
     :param waiting: whether a call of the runner is open.
-    :param answered_at: when its last call was answered, in seconds since boot.
-    :param free_slots: number of further items that it accepts.
-    :param wake: set when there is something to answer an open call with.
+    :param answered_at: when the runner's last call was answered, in seconds since boot.
+    :param free_slots: number of further items that the runner accepts.
+    :param wake: set to answer an open call before its wait limit has passed.
     """
 
     address: str
@@ -66,7 +67,8 @@
         """
         Whether an assignment would reach the runner within milliseconds.
 
-        This holds while a call of it is open, and for NEXT_CALL_GRACE_S after its last answer.
+        A runner is available while a call of it is open, and for NEXT_CALL_GRACE_S seconds after
+        its last call was answered.
 
         :param now: seconds since boot.
         """
@@ -82,7 +84,7 @@
 
 class Runners:
     """
-    The runners that have called within RUNNER_TIMEOUT_S, by address.
+    The runners that have called for work within the last RUNNER_TIMEOUT_S seconds, by address.
 
     In all methods `now` is in seconds since boot.
     """
@@ -92,10 +94,10 @@
 
     def register_call(self, call: TakeWork, now: float) -> tuple[Runner, tuple[int, ...]]:
         """
-        Add or update a runner by its call for work.
+        Add a runner at its first call for work, or update it at a later one.
 
-        :return: the runner, and the numbers of the assignments that it does not run: the answer
-            with the assignment did not reach it, or it was restarted since.
+        :return: the runner, and the numbers of those of its assignments that it does not run: the
+            answer with the assignment did not reach the runner, or the runner was restarted since.
         """
         runner = self.runner_by_address.get(call.runner)
         lost: tuple[int, ...] = ()
@@ -115,7 +117,11 @@
         return runner, lost + missing
 
     def remove_timed_out(self, now: float) -> tuple[Runner, ...]:
-        """Remove and return the runners that have not called for RUNNER_TIMEOUT_S."""
+        """
+        Remove the runners without a call for work in the last RUNNER_TIMEOUT_S seconds.
+
+        :return: the removed runners, whose items are to be assigned again.
+        """
         timed_out = [
             candidate
             for candidate in self.runner_by_address.values()
@@ -133,12 +139,12 @@
         connected: Callable[[str], bool] = lambda _: False,
     ) -> Runner | None:
         """
-        Choose the runner for an item at an endpoint.
+        Choose the runner that sends an item to an endpoint.
 
         Runners with an idle connection to the endpoint are preferred, since any other would open a
         new one; then runners in the endpoint's data centre, since traffic between data centres is
-        charged; then runners that are not overloaded. The remaining order is a hash of endpoint and
-        runner, so that the runs of an endpoint go to the same runner.
+        charged; then runners that are not overloaded. Among equal runners a hash of endpoint and
+        runner decides, so that the runs of an endpoint go to the same runner.
 
         :param data_centre: data centre of the endpoint.
         :param connected: whether a runner, given by its address, has an idle connection to the
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/runs.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/runs.py
@@ -8,17 +8,17 @@
 @dataclass
 class Run:
     """
-    An assignment that has not ended.
+    An assignment of an item that has not ended.
 
     :param number: number of the assignment, unique within an epoch.
-    :param runner: address of the runner that executes it.
+    :param runner: address of the runner that executes the assignment.
     :param tokens: memory that the item takes at the endpoint, in tokens.
-    :param started_at: when it was assigned, in seconds since boot.
-    :param resume_after: events of the item's text that earlier runs produced.
-    :param last_update_at: when its runner last reported its number of events, in seconds since
-        boot; 0.0 before the first report.
-    :param events: events that it had produced at that time.
-    :param moved: its runner was asked to stop it, so that its item continues at another endpoint.
+    :param started_at: when the item was assigned, in seconds since boot.
+    :param resume_after: number of events of the item's text that earlier runs produced.
+    :param last_update_at: when the runner last reported the run's number of events, in seconds
+        since boot; 0.0 before the first report.
+    :param events: number of events that this run had produced at `last_update_at`.
+    :param moved: the runner is to stop the run, so that its item continues at another endpoint.
     :param scoring: the item's text is complete and only its reward call is in progress, which uses
         no capacity of the endpoint.
     """
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
@@ -1,8 +1,8 @@
 """
 The service `jobs`, which runs on every store.
 
-On the leader of the jobs' log it accepts and ends jobs, returns their results, and assigns their
-items to runners. On the other stores it only answers `ReadListed`.
+On the leader of the jobs' log the service accepts and ends jobs, returns their results, and assigns
+their items to runners. On the other stores it only answers `ReadListed`.
 """
 
 from __future__ import annotations
@@ -53,12 +53,13 @@
     from ibisspring_core.settings.vm import VmSettings
     from ibisspring_jobs.state import JobRecord
 
-# Interval at which the leader checks time limits, assigns waiting items and moves slow runs.
+# Seconds between two checks by the jobs' leader. In each, it abandons items past their job's time
+# limit, assigns waiting items, and moves runs away from slow engines.
 TICK_S = 0.1
 
 
 class Jobs:
-    """Answers the messages of entries and runners about jobs."""
+    """Answers messages about jobs: from entries for their callers, and from runners."""
 
     name = "jobs"
 
@@ -71,15 +72,18 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> Jobs:
         """
-        Build the service.
+        Build the service `jobs` of a store.
 
-        :param settings: checked settings of a store.
-        :return: the service.
+        :param settings: the store's settings, already validated.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Register the message handlers, subscribe to changes and start the ticks."""
+        """
+        Register the message handlers, and assign items after each change of a job or endpoint.
+
+        The checks every TICK_S seconds are started as well.
+        """
         self._consensus = kernel.find("consensus")
         self._state = kernel.find("jobs_state")
         self._view = kernel.find("directory_view")
@@ -101,7 +105,7 @@
         self._ticks = kernel.find("timer").subscribe("jobs", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Stop the ticks."""
+        """Stop the checks of time limits and slow runs that take place every TICK_S seconds."""
         self._ticks.cancel()
 
     def has_leader_lease(self) -> bool:
@@ -113,7 +117,11 @@
         return self._consensus.is_leader and self._consensus.lease_left_s() > 0
 
     def peak_demand(self) -> tuple[tuple[str, int], ...]:
-        """Return pairs of a service's name and its recent peak number of open items."""
+        """
+        Return pairs of a service's name and the recent maximum number of its open items.
+
+        An item is open if it has no listed result and its job has not ended.
+        """
         return tuple(sorted(self._peaks.peak_by_service.items()))
 
     def oldest_allowed_versions(self) -> tuple[tuple[str, int], ...]:
@@ -134,7 +142,11 @@
         return answer
 
     def dispatcher(self) -> Dispatcher:
-        """Return the dispatcher of the current term; a new term starts with a new dispatcher."""
+        """
+        Return the dispatcher of the current consensus term; create it at the first call in a term.
+
+        The number of the term is the dispatcher's epoch.
+        """
         term = self._consensus.term
         if self._dispatcher is None or self._dispatcher.epoch != term:
             view = self._view
@@ -211,7 +223,7 @@
         Find the job that a message names.
 
         Before a job is reported as unknown, a majority of the stores must confirm that this store
-        leads, because a former leader may lack jobs that were accepted since.
+        is still the leader, because a former leader may lack jobs that its successor accepted.
 
         :return: the job; UnknownJob if it does not exist or belongs to another client account;
             NotLeader if the confirmation failed.
@@ -228,11 +240,11 @@
 
     async def read_results(self, message: ReadResults) -> Any:
         """
-        Return the results from a position on, as far as `max_bytes` allows.
+        Return a job's results from a position on, as far as `max_bytes` allows.
 
-        If there are none yet, wait up to `hold_s` seconds for the first. If the results exceed
-        `inline_bytes`, return only the range of their positions; any store can then be asked for
-        the results.
+        If no result has this position yet, wait up to `hold_s` seconds for one. If the results
+        exceed `inline_bytes`, return only the range of their positions; any store can then be asked
+        for the results with `ReadListed`.
         """
         job_record = await self._find_job(message)
         if isinstance(job_record, (NotLeader, UnknownJob)):
@@ -258,9 +270,10 @@
 
     async def read_listed(self, message: ReadListed) -> ResultsRead:
         """
-        Return the results in a range of positions that the leader has named.
+        Return the results in a range of positions that the leader sent to the caller.
 
-        This store need not be the leader. Results that it has not applied yet are missing.
+        This store need not be the leader. Results that it has not yet applied from the log are
+        missing from the answer.
         """
         job_record = self._state.job_by_id.get(message.job)
         if job_record is None or job_record.job.client_account != message.client_account:
@@ -270,7 +283,7 @@
         )
 
     async def read_body(self, message: ReadBody) -> Any:
-        """Return the request body of an item that is not listed yet; None for any other item."""
+        """Return the request body of an item without a listed result; None for any other item."""
         job_record = await self._find_job(message)
         if isinstance(job_record, (NotLeader, UnknownJob)):
             return job_record
@@ -278,7 +291,11 @@
         return BodyRead(item.body if item is not None else None)
 
     async def end_job(self, message: EndJob) -> Any:
-        """End a job and answer once this is committed; its runs are cancelled before the answer."""
+        """
+        End a job, and answer once its end is committed.
+
+        The job's runs are cancelled before the answer.
+        """
         job_record = await self._find_job(message)
         if isinstance(job_record, (NotLeader, UnknownJob)):
             return job_record
@@ -293,12 +310,12 @@
         """
         Answer a runner's call with new assignments and with the numbers of runs to stop.
 
-        If there are none, wait for up to `hold_s` seconds.
+        If there are neither assignments nor runs to stop, wait up to `hold_s` seconds for some.
         """
         dispatcher = self.dispatcher()
         if call.epoch != dispatcher.epoch:
-            # The runner's runs belong to an earlier epoch. The answer contains the current epoch,
-            # at which the runner stops these runs and calls again.
+            # The runner's runs belong to an earlier epoch. The answer contains the current epoch;
+            # when the runner receives it, the runner stops these runs and calls again.
             dispatcher.take(replace(call, running=(), free=0), boot_now())
             return Work(dispatcher.epoch)
         runner = dispatcher.take(call, boot_now())
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/state.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/state.py
@@ -1,8 +1,12 @@
 """
 The replicated state of the jobs.
 
-Each store applies the same committed commands in the same order, so applying a command must depend
-on nothing else, in particular on no clock.
+Each store applies the same committed commands in the same order. To reach the same state on all
+stores, applying a command must depend on nothing else, in particular on no clock.
+
+An item is listed when its result has a position in its job's list of results. A carried group of a
+job is one that an earlier job contained as well, because an earlier step of the trainer left the
+group incomplete.
 """
 
 from __future__ import annotations
@@ -30,16 +34,16 @@
 @dataclass(frozen=True)
 class StoredJob:
     """
-    A job in a snapshot.
+    A job as it is encoded in a snapshot.
 
-    :param job: the job as submitted, but only with the items that are not listed.
-    :param total: number of items that it was submitted with.
+    :param job: the job as submitted, but only with the items that have no listed result.
+    :param total: number of items that the job was submitted with.
     :param results: the listed results, in the order of their positions.
-    :param ended: none of its items may run any more.
-    :param groups: all groups of the items that it was submitted with.
-    :param carried: the groups that an earlier job of the same account and model had as well; the
-        trainer waits for these.
-    :param texts: parts of the texts of items that are not listed; the parts of an item are in
+    :param ended: none of the job's items may run any more.
+    :param groups: all groups of the items that the job was submitted with.
+    :param carried: those of the job's groups that an earlier job of the same account and model had
+        as well; the trainer waits for these groups.
+    :param texts: parts of the texts of items without a listed result; the parts of an item are in
         order.
     """
 
@@ -54,17 +58,17 @@
 
 class JobRecord:
     """
-    A job in memory.
+    A job in the memory of a store.
 
     :param job: the job as submitted, but without its items.
-    :param total: number of items that it was submitted with.
-    :param item_by_id: the items that are not listed yet.
+    :param total: number of items that the job was submitted with.
+    :param item_by_id: the items that have no listed result yet.
     :param results: the listed results; the index of a result is its position.
-    :param ended: none of its items may run any more.
-    :param groups: all groups of the items that it was submitted with.
-    :param carried: the groups that an earlier job of the same account and model had as well; their
-        items start before those of the job's other groups.
-    :param parts_by_item: parts of the texts of items that are not listed, by item id.
+    :param ended: none of the job's items may run any more.
+    :param groups: all groups of the items that the job was submitted with.
+    :param carried: those of the job's groups that an earlier job of the same account and model had
+        as well; the items of these groups start before the job's other items.
+    :param parts_by_item: by item id, the parts of the texts of items without a listed result.
     """
 
     def __init__(self, stored: StoredJob) -> None:
@@ -83,8 +87,8 @@
         """
         Append a part to the text of its item.
 
-        A part from the first event on replaces the text. A part that does not continue the stored
-        text is ignored: it was sent twice, or parts before it are missing.
+        A part that begins with the first event replaces the stored text. A part that does not
+        continue the stored text is ignored: it was sent twice, or parts before it are missing.
         """
         parts = self.parts_by_item.setdefault(part.item, [])
         if part.after == 0:
@@ -94,7 +98,7 @@
         parts.append(part)
 
     def complete_text(self, item: str) -> str | None:
-        """Return the text of an item if all its parts are stored; None otherwise."""
+        """Return the text of an item if the text has ended and all its parts are stored."""
         parts = self.parts_by_item.get(item)
         if not parts or not parts[-1].whole:
             return None
@@ -113,7 +117,8 @@
     """
     The service `jobs_state`: all jobs by id.
 
-    Only the consensus service changes it, by applying committed commands; other services read it.
+    Only the consensus service changes this state, by applying committed commands; other services
+    read it.
     """
 
     name = "jobs_state"
@@ -140,8 +145,8 @@
         """
         Register a callback for changes.
 
-        :param callback: called with the id of a job when it is accepted, ended or removed and when
-            results are listed; called with an empty string after a restore.
+        :param callback: called with the id of a job when the job is accepted, ended or removed and
+            when results of it are listed; called with an empty string after a restore.
         """
         self._subscribers.append(callback)
 
@@ -158,11 +163,15 @@
         return b""
 
     def snapshot(self) -> bytes:
-        """Encode the complete state."""
+        """Encode all jobs, with their results and partial texts, for `restore`."""
         return encode(tuple(job.to_stored() for job in self.job_by_id.values()))
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """
+        Replace all jobs by those of a snapshot.
+
+        :param data: a snapshot, as `snapshot` returned it on any store.
+        """
         jobs = decode(data, tuple[StoredJob, ...])
         self.job_by_id = {stored.job.job: JobRecord(stored) for stored in jobs}
         self._notify("")
@@ -200,8 +209,8 @@
         if job_record is None:
             return
         for result in command.results:
-            # An item may have run twice. Only its first result is listed: a caller may have read
-            # that position already.
+            # An item may have run twice and have two results. Only the first is listed, because a
+            # caller may already have read it at its position.
             if job_record.item_by_id.pop(result.item, None) is not None:
                 job_record.results.append(result)
                 job_record.parts_by_item.pop(result.item, None)
@@ -214,7 +223,7 @@
         results = []
         for result in command.results:
             text = job_record.complete_text(result.item)
-            # If the item was listed meanwhile, its parts have been removed.
+            # If another result of the item was listed meanwhile, its parts have been removed.
             if text is not None:
                 results.append(replace(result, output=text))
         self._record_results(RecordResults(command.job, tuple(results)))
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/status.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/status.py
@@ -1,4 +1,4 @@
-"""The service `jobs_status`: reports jobs and runners to operators."""
+"""The service `jobs_status`: reports jobs and runners to the tool of operators."""
 
 from __future__ import annotations
 
@@ -24,15 +24,14 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> StatusService:
         """
-        Build the service.
+        Build the service `jobs_status` of a store.
 
-        :param settings: checked settings of a store.
-        :return: the service.
+        :param settings: the store's settings, already validated.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Register the message handler."""
+        """Register the handler of `ReadJobsStatus`, and look up the services that it reads."""
         self._jobs = kernel.find("jobs")
         self._state = kernel.find("jobs_state")
         self._view = kernel.find("directory_view")
@@ -43,7 +42,12 @@
         """No-op: there is no task or connection to close."""
 
     async def read(self, message: ReadJobsStatus) -> Any:
-        """Return the state of all jobs and runners; NotLeader if this store is not the leader."""
+        """
+        Return the state of all jobs and runners.
+
+        :return: the status, with the youngest job first; NotLeader if this store is not the leader
+            of the jobs' log.
+        """
         if not self._jobs.has_leader_lease():
             return NotLeader(self._consensus.leader_hint)
         dispatcher = self._jobs.dispatcher()
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/surroundings.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/surroundings.py
@@ -1,4 +1,4 @@
-"""The callbacks through which the dispatcher reads the state of its daemon."""
+"""Callbacks for the dispatcher: endpoints, service properties and the clock of its daemon."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 @dataclass(frozen=True)
 class Surroundings:
     """
-    Callbacks through which the dispatcher reads the state of its daemon.
+    Callbacks through which the dispatcher reads the directory view of its daemon.
 
     :param serving: returns the endpoints of a service that accept new requests.
-    :param terms: returns the terms of a service; None if the service is unknown.
+    :param terms: returns the slots and the memory that a service's engines have; None if the
+        service is unknown.
     :param is_loading: whether an endpoint (its id is the first argument) is loading weights of a
-        model (the second argument) and starts no requests for that model meanwhile.
+        model (the second argument). Meanwhile it starts no requests for that model.
     :param wall_s: returns the wall-clock time that most daemons agree on, in seconds since 1970.
     """
 
--- a/tests/unit/jobs/test_dispatcher.py
+++ b/tests/unit/jobs/test_dispatcher.py
@@ -30,9 +30,9 @@
 
 class DispatcherHarness:
     """
-    A dispatcher with a replicated state that applies each command at once.
+    A dispatcher with a replicated state that applies each command as soon as it is proposed.
 
-    Tests make the runners' calls themselves and pass the time as a number of seconds.
+    Tests make the runners' calls for work themselves, and pass the current time in seconds.
     """
 
     def __init__(self, *engines: EndpointRecord, **job_changes) -> None:
@@ -57,7 +57,12 @@
         self.state.apply(1, COMMANDS.encode(command))
 
     def poll(self, running=(), now: float = 0.0, runner: str = "e1", events=()):
-        """Make a runner's call for work, and return the assignments in its answer."""
+        """
+        Make a runner's call for work, and return the assignments in its answer.
+
+        :param running: numbers of the assignments that the runner reports as running.
+        :param events: number of events of each of these, in the same order.
+        """
         self.sequence += 1
         call = TakeWork(runner, "derby", "x", 7, self.sequence, tuple(running), 10, 0.4, events)
         calling_runner = self.dispatcher.take(call, now)
@@ -69,7 +74,11 @@
         return assignments
 
     def end_run(self, number: int, kind: str, now: float = 0.0, **fields):
-        """Report the outcome of a run, list the item's result if there is one, and return it."""
+        """
+        Report the outcome of a run, and list the item's result if the outcome leads to one.
+
+        :return: the result; None if the item is to run again.
+        """
         job_and_result = self.dispatcher.report(Outcome(number, kind, **fields), now)
         if job_and_result is not None:
             self.apply(RecordResults(job_and_result[0], (job_and_result[1],)))
@@ -79,8 +88,8 @@
         """
         Report text of a run in progress, and commit it if the dispatcher accepts it.
 
-        :param after: events of this run that were reported before.
-        :return: whether the dispatcher accepted it.
+        :param after: number of events of this run that were reported before.
+        :return: whether the dispatcher accepted the text.
         """
         events = output.count("\n") + 1
         job_and_part = self.dispatcher.accept_part(
@@ -91,7 +100,7 @@
         return job_and_part is not None
 
     def change_leader(self) -> None:
-        """Replace the dispatcher by that of a new leader, which has only the replicated state."""
+        """Replace the dispatcher by that of a new leader, which knows only the replicated state."""
         context = self.dispatcher._context
         self.dispatcher = Dispatcher(self.state, context, epoch=8)
         self.sequence = 0
@@ -108,8 +117,8 @@
 
 
 def test_call_examines_no_item_while_all_slots_are_taken(monkeypatch) -> None:
-    # Hundreds of entries call twice a second each. A scan of all open items in each call would take
-    # more processor time than the jobs' leader has.
+    # Hundreds of entries call for work, each of them twice a second. A scan of all open items in
+    # each call would take more processor time than the jobs' leader has.
     items = tuple(JobItem(f"i{n}", "/score", (), b"", 900, f"g{n // 8}") for n in range(400))
     harness = DispatcherHarness(ENGINE, items=items)
     assert len(harness.poll()) == 2
@@ -131,8 +140,8 @@
 
 
 def test_an_item_is_assigned_again_after_the_answer_with_it_was_lost(harness) -> None:
-    # The answer with an assignment does not reach the runner. If the dispatcher went on to count
-    # the item as running, no engine would run it and the trainer would wait until its step times
+    # The answer with an assignment does not reach the runner. If the dispatcher continued to count
+    # the item as running, no engine would run it, and the trainer would wait until its step times
     # out.
     first = harness.poll()
 
@@ -144,8 +153,8 @@
 
 
 def test_the_items_of_an_unresponsive_runner_are_assigned_to_another(harness) -> None:
-    # An entry process is frozen while it runs items. Without a reassignment the trainer would wait
-    # until the entry continues.
+    # An entry process is frozen while it runs items. Without a reassignment of these items, the
+    # trainer would wait until the entry process continues.
     first = harness.poll(now=0.0)
     harness.dispatcher.sweep(1.0)
     assert harness.poll(now=1.0, runner="e2") == ()
@@ -159,8 +168,8 @@
 
 
 def test_a_broken_run_resumes_after_its_last_complete_event(harness) -> None:
-    # An engine fails after seven seconds of a long text. If the text were generated again from its
-    # start, it would be complete too late for the trainer's step.
+    # An engine fails after it has generated a long text for seven seconds. If another engine
+    # generated the text again from its start, it would be complete too late for the trainer's step.
     number = harness.poll()[0].number
     broken = {"output": "a\nb", "events": 2, "versions": (4,)}
     assert harness.end_run(number, "broken", **broken) is None
@@ -193,7 +202,8 @@
 
 
 def test_a_text_of_an_older_version_than_allowed_is_not_listed() -> None:
-    # A text of an older weight version than the trainer allows must not enter its training.
+    # An engine generated a text with an older weight version than the job allows. If the text were
+    # listed, the trainer would train its model on it.
     harness = DispatcherHarness(ENGINE, min_version=4)
     number = harness.poll()[0].number
 
@@ -210,8 +220,9 @@
 
 
 def test_loading_engine_gets_no_items_of_that_model(harness) -> None:
-    # An engine that loads weights rejects all new requests for the model. Items that were assigned
-    # to it would be rejected and assigned again hundreds of times for each new version.
+    # An engine that loads weights of a model rejects all new requests for this model. If items were
+    # assigned to the engine meanwhile, they would be rejected and assigned again hundreds of times
+    # for each new weight version.
     harness.loading.add(("engine-1", "m"))
     assert harness.poll() == ()
 
@@ -255,8 +266,9 @@
 
 
 def test_the_runs_of_an_ended_job_are_stopped(harness) -> None:
-    # A trainer has enough results and ends its step. If the remaining runs were not cancelled, the
-    # engines would spend seconds on unused texts, and the next step would wait for free slots.
+    # A trainer has enough results and ends its job. If the job's remaining runs were not cancelled,
+    # the engines would spend seconds on unused texts, and the trainer's next step would wait for
+    # free slots.
     harness.poll()
     harness.apply(CloseJob("j"))
 
@@ -266,8 +278,8 @@
 
 
 def test_run_moves_off_a_slow_engine_and_resumes_after_its_last_event() -> None:
-    # One of three engines becomes slow in the middle of a text. Without a move the trainer's step
-    # waits for this text although the other engines have free slots.
+    # One of three engines becomes slow while it generates a text. Without a move of the run, the
+    # trainer's step would wait for this text although the other two engines have free slots.
     engines = [dataclasses.replace(ENGINE, endpoint=f"engine-{n}") for n in (1, 2, 3)]
     items_without_shared_groups = tuple(
         dataclasses.replace(item, group=item.item) for item in job_of().items
@@ -296,9 +308,9 @@
 
 def test_a_new_leader_resumes_texts_after_their_stored_parts(harness) -> None:
     """
-    All machines lose power in the middle of a step, when its texts are partly generated.
+    All VMs lose power when the texts of a trainer's step are partly generated.
 
-    If each text were generated again from its start, the step would end late and the trainer would
+    If each text were generated again from its start, the step would end late, and the trainer would
     submit one step less.
     """
     first, second = harness.poll()
--- a/tests/unit/jobs/test_peaks.py
+++ b/tests/unit/jobs/test_peaks.py
@@ -8,8 +8,8 @@
 
 
 def test_peak_is_kept_between_steps_and_expires_later() -> None:
-    # No items run between two steps of a trainer. If the fleet followed the current number, it
-    # would be stopped and booted again every four seconds.
+    # No items are open between two steps of a trainer. If the number of engines followed the
+    # current number of items, engines would be stopped and booted again every four seconds.
     state = JobsState()
     peaks = Peaks()
     state.apply(1, COMMANDS.encode(AcceptJob(job_of("a", 5))))
--- a/tests/unit/jobs/test_reward_calls.py
+++ b/tests/unit/jobs/test_reward_calls.py
@@ -1,3 +1,5 @@
+"""Items whose complete text is scored by a second request: the reward call."""
+
 from __future__ import annotations
 
 import dataclasses
@@ -21,7 +23,7 @@
 
 
 class ScoredHarness(DispatcherHarness):
-    """A dispatcher with a job whose items have reward calls."""
+    """A dispatcher with a job whose items have reward calls, and the engine ENGINE."""
 
     def __init__(self, items: int = 1) -> None:
         super().__init__(ENGINE, items=items_with_reward_calls(items))
@@ -30,8 +32,8 @@
         """
         Report the end of a text, as a runner does before it makes the reward call.
 
-        :param after: events of this run that were reported before.
-        :param output: the remaining events; empty if all of them were reported before.
+        :param after: number of events of this run that were reported before.
+        :param output: data of the remaining events; empty if all events were reported before.
         """
         events = output.count("\n") + 1 if output else 0
         versions = (4,) if events else ()
@@ -58,8 +60,8 @@
 
 
 def test_a_complete_text_is_not_listed_without_its_score(harness) -> None:
-    # A runner of the previous software version does not know reward calls and reports the text as
-    # done. If this were listed, a trainer would read a result without a score.
+    # A runner of the previous software version makes no reward calls and reports the text as done.
+    # If this outcome were listed, a trainer would read a result without a score.
     number = harness.poll()[0].number
 
     assert harness.end_run(number, "done", output="a\nb", events=2, versions=(4,)) is None
@@ -70,9 +72,9 @@
 
 @pytest.mark.parametrize("loss", ["runner", "lost answer", "broken"])
 def test_a_complete_text_resumes_with_its_reward_call_only(harness, loss) -> None:
-    # The runner fails or stops, or the answer to its call is lost, while the reward call of a
-    # complete text is in progress. If the text were generated again, this would use an engine's
-    # time a second time and the result would be too late.
+    # The runner fails or stops, or the answer to its call for work is lost, while the reward call
+    # of a complete text is in progress. If the text were generated again, this would take an
+    # engine's time a second time, and the result would be too late.
     number = harness.poll(now=0.0)[0].number
     harness.report_complete_text(number)
     if loss == "runner":
@@ -91,7 +93,8 @@
 
 def test_a_complete_text_is_kept_across_a_change_of_the_jobs_leader(harness) -> None:
     # All stores lose power after the text is complete and before it is scored. The log contains the
-    # complete text, so only the reward call is repeated.
+    # complete text. If the new leader did not use it, an engine would generate the text again
+    # instead of only repeating the reward call.
     harness.report_complete_text(harness.poll()[0].number)
     restored = JobsState()
     restored.restore(harness.state.snapshot())
@@ -106,8 +109,8 @@
 
 
 def test_text_is_complete_after_an_end_report_without_new_events(harness) -> None:
-    # The last event was already reported in a part; the last report contains only the end of the
-    # stream.
+    # A part that was reported earlier already contains the last event. The last report contains no
+    # event, only the fact that the stream has ended.
     number = harness.poll()[0].number
     harness.report_part(number, 0, "a\nb")
     harness.report_complete_text(number, after=2, output="")
@@ -119,8 +122,8 @@
 
 def test_text_of_a_broken_run_is_kept_in_the_log(harness) -> None:
     # The stream of one engine breaks, another engine continues the text, and then the jobs' leader
-    # fails. If the first part were only in the old leader's memory, the log would have a gap there
-    # and all parts after it would be generated again.
+    # fails. If the first engine's text were only in the old leader's memory, the log would have a
+    # gap there, and the text would be generated again from the gap on.
     number = harness.poll()[0].number
     broken = Outcome(number, "broken", "a", 1, (4,))
     job_and_part = harness.dispatcher.accept_part(broken)
@@ -136,8 +139,8 @@
 
 
 def test_reward_call_uses_no_slot_of_the_engine(harness) -> None:
-    # Many texts of a step end at the same time and wait for their scores. The engines must start
-    # the next items meanwhile.
+    # Many texts of a trainer's step end at the same time and wait for their scores. If they kept
+    # their slots meanwhile, the engines would not start the next items.
     harness = ScoredHarness(items=3)
     first = harness.poll()
     assert len(first) == 2
@@ -149,8 +152,8 @@
 
 
 def test_run_in_its_reward_call_is_not_measured_and_not_moved(harness) -> None:
-    # A run produces no events during its reward call. If it counted as a stream, its engine would
-    # seem slow and the run would be moved.
+    # A run produces no events during its reward call. If the run were counted as a stream of the
+    # engine, the engine would seem slow, and the run would be moved to another engine.
     number = harness.poll()[0].number
     harness.poll(running=(number,), now=0.5, events=(2,))
     harness.report_complete_text(number)
--- a/tests/unit/jobs/test_runners.py
+++ b/tests/unit/jobs/test_runners.py
@@ -1,4 +1,8 @@
-"""Choice of the runner for an item, with the runs of a trainer's step on five engines."""
+"""
+The choice of the runner that sends an item to an engine.
+
+The load is that of a trainer's step, whose items use all slots of five engines.
+"""
 
 from __future__ import annotations
 
@@ -23,9 +27,9 @@
 
 def place_runs(runners: Runners, steps: int) -> set[tuple[str, str, int]]:
     """
-    Run steps that use all slots of all engines.
+    Choose the runners for several trainer steps, each of which uses all slots of all engines.
 
-    :return: the connections that this opened, as runner address, endpoint and slot.
+    :return: the connections that the runs opened, each as runner address, endpoint and slot.
     """
     opened: set[tuple[str, str, int]] = set()
     for _ in range(steps):
@@ -38,15 +42,16 @@
                 opened.add((runner.address, endpoint, slot))
         for number, (runner, _) in enumerate(placed):
             del runner.sequence_by_number[number]
-        # Between two steps a runner becomes unavailable because of other work, or available again.
+        # Between two steps, one runner becomes unavailable because of other work of its daemon, or
+        # becomes available again.
         toggled = next(iter(runners.runner_by_address.values()))
         toggled.waiting = not toggled.waiting
     return opened
 
 
 def test_runs_of_an_engine_reuse_the_connections_of_one_runner() -> None:
-    # There are nine entries in three data centres. If each of them opened its own connections to
-    # each engine in its data centre, there would be three times as many connections.
+    # There are nine entries in three data centres. If each entry opened its own connections to each
+    # engine in its data centre, there would be three times as many connections.
     opened = place_runs(runners_of(9), steps=10)
 
     assert len(opened) <= 1.5 * len(ENGINES) * SLOTS
@@ -82,8 +87,9 @@
 
 
 def test_runner_between_two_calls_keeps_the_runs_of_its_engines() -> None:
-    # A runner's call was answered 10 ms ago and its next call is on its way. If the runner were
-    # skipped now, its engine's next run would go to a runner that opens a new connection for it.
+    # A runner's call for work was answered 10 ms ago, and its next call is in transit. If the
+    # runner were skipped now, the next run of its engine would be assigned to another runner, which
+    # would open a new connection for it.
     runners = runners_of(3)
     first = runners.choose("engine-0", "derby", 0.0, lambda address: address == "e1")
     assert first.address == "e1"
@@ -95,8 +101,9 @@
 
 
 def test_assignment_between_two_calls_does_not_count_as_lost() -> None:
-    # The assignment is sent with the answer to the runner's next call, so this call cannot report
-    # it as running.
+    # No call of the runner is open, so an assignment is sent with the answer to its next call. This
+    # call cannot yet report the assignment as running. If the assignment counted as lost because of
+    # that, its item would be assigned a second time.
     runners = runners_of(1)
     runner = runners.choose("engine-0", "derby", 0.0)
     runner.waiting = False
--- a/tests/unit/jobs/test_service.py
+++ b/tests/unit/jobs/test_service.py
@@ -1,4 +1,4 @@
-"""The service `jobs` on a leader, with a log that applies each command at once."""
+"""The service `jobs` on the leader, with a log that applies each command as soon as proposed."""
 
 from __future__ import annotations
 
@@ -89,8 +89,9 @@
 
 
 async def test_text_with_parts_is_written_to_the_log_once(jobs) -> None:
-    # The replicas are in different data centres. A result with the complete text after its parts
-    # were committed would send every text that takes more than one second to them twice.
+    # The replicas of the jobs' log are in different data centres. If the result contained the
+    # complete text after its parts were committed, every text that takes more than one second would
+    # be sent to the replicas twice.
     jobs, log = jobs
     number = await _take_one_item(jobs)
     first, last = "first" * 100, "last" * 100
--- a/tests/unit/jobs/test_state.py
+++ b/tests/unit/jobs/test_state.py
@@ -41,9 +41,9 @@
 
 
 def test_a_job_submitted_twice_is_stored_once() -> None:
-    # The answer to a submission is lost and the trainer submits its job again through another
-    # entry. If the job were added twice, its items would run twice and have results at two
-    # positions.
+    # The answer to a submission is lost, and the trainer submits its job again through another
+    # entry. If the job were added twice, each item would run twice and have results at two
+    # positions of the list.
     state = state_after(
         AcceptJob(job_of()), RecordResults("j", (result("i0"),)), AcceptJob(job_of())
     )
@@ -55,8 +55,9 @@
 
 
 def test_the_result_at_a_position_never_changes() -> None:
-    # An item was completed on two engines. If the second text replaced the first at its position,
-    # the model would be trained on a text other than the one that was read.
+    # Two engines completed the same item with different texts. If the second text replaced the
+    # first at its position, a model could be trained on a text other than the one that its trainer
+    # read before.
     state = state_after(
         AcceptJob(job_of()),
         RecordResults("j", (result("i1", "first"),)),
@@ -99,8 +100,9 @@
 
 
 def test_groups_of_an_earlier_job_are_marked_as_carried() -> None:
-    # The trainer waits for the groups that its last step left unfinished, no matter which other
-    # groups are complete. If these groups started last, they would delay the step.
+    # A trainer's last step left some groups incomplete, and its next job contains them again. The
+    # trainer waits for these carried groups, no matter which other groups are complete. If their
+    # items started last, they would delay the step.
     second = dataclasses.replace(
         job_of("b"), items=tuple(JobItem(f"x{n}", "/", (), b"", 900, f"g{n}") for n in range(2))
     )
@@ -125,8 +127,8 @@
 
 
 def test_part_is_stored_only_if_it_continues_the_stored_text() -> None:
-    # A runner sends a report again if the answer to it was lost. If a part were stored twice, the
-    # text would contain its events twice.
+    # A runner sends a report again if the answer to the report was lost. If the part in this report
+    # were stored twice, the text would contain the part's events twice.
     state = state_after(
         AcceptJob(job_of()),
         KeepTexts("j", (part("i0", 0, "a"), part("i0", 1, "b\nc", 2))),
@@ -175,8 +177,8 @@
 
 
 def test_result_without_output_gets_the_stored_text() -> None:
-    # Without this, a text of one kilobyte is sent to the other stores twice: as its parts and in
-    # its result.
+    # If a result always contained its output, a text of one kilobyte would be sent to the other
+    # stores twice: as its parts and in its result.
     last_part = TextPart("i0", 2, "c", 1, (5,), whole=True)
     result_without_output = ItemResult("i0", COMPLETED, "", (4, 5), "stamp")
     state = state_after(
@@ -192,7 +194,8 @@
 
 
 def test_result_without_output_is_not_listed_if_the_text_is_incomplete() -> None:
-    # If the result were listed although its text is incomplete, it would be read as an empty text.
+    # If the result were listed although not all parts of its text are stored, a caller would read
+    # an empty text.
     result_without_output = ItemResult("i0", COMPLETED, "", (4,))
     state = state_after(
         AcceptJob(job_of()),
--- a/tests/unit/jobs/test_texts_random.py
+++ b/tests/unit/jobs/test_texts_random.py
@@ -1,7 +1,7 @@
 """
-Random sequences of runs, parts, lost reports and leader changes.
+Texts of items after random sequences of runs, parts, lost reports and changes of the leader.
 
-Every text must contain all events, each once and in order.
+Whatever the sequence, the result's text must contain all events, each once and in order.
 """
 
 from __future__ import annotations
@@ -30,7 +30,11 @@
 
 
 def steps_of(*actions: str):
-    """Return a strategy for lists of up to 60 pairs of an action and a number of events."""
+    """
+    Return a strategy for lists of up to 60 pairs of an action and a number of events.
+
+    Only the action `produce` uses the number.
+    """
     count = st.integers(min_value=1, max_value=5)
     return st.lists(st.tuples(st.sampled_from(actions), count), max_size=60)
 
@@ -41,11 +45,11 @@
 
 class _Run:
     """
-    The state that an entry has of one of its runs.
+    The state that a runner (an entry) has of one of its runs.
 
-    :param resume_after: events of the text that earlier runs produced.
-    :param produced: events that this run produced.
-    :param reported: the number of these that were reported.
+    :param resume_after: number of events of the text that earlier runs produced.
+    :param produced: number of events that this run has produced.
+    :param reported: number of the produced events that the entry has reported.
     """
 
     def __init__(self, number: int, resume_after: int) -> None:
@@ -68,7 +72,7 @@
 
 
 class _History:
-    """Drives one item from its submission to its result."""
+    """One item from its submission to its result, with an entry that runs it."""
 
     def __init__(self) -> None:
         engine = dataclasses.replace(ENGINE)
@@ -78,7 +82,7 @@
         self.sent: list[Outcome] = []
 
     def take_item(self) -> None:
-        """Make the entry's call for work, and start the item's run if it is assigned."""
+        """Make the entry's call for work, and start a run if the answer assigns the item."""
         self.now += 1.0
         assignments = self.harness.poll(now=self.now)
         assigned = [assignment for assignment in assignments if assignment.item.item == "i0"]
@@ -86,7 +90,7 @@
             self.run = _Run(assigned[0].number, assigned[0].resume_after)
 
     def report(self, outcome: Outcome) -> None:
-        """Process a report in the same way as the service `jobs`."""
+        """Process an outcome that the entry reports, in the same way as the service `jobs`."""
         dispatcher, harness = self.harness.dispatcher, self.harness
         for part_or_end in dispatcher.split_outcome(outcome):
             if part_or_end.kind == PART:
@@ -119,8 +123,8 @@
             self.run = None
             self.sent.clear()
         if action in ("entry failure", "lost report"):
-            # The entry fails, or the end of the run is not reported. The text since its last part
-            # is lost.
+            # The entry fails, or its report of the run's end is lost. The text that the run
+            # produced since its last reported part is lost with it.
             number = self.run.number
             self.harness.dispatcher._drop_lost_run(number, "runner timed out")
             self.run = None
@@ -149,10 +153,10 @@
 
 class _ScoredHistory(_History):
     """
-    Drives one item with a reward call.
+    One item with a reward call, from its submission to its result.
 
-    :param text_committed: its complete text is in the log.
-    :param generated_again: it was assigned to an engine after that.
+    :param text_committed: the item's complete text is in the log.
+    :param generated_again: the item was assigned to an engine after its text was committed.
     """
 
     def __init__(self) -> None:
@@ -182,7 +186,7 @@
             self.harness.apply(RecordResults(job_and_result[0], (job_and_result[1],)))
 
     def end_text(self) -> None:
-        """Produce and report the remaining events of the text, before its reward call."""
+        """Produce and report the remaining events of the text, as before its reward call."""
         self.run.produce(EVENTS)
         outcome = dataclasses.replace(self.run.outcome(PART), whole=True)
         self.sent.append(outcome)
