--- a/packages/ibisspring-directory/src/ibisspring_directory/commands.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the directory's log."""
+"""The commands that are replicated in the directory's log and change the directory's state."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 @dataclass(frozen=True)
 class PutTable:
     """
-    Use a route table from now on if its version is higher than the current one.
+    Replace the route table if the new table's version is higher than the current one.
 
-    :param document: the operator's document, which reads return byte for byte.
+    :param document: the operator's document that defines the table; an operator who reads the table
+        gets this document, byte for byte.
     """
 
     table: RouteTable
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True)
 class PutVersion:
-    """Record a weight version that a trainer published for its model."""
+    """Record a weight version that a trainer published; an older version has no effect."""
 
     model: str
     version: int
@@ -46,7 +47,7 @@
     """
     Record that an endpoint announced its departure.
 
-    :param state: `leaving` or `gone`; final for the incarnation.
+    :param state: `leaving` or `gone`; the incarnation never serves again.
     """
 
     endpoint: str
@@ -56,7 +57,11 @@
 
 @dataclass(frozen=True)
 class FoundJobs:
-    """Set the stores that bootstrap the jobs' log; only the first such command has an effect."""
+    """
+    Select the stores that bootstrap the jobs' log and are its first members.
+
+    Only the first such command has an effect.
+    """
 
     group: Group
 
@@ -71,10 +76,11 @@
 @dataclass(frozen=True)
 class SetFleet:
     """
-    Set how many endpoints of a service are kept; only the first such command per service has an
-    effect.
+    Set the minimum number of endpoints of a service, which are replaced when they are lost.
+
+    Only the first such command for a service has an effect.
 
-    :param count: endpoints in all data centres together.
+    :param count: number of endpoints in all data centres together.
     """
 
     service: str
@@ -84,8 +90,9 @@
 @dataclass(frozen=True)
 class CloseWindow:
     """
-    Fix the counts of a usage window.
+    Close a usage window, so that its request counts are final.
 
+    :param window: number of the window.
     :param counts: pairs of client account and number of requests, sorted.
     """
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/engine_loads.py
@@ -1,5 +1,8 @@
 """
 The service `engine_loads`: orders engines to load the weight versions that trainers published.
+
+A load here is the loading of one weight version of a model by one engine. While it lasts, the
+engine starts no requests for this model.
 """
 
 from __future__ import annotations
@@ -25,7 +28,8 @@
 TICK_S = 0.1
 ORDER_TIMEOUT_S = 1.0
 POLL_TIMEOUT_S = 0.7
-# A load takes about a second; an earlier poll would only return that the engine is busy.
+# Seconds from an order until the engine is first polled for its state. A load takes about a second;
+# an earlier poll would only return that the engine is busy.
 FIRST_POLL_S = 0.9
 POLL_INTERVAL_S = 0.3
 LOAD_TIMEOUT_S = 6.0
@@ -36,9 +40,9 @@
 @dataclass(frozen=True)
 class ActiveLoad:
     """
-    A load in progress, or the pause of an engine after a failed load.
+    A load in progress, or the time after a failed load in which an engine gets no load order.
 
-    :param task: runs until the load or the pause has ended.
+    :param task: runs until the load, or the RETRY_S seconds after a failed load, have ended.
     """
 
     model: str
@@ -46,7 +50,7 @@
 
 
 class EngineLoads:
-    """Orders at most one load of an engine at a time and polls the engine for the outcome."""
+    """Orders at most one load per engine at a time, and polls the engine until it has ended."""
 
     name = "engine_loads"
 
@@ -56,15 +60,14 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> EngineLoads:
         """
-        Build the service.
+        Build the service `engine_loads` of a control VM.
 
-        :param settings: checked settings of a control VM.
-        :return: the service.
+        :param settings: unused: the service has no settings of its own.
         """
         return cls()
 
     async def start(self, kernel: Kernel) -> None:
-        """Start the periodic comparison of the engines' versions with the published ones."""
+        """Start the periodic comparison of the engines' weight versions with the published ones."""
         self._directory = kernel.find("directory")
         self._duties = kernel.find("duties")
         self._outside = kernel.find("outside")
@@ -73,7 +76,7 @@
         self._tick_timer = kernel.find("timer").subscribe("engine_loads", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Cancel the periodic comparison and the tasks of the loads."""
+        """Stop ordering loads, and stop polling engines for the outcome of those in progress."""
         self._tick_timer.cancel()
         for active_load in self._active_load_by_engine.values():
             active_load.task.cancel()
@@ -111,10 +114,10 @@
 
     async def _order_load(self, record: EndpointRecord, load: Load) -> bool:
         """
-        Order one load and wait until the engine reports the version.
+        Order one load and wait until the engine reports the new weight version.
 
-        :return: False where the engine did not answer, was busy, refused the order or did not
-            report the version in time.
+        :return: True once the engine has the version; False where the engine did not answer, was
+            busy, refused the order or did not report the version in time.
         """
         state = await self._poll(record)
         if state is None:
@@ -143,15 +146,15 @@
 
     async def _wait_until_loaded(self, record: EndpointRecord, load: Load) -> bool:
         """
-        Wait until an engine reports the version that was ordered.
+        Wait until an engine reports the weight version that it was ordered to load.
 
         An order without an answer may have been accepted, or may be executed seconds later, so the
-        engine is polled after a failed order as well. The next order is sent only after that. It
-        carries the engine's count of accepted orders, which invalidates an earlier order that is
-        still in transit.
+        engine is polled after such an order as well. The next order is sent only after the polls
+        have ended. It contains the number of orders that the engine has accepted, which invalidates
+        an earlier order that is still in transit.
 
-        :return: False where the engine became idle without the version, LOAD_TIMEOUT_S passed, or
-            this daemon may no longer send orders.
+        :return: True once the engine has the version; False where the engine became idle without
+            it, LOAD_TIMEOUT_S passed, or this daemon may no longer send orders.
         """
         end_s = boot_now() + LOAD_TIMEOUT_S
         await asyncio.sleep(FIRST_POLL_S)
@@ -176,7 +179,7 @@
         return state
 
     def _publish_versions(self, record: EndpointRecord, state: EngineState) -> None:
-        """Publish an engine's versions without waiting for its next announcement."""
+        """Update an engine's weight versions in the views before its next announcement."""
         known = self._directory.endpoints.table.record_of(record.endpoint)
         if known is None or known.incarnation != record.incarnation or known.state != SERVING:
             return
--- a/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/fleet.py
@@ -1,4 +1,8 @@
-"""The service `fleet`: orders endpoints from the platform in place of those that were lost."""
+"""
+The service `fleet`: orders endpoints from the platform.
+
+Lost endpoints are replaced, and more are ordered if the jobs' items need more slots.
+"""
 
 from __future__ import annotations
 
@@ -19,13 +23,13 @@
 
 TICK_S = 0.5
 ORDER_TIMEOUT_S = 4.0
-# A leader counts the endpoints only this long after its election. At the first start of the system
-# all endpoints have announced themselves within this time.
+# Seconds from the election of a leader until it counts the endpoints. At the first start of the
+# system all endpoints have announced themselves within this time.
 COUNT_AFTER_S = 5.0
 
 
 class Fleet:
-    """Keeps at least as many endpoints of each service as there were at the first start."""
+    """Keeps at least as many endpoints of each service as at the first start of the system."""
 
     name = "fleet"
 
@@ -36,15 +40,14 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> Fleet:
         """
-        Build the service.
+        Build the service `fleet` of a control VM.
 
-        :param settings: checked settings of a control VM.
-        :return: the service.
+        :param settings: the VM's settings, already validated; `scales` allows orders.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Start the periodic comparison of the present endpoints with the wanted ones."""
+        """Start to compare periodically how many endpoints of each service serve and are wanted."""
         self._directory = kernel.find("directory")
         self._duties = kernel.find("duties")
         self._outside = kernel.find("outside")
@@ -52,15 +55,15 @@
         self._tick_timer = kernel.find("timer").subscribe("fleet", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Cancel the periodic comparison."""
+        """Stop the periodic comparison, and with it the orders of endpoints."""
         self._tick_timer.cancel()
 
     async def _tick(self, now: float) -> None:
         table = self._directory.state.table
         if not self._may_scale or table is None or not self._duties.may_order():
             return
-        # A new leader that has not received the announcements of all endpoints yet would count some
-        # as lost.
+        # Without this delay, a new leader that has not yet received the announcements of all
+        # endpoints would count some endpoints as lost and order replacements.
         if now < self._directory.led_since + COUNT_AFTER_S:
             return
         for terms in table.services:
--- a/packages/ibisspring-directory/src/ibisspring_directory/founding.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/founding.py
@@ -1,4 +1,8 @@
-"""Bootstraps the directory's log at the first start of the whole system, without an operator."""
+"""
+Bootstraps the directory's log at the first start of the whole system, without an operator.
+
+Bootstrapping writes the first entry of the log, which names its first members.
+"""
 
 from __future__ import annotations
 
@@ -21,10 +25,11 @@
     """
     The task that bootstraps the directory's log.
 
-    All seeds are configured with the same three addresses. Only the seed with the lowest address
-    bootstraps, and only after all three have answered with empty disks. Two partitions therefore
-    never create two logs. A VM that lost its disk is started without the setting `found`, so it
-    never creates a second log beside the one that the others hold.
+    All seeds (the first control daemons) are configured with the same three addresses. Only the
+    seed with the lowest address bootstraps, and only after all three have answered with empty
+    disks. Two partitions therefore never create two logs. A VM that lost its disk is started
+    without the setting `found`, so it never creates a second log beside the one that the other VMs
+    hold.
     """
 
     name = "founding"
@@ -36,16 +41,17 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> Founding:
         """
-        Build the service.
+        Build the service `founding` of a control VM.
 
-        :param settings: checked settings of a control VM.
-        :return: the service.
+        :param settings: the VM's settings, already validated; they state the seeds and `found`.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
         """
-        Start the task if `found` is set, this daemon has the lowest seed address and its log is
+        Start the task that bootstraps the directory's log, if this daemon is the one to do so.
+
+        This is the case if `found` is set, this daemon has the lowest seed address, and its log is
         empty.
         """
         settings = self._settings
@@ -55,7 +61,7 @@
             self._task = asyncio.create_task(self._bootstrap(), name="founding")
 
     async def stop(self) -> None:
-        """Cancel the task."""
+        """Cancel the task that bootstraps the directory's log, if it still runs."""
         if self._task is not None:
             self._task.cancel()
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/known_endpoints.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/known_endpoints.py
@@ -1,4 +1,9 @@
-"""Endpoint records at the directory's leader, and the handlers of the endpoints' announcements."""
+"""
+Endpoint records at the directory's leader, and the handlers of the endpoints' announcements.
+
+An endpoint's record is its newest announcement: its address, its state, and its weight versions if
+it is an engine.
+"""
 
 from __future__ import annotations
 
@@ -27,12 +32,13 @@
     from ibisspring_core.settings.vm import VmSettings
     from ibisspring_directory.state import DirectoryState
 
-# An endpoint's record expires after this many announcement intervals without an announcement.
-# Announcements may be delayed by seconds. An endpoint that failed stops receiving requests earlier,
-# as soon as requests to it fail.
+# Number of announcement intervals without an announcement after which an endpoint's record expires.
+# There are several, because announcements may be delayed by seconds. Requests to an endpoint that
+# failed stop earlier, as soon as one of them fails.
 EXPIRY_INTERVALS = 4
-# A new leader receives announcements of all endpoints within two announcement intervals. Until then
-# entries keep the endpoints that they already know.
+# Number of announcement intervals for which a new leader may lack endpoints: it receives the
+# announcements of all endpoints within two intervals. Until then entries keep the endpoints that
+# they already know.
 LEARNING_INTERVALS = 2.5
 
 Propose = Callable[[Any], Awaitable[Any]]
@@ -40,11 +46,11 @@
 
 class KnownEndpoints:
     """
-    Endpoint records during one leader's term.
+    Endpoint records during one term of the directory's leader.
 
     :param table: newest announcement of each endpoint.
-    :param loading: pairs of endpoint and model; the endpoint starts no requests for the model while
-        it loads a weight version.
+    :param loading: pairs of endpoint and model for which the endpoint is loading a weight version;
+        meanwhile it starts no requests for the model.
     """
 
     def __init__(
@@ -69,16 +75,16 @@
 
     def start_term(self, led_since: float) -> None:
         """
-        Reset the records at the start of a term.
+        Reset the records to the endpoints that joined, at the start of this daemon's term.
 
         :param led_since: start of the term, in seconds on the leader's boot clock.
         """
         self._led_since = led_since
         self.loading.clear()
         self.table = EndpointTable(self._ttl_s)
-        # After a restart of all processes no daemon knows an endpoint until that endpoint has
-        # announced itself. Endpoints that joined before the restart are therefore used at once; the
-        # records of those that failed expire.
+        # After a restart of all processes, no daemon would know an endpoint until the endpoint has
+        # announced itself again. The replicated records of endpoints that joined before the restart
+        # are therefore used at once; the records of those that failed meanwhile expire.
         for record in self._state.joined_by_endpoint.values():
             self.table.take(record, led_since)
 
@@ -87,16 +93,17 @@
         return now - self._led_since <= self._learning_s
 
     def expire(self, now: float) -> None:
-        """Mark endpoints as gone that have sent no announcement for EXPIRY_INTERVALS intervals."""
+        """Set endpoints without an announcement for EXPIRY_INTERVALS intervals to state GONE."""
         for endpoint in self.table.expire(now):
             eliot.log_message("directory:endpoint_silent", endpoint=endpoint, bound_s=self._ttl_s)
             self._counters.add("directory.endpoint_silent")
 
     def records_with_ages(self, now: float, with_versions: bool = True) -> tuple[Placed, ...]:
         """
-        Records of all endpoints that are not gone, with the time since their newest announcement.
+        Records of all endpoints not in state GONE, with the time since their newest announcement.
 
         :param with_versions: whether the records contain the endpoints' weight versions.
+        :return: the records with these times in seconds, as they are sent in a directory view.
         """
         return tuple(
             Placed(
@@ -112,10 +119,15 @@
         )
 
     async def announce(self, announce: Announce) -> Any:
-        """Merge an endpoint's announcement; a departure is committed before it is acknowledged."""
+        """
+        Merge an endpoint's announcement into the records.
+
+        A departure (an announcement with the state LEAVING) is acknowledged only once it is
+        committed to the directory's log.
+        """
         record = announce.record
-        # A committed departure outlives this leader: a delayed announcement with the state
-        # `serving` must not restore the endpoint under the next leader.
+        # The departure is committed, so that the next leader knows it as well. Otherwise a delayed
+        # announcement with the state `serving` could restore the endpoint under that leader.
         if record.state == LEAVING:
             key = (record.endpoint, record.incarnation)
             if key not in self._state.state_by_departed:
@@ -126,7 +138,12 @@
         return Announced(self._address)
 
     async def depart(self, message: Depart) -> Any:
-        """Handle the departure of an endpoint; the message may leave the incarnation unknown."""
+        """
+        Commit the departure of an endpoint and set its record to state LEAVING.
+
+        A departure of an earlier incarnation is ignored. If the message does not state the
+        incarnation, the newest known one departs.
+        """
         known = self.table.record_of(message.endpoint)
         if known is None:
             if self.is_learning(boot_now()):
@@ -143,7 +160,11 @@
         return await self.announce(Announce(departure))
 
     def _merge(self, record: EndpointRecord) -> None:
-        """Merge an announcement and wake the waiting renewals where a record changed."""
+        """
+        Merge an announcement into the records.
+
+        If this changes a record, the daemons' waiting renewals are answered with the new view.
+        """
         now = boot_now()
         if (
             record.state != LEAVING
@@ -172,7 +193,11 @@
             self._on_change()
 
     def _commit_joined(self, record: EndpointRecord) -> None:
-        """Commit that an endpoint joined, without delaying the answer to its announcement."""
+        """
+        Commit that an endpoint joined, so that the next leader knows it from its start.
+
+        The answer to the endpoint's announcement does not wait for the commit.
+        """
         if record.state != SERVING:
             return
         task = asyncio.ensure_future(self._propose(EndpointJoins(record)))
@@ -181,10 +206,10 @@
 
     def update_versions(self, known: EndpointRecord, version_by_model: dict[str, int]) -> None:
         """
-        Update an engine's weight versions from a report that it sent between two announcements.
+        Update an engine's weight versions from its answer to a poll between two announcements.
         """
-        # The record keeps its sequence number: with a higher one, the engine's next announcement
-        # would be dropped as outdated.
+        # The record keeps the sequence number of the last announcement: with a higher number, the
+        # engine's next announcement would be dropped as outdated.
         self.table.set_versions(known.endpoint, version_by_model)
         self.table.changed.clear()
         self._on_change()
@@ -205,9 +230,10 @@
     """
     Merge the weight versions of two announcements of one incarnation.
 
-    Versions only rise within an incarnation. An announcement that was sent before a load finished
-    and arrives after it would otherwise restore the older version for one announcement interval,
-    and the load would be ordered a second time.
+    An engine's weight versions only rise within an incarnation, so the higher version of each model
+    is used. An announcement that was sent before a load of weights finished, and arrives after it,
+    would otherwise restore the older version for one announcement interval, and the load would be
+    ordered a second time.
     """
     newest = dict(record.version_by_adapter)
     for name, version in known.version_by_adapter.items():
--- a/packages/ibisspring-directory/src/ibisspring_directory/membership.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/membership.py
@@ -1,6 +1,8 @@
 """
-The service `control_membership`: replaces members of the directory's log and bootstraps the jobs'
-log.
+The service `control_membership`: replaces members of the directory's log and selects the stores
+that bootstrap the jobs' log.
+
+A member of a log is a daemon whose replica votes on the log's entries.
 """
 
 from __future__ import annotations
@@ -24,15 +26,17 @@
 
 TICK_S = 0.5
 RENEW_TIMEOUT_S = 1.5
-# The first stores of a system start within a third of a second of each other. After this time the
-# jobs' log is bootstrapped by the stores that have renewed, also where the deployment has fewer
-# than wanted.
+# Seconds from the first store's renewal until the jobs' log is bootstrapped by the stores that have
+# renewed by then, even if they are fewer than wanted, as in a small deployment. The first stores of
+# a system start within a third of a second of each other.
 BOOTSTRAP_AFTER_S = 2.0
 
 
 class ControlMembership:
     """
-    Reports this VM's disk to the leader; the leader replaces members that are no longer reachable.
+    Reports this VM's disk to the directory's leader by renewals.
+
+    On the leader, it replaces members of the directory's log that are no longer reachable.
     """
 
     name = "control_membership"
@@ -46,15 +50,15 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> ControlMembership:
         """
-        Build the service.
+        Build the service `control_membership` of a control VM.
 
-        :param settings: checked settings of a control VM.
-        :return: the service.
+        :param settings: the VM's settings, already validated; `losses` determines the number of
+            members.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Start the periodic renewal and the periodic check of the members."""
+        """Start to renew this VM's session, and to check the log's members, periodically."""
         self._consensus = kernel.find("consensus")
         self._directory = kernel.find("directory")
         self._current_settings = kernel.find("current_settings")
@@ -66,7 +70,7 @@
         )
 
     async def stop(self) -> None:
-        """Cancel both timers."""
+        """Stop the periodic renewals and the periodic check of the log's members."""
         for timer in self._timers:
             timer.cancel()
 
@@ -76,8 +80,9 @@
 
     async def _renew(self, now: float) -> None:
         """
-        Renew this VM's session at the leader; a VM that is no member of the log becomes a
-        candidate.
+        Renew this VM's session at the directory's leader.
+
+        If this VM is not a member of the directory's log, the renewal makes it a candidate.
         """
         settings = self._settings
         renew = Renew(
@@ -106,7 +111,9 @@
 
     async def _bootstrap_jobs_log(self, now: float) -> None:
         """
-        Choose the stores that bootstrap the jobs' log; runs once, at the first start of the system.
+        Select the stores that bootstrap the jobs' log, once, at the first start of the system.
+
+        The selection is committed to the directory's log and reaches the stores with their views.
         """
         if self._directory.state.job_group is not None:
             return
@@ -126,9 +133,9 @@
 
 def to_candidates(members: tuple[Member, ...]) -> list[Candidate]:
     """
-    Convert members into candidates for a log.
+    Convert daemons with a disk into candidates for membership in the directory's log.
 
-    :return: one candidate for each member.
+    :return: one candidate for each of them, in the same order.
     """
     return [
         Candidate(ReplicaId(member.address, member.disk_id), member.data_centre)
@@ -138,9 +145,9 @@
 
 def choose_across_data_centres(members: list[Member], wanted: int) -> tuple[Member, ...]:
     """
-    Choose members in as many data centres as possible.
+    Choose the daemons that bootstrap a log, in as many data centres as possible.
 
-    :return: at most `wanted` members.
+    :return: `wanted` daemons, or all if there are fewer.
     """
     chosen: list[Member] = []
     remaining = list(members)
--- a/packages/ibisspring-directory/src/ibisspring_directory/outside.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/outside.py
@@ -1,7 +1,9 @@
 """
-Requests of the directory's leader to external systems.
+Requests of the directory's leader to external systems: the platform and the engines.
 
-An adapter translates them into the interfaces of these systems.
+An adapter translates the requests into the interfaces of these systems. A request that changes
+something there is an order: for endpoints, to the platform, or for the load of a weight version, to
+an engine.
 """
 
 from __future__ import annotations
@@ -17,10 +19,11 @@
 @dataclass(frozen=True)
 class Duty:
     """
-    Sender of an order, as its receiver sees it.
+    The sender of an order, as the order names it to its receiver.
 
-    :param holder: name of the daemon that may send orders.
-    :param fencing: fencing number, which rises with each holder.
+    :param holder: name of the daemon that may send orders (the holder).
+    :param fencing: fencing number, which is higher for each new holder; by it a receiver can reject
+        orders of an earlier holder.
     """
 
     holder: str
@@ -32,9 +35,9 @@
     """
     State of an engine, as reported by the engine itself.
 
-    :param orders: orders that the engine accepted since its start.
-    :param busy: whether the engine is executing an order.
-    :param version_by_model: weight versions in use.
+    :param orders: number of orders that the engine has accepted since its start.
+    :param busy: whether the engine is executing an order, such as a load of weights.
+    :param version_by_model: by model, the weight version that the engine uses.
     """
 
     orders: int
@@ -47,8 +50,8 @@
     """
     An order to an engine to load a weight version.
 
-    :param after_orders: number of orders that the engine must have accepted before this one; an
-        order that is delayed in transit becomes invalid when another one is accepted.
+    :param after_orders: number of orders that the engine must have accepted before this one. An
+        order that is delayed in transit thus becomes invalid when the engine accepts another order.
     """
 
     model: str
@@ -59,10 +62,11 @@
 @dataclass(frozen=True)
 class FleetOrder:
     """
-    An order to the platform for a number of endpoints of one kind.
+    An order to the platform for a number of endpoints of one kind (cheap or standard).
 
-    :param count: endpoints that the data centre is to have, including those that it has.
-    :param cheap: whether to order the cheap kind, which the platform may reclaim.
+    :param count: total number of endpoints that the data centre is to have, including those that it
+        has already.
+    :param cheap: whether to order the cheap kind of endpoints, which the platform may reclaim.
     """
 
     service: str
@@ -79,10 +83,15 @@
     def usage_report(
         self, window: int, counts: tuple[tuple[str, int], ...], duty: Duty
     ) -> HttpRequest:
-        """Build the request that reports a closed usage window."""
+        """
+        Build the request that reports the request counts of a closed usage window.
+
+        :param window: number of the window.
+        :param counts: pairs of client account and number of requests.
+        """
 
     def fleet_order(self, order: FleetOrder, duty: Duty) -> HttpRequest:
-        """Build the request that sends an order to the platform."""
+        """Build the request that orders endpoints from the platform."""
 
     def engine_state_request(self, record: EndpointRecord) -> HttpRequest:
         """Build the request for an engine's state."""
@@ -94,7 +103,7 @@
         """
 
     def load_order(self, record: EndpointRecord, order: LoadOrder, duty: Duty) -> HttpRequest:
-        """Build the request that sends a load order to an engine."""
+        """Build the request that orders an engine to load a weight version."""
 
 
 __all__ = ["Duty", "EngineState", "ExternalRequests", "FleetOrder", "LoadOrder"]
--- a/packages/ibisspring-directory/src/ibisspring_directory/role.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/role.py
@@ -1,4 +1,8 @@
-"""The services of a daemon in the control role, which finds the other daemons by its seeds."""
+"""
+The services of a daemon in the control role, which keeps a replica of the directory's log.
+
+The daemon finds the other control daemons by its seeds: the addresses of the first ones.
+"""
 
 from __future__ import annotations
 
@@ -28,10 +32,9 @@
 
 def build_services(settings: VmSettings) -> tuple[Service, ...]:
     """
-    Build the services of this role in start order.
+    Build the services of a control VM from its settings, in the order in which they are started.
 
-    :param settings: checked settings.
-    :return: the services.
+    :param settings: the VM's settings, already validated.
     """
     replica = ReplicaConfig(
         daemon=settings.peer_address,
--- a/packages/ibisspring-directory/src/ibisspring_directory/service.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/service.py
@@ -1,6 +1,9 @@
 """
 The service `directory`: the leader's handlers of requests from daemons, operators, trainers and
 endpoints.
+
+Every daemon renews its session at the leader at least twice a second (a renewal). The answer to a
+renewal contains the daemon's view: the part of the directory that it needs.
 """
 
 from __future__ import annotations
@@ -49,19 +52,20 @@
     from ibisspring_directory.sessions import Session
 
 SWEEP_S = 0.2
-# A request to replace the route table waits at most this long for active entries that still use the
-# older one. The limit is below the time after which the operator's client treats the request as
-# lost.
+# Longest time, in seconds, that a request to replace the route table waits for active entries that
+# still use the older table. The limit is below the time after which the operator's client treats
+# the request as lost.
 MAX_TABLE_WAIT_S = 2.5
-# A store that was frozen or restarted renews its session again within this time.
+# Longest time, in seconds, until a store that was frozen or restarted renews its session again.
 STORE_RESTART_S = 4.0
-# Full views, which contain weight versions and loads, have revisions above those of all entry
-# views. A store that has just become a member of the jobs' log holds a lower revision and is
-# therefore sent the full view at once.
+# First revision number of full views, which also contain the engines' weight versions and current
+# loads of weights. It is above the revisions of all views without these (entry views). A store that
+# has just become a member of the jobs' log holds a lower revision and is therefore sent the full
+# view at once.
 FIRST_FULL_REVISION = 1 << 32
-# Limit of the messages with usage counts that all entries together send between their renewals. The
-# pause between an entry's messages grows with the number of entries, so that a large fleet costs
-# the leader no more.
+# Maximum number of messages per second with usage counts that all entries together send between
+# their renewals. The time between two messages of an entry grows with the number of entries, so
+# that many entries cost the leader no more work than a few.
 USAGE_MESSAGES_PER_S = 500
 
 
@@ -69,12 +73,16 @@
     """
     Answers directory requests and keeps the leader's state that is not replicated.
 
-    That state is cleared at the start of each term and rebuilt from renewals and announcements.
+    This state is cleared at the start of each term of a leader and rebuilt from renewals and
+    announcements.
 
     :param sessions: newest renewals of the daemons.
     :param endpoints: newest announcements of the endpoints.
-    :param usage_counts: requests in usage windows that are not closed.
-    :param version_lags: by model, how many weight versions an engine may be behind.
+    :param full_revision: revision of the full view, which also contains the engines' weight
+        versions and current loads of weights.
+    :param entry_revision: revision of the view without these.
+    :param usage_counts: number of requests in usage windows that are not closed yet.
+    :param version_lags: by model, how many weight versions an engine may be behind the newest one.
     :param led_since: start of this daemon's term as the leader, in seconds on its boot clock.
     """
 
@@ -95,15 +103,18 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> Directory:
         """
-        Build the service.
+        Build the service `directory` of a control VM.
 
-        :param settings: checked settings of a control VM.
-        :return: the service.
+        :param settings: the VM's settings, already validated.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Register the message handlers and the periodic sweep."""
+        """
+        Register the message handlers, and start to remove expired records periodically.
+
+        Expired are the sessions and endpoints that have not been renewed or announced in time.
+        """
         self.consensus = kernel.find("consensus")
         self.state = kernel.find("state")
         self._counters = kernel.find("counters")
@@ -127,11 +138,11 @@
         self._sweep_timer = kernel.find("timer").subscribe("directory", SWEEP_S, self._sweep)
 
     async def stop(self) -> None:
-        """Cancel the sweep."""
+        """Stop the periodic removal of expired sessions and endpoint records."""
         self._sweep_timer.cancel()
 
     def holds_lease(self) -> bool:
-        """Whether this daemon is the leader under a lease that excludes any other leader."""
+        """Whether this daemon is the leader, and its lease still excludes any other leader."""
         return self.consensus.is_leader and self.consensus.lease_left_s() > 0
 
     def not_leader(self) -> NotLeader:
@@ -143,11 +154,11 @@
 
     def mark_changed(self) -> None:
         """
-        Increment the revisions and wake the renewals that wait for a change.
+        Increment the revisions of the views, so that waiting renewals are answered with the change.
 
-        Weight versions and loads change several times a second, and only the jobs' dispatcher uses
-        them. Renewals of entries, and of stores without a replica of the jobs' log, are therefore
-        woken only when another part of the view changes.
+        Engines start and end loads of weights several times a second, and only the jobs' dispatcher
+        uses their weight versions and loads. Waiting renewals of entries, and of stores without a
+        replica of the jobs' log, are therefore answered only when another part of the view changes.
         """
         self.full_revision.increment()
         key = self._entry_view_key()
@@ -189,7 +200,11 @@
         return answer
 
     def start_term(self) -> None:
-        """Clear the state that is not replicated if this daemon was elected in a new term."""
+        """
+        Clear the state that is not replicated, if this daemon was elected since the last call.
+
+        The state is rebuilt from the renewals and announcements that arrive in the new term.
+        """
         if self._term == self.consensus.term:
             return
         self._term = self.consensus.term
@@ -219,19 +234,20 @@
             self.mark_changed()
 
     def own_wall_s(self) -> float:
-        """This VM's wall clock in seconds since 1970, which may be wrong."""
+        """This VM's own wall clock in seconds since 1970; it may be wrong by seconds."""
         return wall_now()
 
     def agreed_wall_s(self) -> float:
-        """The wall clock that most daemons agree on, in seconds since 1970."""
+        """The wall-clock time that most daemons agree on, in seconds since 1970."""
         now = boot_now()
         return now + self.sessions.wall_offset_s(now, wall_now() - now)
 
     async def renew(self, renew: Renew) -> Any:
         """
-        Record a daemon's renewal and answer with the newest view.
+        Record a daemon's renewal and answer with the newest directory view.
 
-        If the daemon already holds that view, wait up to its `hold_s` seconds for a change.
+        If the daemon already holds this view, wait up to the renewal's `hold_s` seconds for a
+        change.
         """
         if not self.holds_lease():
             return self.not_leader()
@@ -255,8 +271,8 @@
             return not same_epoch_and_table or revision.number > renew.revision
 
         if not has_update():
-            # While a daemon waits here, its session is active and it uses the table version that it
-            # sent.
+            # While a daemon's renewal waits here, its session is active, and it uses the version of
+            # the route table that the renewal contains.
             await revision.wait(renew.hold_s, has_update)
         if not self.holds_lease() or self._term != epoch:
             return self.not_leader()
@@ -266,10 +282,11 @@
 
     async def count_usage(self, message: CountUsage) -> UsageCounted:
         """
-        Record an entry's usage counts between two renewals and answer with the pause to the next
-        message.
+        Record usage counts that an entry sends between two renewals.
 
         If the entry fails, only the counts since its last message are lost.
+
+        :return: the seconds that the entry is to wait before its next message with counts.
         """
         self.usage_counts.merge(message, self.state.closed_window)
         entries = len(self.sessions.active(boot_now(), ENTRY))
@@ -300,12 +317,14 @@
         )
 
     async def propose(self, command: Any) -> Committed | Refusal:
-        """Commit a command to the directory's log."""
+        """Commit a command to the directory's log; a Refusal where it may not be committed."""
         return await self.consensus.propose(COMMANDS.encode(command))
 
     async def replace_table(self, message: ReplaceTable) -> Any:
         """
-        Commit a route table; answer once all active entries use it, or after MAX_TABLE_WAIT_S.
+        Commit a route table, and answer once all active entries use it.
+
+        The answer is sent after MAX_TABLE_WAIT_S seconds even if some entries do not use it yet.
         """
         version = message.table.version
         if version > self.state.table_version:
@@ -321,12 +340,13 @@
 
     async def _wait_until_applied(self, version: int) -> bool:
         """
-        Wait until no active entry uses an older table.
+        Wait until no active entry uses an older route table.
 
         A newly elected leader has no sessions yet and would confirm a table that no entry has
-        received, so it waits SESSION_ACTIVE_S for the entries' renewals first.
+        received, so it first waits SESSION_ACTIVE_S seconds for the entries' renewals.
 
-        :return: False where the time limit passed or this daemon is no longer the leader.
+        :return: True once all use the table; False where MAX_TABLE_WAIT_S seconds passed or this
+            daemon is no longer the leader.
         """
 
         def is_applied() -> bool:
@@ -342,7 +362,7 @@
         return True
 
     async def read_table(self, message: ReadTable) -> Any:
-        """Read the newest table after a quorum has confirmed that no newer one is committed."""
+        """Read the newest route table, after a quorum confirmed that none newer is committed."""
         confirmed = await self.consensus.confirm_read()
         if isinstance(confirmed, Refusal):
             return confirmed
@@ -358,7 +378,11 @@
         return VersionNamed()
 
     async def retire(self, message: Retire) -> Any:
-        """Start the retirement of a store, or report its progress."""
+        """
+        Start the retirement of a store, or report its progress.
+
+        A store is retired when its replica of the jobs' log has moved to another store.
+        """
         now = boot_now()
         address = self.sessions.address_of(message.daemon)
         leader = self.sessions.job_leader(now)
@@ -387,11 +411,11 @@
         """
         Check whether a store can be retired now.
 
-        `too_few` is a final answer. It is sent only where too few stores have renewed within
-        STORE_RESTART_S; while a missing store may still return within that time, the operator
-        receives a refusal and may retry.
+        The answer `too_few` is final. It is sent only where too few other stores have renewed
+        within STORE_RESTART_S seconds. While a missing store may still return within this time, the
+        operator receives a refusal and may retry.
 
-        :return: the answer to the operator; None where the retirement may start.
+        :return: the negative answer to the operator; None where the retirement may start.
         """
         needed = 2 * self.settings.losses + 1
         active = self._count_other_stores(address, now, SESSION_ACTIVE_S)
@@ -414,7 +438,7 @@
 
     def _count_other_stores(self, address: str, now: float, within_s: float) -> int:
         """
-        Number of stores that could hold the jobs' log without the one at `address`.
+        Number of stores, without the one at `address`, that could hold a replica of the jobs' log.
 
         :param within_s: longest time since a store's last renewal, in seconds.
         """
@@ -426,7 +450,8 @@
     """
     Whether a daemon holds a replica of the jobs' log.
 
-    Such a daemon may become that log's leader, whose dispatcher needs weight versions and loads.
+    Such a daemon may become the leader of this log, whose dispatcher needs the engines' weight
+    versions and current loads of weights.
     """
     return renew.member is not None and not renew.member.empty
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/sessions.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/sessions.py
@@ -1,5 +1,7 @@
 """
 Sessions of the daemons at the directory's leader: their newest renewals and when these arrived.
+
+A renewal is the message by which a daemon reports, at least twice a second, that it is alive.
 """
 
 from __future__ import annotations
@@ -11,9 +13,9 @@
 if TYPE_CHECKING:
     from ibisspring_core.messages.directory import Member, Renew
 
-# A session is active for this long after the daemon's last renewal. Daemons renew at least every
-# half second, so two renewals in a row may be lost. With a shorter time an operator would be
-# answered before a slow daemon has received the change.
+# Seconds after a daemon's last renewal for which its session is active. Daemons renew at least
+# every half second, so two renewals in a row may be lost. With a shorter time, an operator's change
+# would be confirmed before a slow daemon has received it.
 SESSION_ACTIVE_S = 1.2
 FORGET_S = 30.0
 
@@ -21,7 +23,7 @@
 @dataclass(frozen=True)
 class Session:
     """
-    The newest renewal of a daemon.
+    The newest renewal of a daemon, and when it arrived.
 
     :param received_at: when the renewal arrived, in seconds on the leader's boot clock.
     """
@@ -41,14 +43,14 @@
         self._session_by_address: dict[str, Session] = {}
 
     def clear(self) -> None:
-        """Remove all sessions, when this daemon becomes the leader."""
+        """Remove all sessions when this daemon becomes the leader: they may be outdated."""
         self._session_by_address.clear()
 
     def record(self, renew: Renew, now: float) -> bool:
         """
-        Record a renewal.
+        Record a daemon's renewal as its session.
 
-        :return: whether the daemon is new or was restarted.
+        :return: whether the daemon had no session or was restarted since its last renewal.
         """
         known = self._session_by_address.get(renew.address)
         self._session_by_address[renew.address] = Session(renew, now)
@@ -64,8 +66,9 @@
         self, now: float, role: str, within_s: float = SESSION_ACTIVE_S
     ) -> tuple[Session, ...]:
         """
-        Find the active sessions of a role.
+        Find the active sessions of the daemons in a role.
 
+        :param role: `entry`, `store` or `control`.
         :param within_s: longest time since the last renewal, in seconds.
         """
         found = []
@@ -76,10 +79,10 @@
 
     def with_older_table(self, table_version: int, now: float) -> tuple[str, ...]:
         """
-        Find the active entries that use an older route table.
+        Find the active entries that use an older route table than the given version.
 
-        :param table_version: version that an entry must use at least.
-        :return: names of the entries.
+        :param table_version: version that all entries are to use.
+        :return: names of the entries that do not use it yet.
         """
         found = []
         for session in self.active(now, "entry"):
@@ -94,7 +97,7 @@
         Find the active daemons of a role that may hold a replica of a log.
 
         :param within_s: longest time since the last renewal, in seconds.
-        :return: their members, sorted by address.
+        :return: address, disk id and data centre of each of them as Member, sorted by address.
         """
         found = []
         for session in self.active(now, role, within_s):
@@ -115,33 +118,33 @@
 
     def job_leader(self, now: float) -> Session | None:
         """
-        Find the leader of the jobs' log.
+        Find the store that is the leader of the jobs' log.
 
-        :return: session of the store that reported last that it is the leader; None where no active
-            store does.
+        :return: session of the active store that was the last to report that it is the leader; None
+            where no active store reports this.
         """
         leaders = [session for session in self.active(now, "store") if session.renew.leads_jobs]
         return max(leaders, key=lambda session: session.received_at, default=None)
 
     def demand(self, service: str, now: float) -> int:
         """
-        Recent peak of the items of a service that were to run at the same time, from the jobs'
-        leader.
+        Recent maximum number of items of a service that were to run at the same time.
 
-        :return: the number; 0 where the leader is unknown or reports none.
+        :return: the number that the jobs' leader sent with its last renewal; 0 where this leader is
+            unknown or sent no number for the service.
         """
         leader = self.job_leader(now)
         return dict(leader.renew.demand).get(service, 0) if leader is not None else 0
 
     def wall_offset_s(self, now: float, own_offset_s: float) -> float:
         """
-        Estimate the correct wall clock from those of all daemons.
+        Estimate the correct wall-clock time from the clocks of all daemons.
 
         The wall clocks of some VMs, possibly the leader's, may be wrong by seconds. The median over
         all active sessions is right while fewer than half of the clocks are wrong.
 
         :param own_offset_s: the leader's wall clock minus its boot clock, in seconds.
-        :return: seconds to add to the leader's boot clock.
+        :return: seconds to add to the leader's boot clock, to get seconds since 1970.
         """
         offsets = [own_offset_s]
         for session in self._session_by_address.values():
--- a/packages/ibisspring-directory/src/ibisspring_directory/state.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/state.py
@@ -1,8 +1,8 @@
 """
 The directory's replicated state machine.
 
-It is deterministic: it reads no clock and no random numbers, so that replicas which apply the same
-log hold the same state, including replicas that started from a snapshot.
+The state machine is deterministic: it reads no clock and no random numbers, so that replicas which
+apply the same log hold the same state, including replicas that started from a snapshot.
 """
 
 from __future__ import annotations
@@ -31,28 +31,31 @@
 if TYPE_CHECKING:
     from ibisspring_core.kernel import Kernel
 
-# Endpoints that left are remembered so that their delayed announcements are dropped. The limit
-# keeps the state from growing in a system that replaces its endpoints continuously.
+# Maximum number of endpoint incarnations that are stored after they left, so that their delayed
+# announcements are dropped. Without the limit the state would grow in a system that replaces its
+# endpoints continuously.
 MAX_DEPARTED = 4096
-# An endpoint that is permanently lost in a crash never announces its departure; the records of the
-# endpoints that joined first are removed.
+# Maximum number of records of endpoints that joined and have not left. Without the limit they would
+# accumulate, because an endpoint that is permanently lost in a crash never announces its departure.
+# The records of the endpoints that joined first are removed.
 MAX_JOINED = 1024
 
 
 @dataclass(frozen=True)
 class Snapshot:
     """
-    The complete state.
+    The complete replicated state of the directory, as it is encoded in a snapshot.
 
     :param document: the operator's document of the route table, byte for byte.
-    :param version_by_model: newest weight version that trainers published.
-    :param left: endpoint, incarnation and state of endpoints that are leaving or have left, oldest
-        first.
-    :param joined: first announcements of the endpoints that have not left, oldest first.
-    :param job_group: founding members of the jobs' log; None before its bootstrap.
+    :param version_by_model: by model, the newest weight version that trainers published.
+    :param left: endpoint, incarnation and state of endpoints that are leaving or have left; the
+        one that departed first is first.
+    :param joined: first announcements of the endpoints that have not left; the one that joined
+        first is first.
+    :param job_group: first members of the jobs' log; None before its bootstrap.
     :param retiring: peer addresses of the stores that are being retired.
-    :param fleet_by_service: number of endpoints to keep of a service.
-    :param closed_window: newest usage window whose counts are fixed; -1 for none.
+    :param fleet_by_service: by service, the minimum number of endpoints to keep.
+    :param closed_window: newest usage window whose counts are final; -1 for none.
     :param windows: closed usage windows that are not reported yet.
     """
 
@@ -69,7 +72,12 @@
 
 
 class DirectoryState:
-    """The service `state`: changed only by committed commands, read by other services."""
+    """
+    The service `state`: the replicated state of the directory, in the memory of a control daemon.
+
+    Only the consensus service changes this state, by applying committed commands; other services
+    read it.
+    """
 
     name = "state"
 
@@ -117,7 +125,7 @@
         return b""
 
     def snapshot(self) -> bytes:
-        """Encode the complete state as a Snapshot."""
+        """Encode the complete state as a Snapshot, for `restore`."""
         left = tuple(
             (name, incarnation, state)
             for (name, incarnation), state in self.state_by_departed.items()
@@ -138,7 +146,11 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by that of an encoded Snapshot."""
+        """
+        Replace the complete state by that of a snapshot.
+
+        :param data: an encoded Snapshot, as `snapshot` returned it on any replica.
+        """
         self._load_snapshot(decode(data, Snapshot))
         self._notify_changed()
 
@@ -161,8 +173,8 @@
         self.window_by_number = {window.window: window for window in snapshot.windows}
 
     def _put_table(self, command: PutTable) -> None:
-        # A command with the current version is ignored too: another table under the same version
-        # must neither be applied nor be read back.
+        # A command with the current version is ignored as well: a second table under the same
+        # version must neither be used nor be returned to operators.
         if command.table.version <= self.table_version:
             return
         self.table = command.table
@@ -205,8 +217,8 @@
         self.fleet_by_service.setdefault(command.service, command.count)
 
     def _close_window(self, command: CloseWindow) -> None:
-        # Only the first command that closes a window counts: its counts may already have been
-        # reported by a leader that was deposed before this command.
+        # Only the first command that closes a window has an effect: a leader that was deposed since
+        # may already have reported the counts of that command.
         if command.window <= self.closed_window:
             return
         self.closed_window = command.window
--- a/packages/ibisspring-directory/src/ibisspring_directory/status.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/status.py
@@ -1,4 +1,7 @@
-"""The service `directory_status`: reports the state of the directory's leader to operators."""
+"""
+The service `directory_status`: reports the state of the directory's leader to the tool of
+operators.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 
 class StatusService:
-    """Answers status requests where this daemon is the leader."""
+    """Answers `ReadDirectoryStatus` on the leader of the directory's log."""
 
     name = "directory_status"
 
@@ -34,15 +37,14 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> StatusService:
         """
-        Build the service.
+        Build the service `directory_status` of a control VM.
 
-        :param settings: checked settings of a control VM.
-        :return: the service.
+        :param settings: the VM's settings, already validated.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Register the handler of status requests."""
+        """Register the handler of `ReadDirectoryStatus`, and look up the services that it reads."""
         self._directory = kernel.find("directory")
         self._duties = kernel.find("duties")
         self._consensus = kernel.find("consensus")
@@ -52,7 +54,11 @@
         """No-op: nothing runs in the background."""
 
     async def read(self, message: ReadDirectoryStatus) -> Any:
-        """Build the directory's status; NotLeader where this daemon is not the leader."""
+        """
+        Return what the directory's leader knows: daemons, endpoints, versions and duties.
+
+        :return: the status; NotLeader where this daemon is not the leader.
+        """
         directory = self._directory
         if not directory.holds_lease():
             return directory.not_leader()
--- a/packages/ibisspring-directory/src/ibisspring_directory/usage.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/usage.py
@@ -1,4 +1,9 @@
-"""Request counts by usage window, as reported by the entries."""
+"""
+Request counts by usage window, as the entries send them to the directory's leader.
+
+A usage window is a fixed period in which requests are counted by client account. When the leader
+closes a window, its counts are final.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +14,16 @@
 
 
 class WindowCounts:
-    """Newest request counts by window, entry incarnation and client account."""
+    """Newest request counts by usage window, entry incarnation and client account."""
 
     def __init__(self) -> None:
         self._count_by_key: dict[tuple[int, str, str], int] = {}
 
     def clear(self) -> None:
         """
-        Remove all counts; the entries resend those of windows that are not confirmed as closed.
+        Remove all counts when this daemon becomes the leader.
+
+        Entries send the counts of a window again until they have received that it is closed.
         """
         self._count_by_key.clear()
 
@@ -25,9 +32,11 @@
         Merge an entry's counts; each replaces an earlier count of the same window and client
         account.
 
-        Counts of one incarnation only rise, so a smaller count is an older one that was delayed.
+        The counts of one entry incarnation only rise, so a smaller count is an older one that was
+        delayed, and it is ignored.
 
-        :param closed_window: newest window whose counts are fixed.
+        :param closed_window: newest usage window whose counts are final; counts of this window and
+            earlier ones are ignored.
         """
         incarnation = f"{message.address}/{message.incarnation}"
         for usage in message.usage:
@@ -38,9 +47,11 @@
 
     def close(self, window: int) -> tuple[tuple[str, int], ...]:
         """
-        Remove and add up the counts of a window; counts of earlier windows are discarded as late.
+        Remove the counts of a usage window and add them up over all entries.
+
+        Counts of earlier windows are discarded, because they arrived after these were closed.
 
-        :return: pairs of client account and number of requests, sorted.
+        :return: pairs of client account and its number of requests, sorted.
         """
         total_by_account: dict[str, int] = {}
         for key in [key for key in self._count_by_key if key[0] <= window]:
--- a/packages/ibisspring-directory/src/ibisspring_directory/usage_reports.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/usage_reports.py
@@ -1,6 +1,9 @@
 """
 The service `usage_reports`: closes usage windows and reports each window with a single set of
 counts.
+
+A usage window is a fixed period in which requests are counted by client account. Closing a window
+makes its counts final.
 """
 
 from __future__ import annotations
@@ -19,17 +22,18 @@
     from ibisspring_core.settings.vm import VmSettings
 
 TICK_S = 0.25
-# Entries send their counts with renewals, twice a second. The remaining time until a report is due
-# allows for a change of leader and for a platform that is slow or unavailable.
+# Seconds after the end of a usage window until it is closed. Entries send their counts with
+# renewals, twice a second, so all counts have arrived by then. The remaining time until the report
+# is due allows for a change of the leader and for a platform that is slow or unavailable.
 CLOSE_AFTER_S = 2.5
 REPORT_TIMEOUT_S = 4.0
-# After a long outage only the newest windows are closed and reported: they are still of use, while
-# each further missing window would cost a call to the platform.
+# Maximum number of windows that are closed and reported after an outage. The newest windows are
+# still of use, while each older one would only cost a call to the platform.
 MAX_BACKLOG_WINDOWS = 12
 
 
 class UsageReports:
-    """Reports the windows one at a time, in order."""
+    """Closes usage windows when they are due, and reports them one at a time, in order."""
 
     name = "usage_reports"
 
@@ -39,15 +43,14 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> UsageReports:
         """
-        Build the service.
+        Build the service `usage_reports` of a control VM.
 
-        :param settings: checked settings of a control VM.
-        :return: the service.
+        :param settings: the VM's settings, already validated; they state the length of a window.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Start the periodic check for windows that are due."""
+        """Start the periodic check for usage windows that are to be closed or reported."""
         self._directory = kernel.find("directory")
         self._duties = kernel.find("duties")
         self._outside = kernel.find("outside")
@@ -55,7 +58,7 @@
         self._tick_timer = kernel.find("timer").subscribe("usage_reports", TICK_S, self._tick)
 
     async def stop(self) -> None:
-        """Cancel the periodic check."""
+        """Stop the periodic check for usage windows that are to be closed or reported."""
         self._tick_timer.cancel()
 
     async def _tick(self, now: float) -> None:
@@ -68,9 +71,9 @@
 
     async def _close_due(self) -> None:
         """
-        Fix the counts of the windows that have ended.
+        Make the counts of the windows that have ended final, and commit them.
 
-        The counts are committed before they are reported: a leader that takes over reports the same
+        The counts are committed before they are reported, so that a new leader reports the same
         counts again, and never different ones for the same window.
         """
         directory = self._directory
--- a/packages/ibisspring-directory/src/ibisspring_directory/version_lags.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/version_lags.py
@@ -1,4 +1,9 @@
-"""Number of weight versions that an engine may be behind, derived from the submitted jobs."""
+"""
+The lag of each model: how many weight versions an engine may be behind the newest published one.
+
+The lags are derived from the oldest versions that the trainers' jobs allow. With a lag of one
+version, the service `engine_loads` has each engine load only every other version.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +17,9 @@
 
 class VersionLags:
     """
-    Allowed lag by model during one leader's term; unset, which callers read as 0, until the first
-    job of the model is reported.
+    Allowed lag by model during one term of the directory's leader.
+
+    A model has no lag, which callers read as 0, until the jobs' leader reports its first job.
     """
 
     def __init__(self) -> None:
@@ -21,7 +27,7 @@
         self._allowed_by_model: dict[str, int] = {}
 
     def clear(self) -> None:
-        """Remove all lags, when this daemon becomes the leader."""
+        """Remove all lags when this daemon becomes the directory's leader."""
         self.lag_by_model.clear()
         self._allowed_by_model.clear()
 
@@ -32,11 +38,11 @@
         Update the lags from a renewal of the jobs' leader.
 
         A model's lag is recomputed only when the oldest version that its newest job allows changes.
-        Between the publication of the next version and the submission of the job that needs it, the
-        computed lag would be one version too large.
+        If it were recomputed between the publication of the next version and the submission of the
+        job that needs this version, the lag would be one version too large.
 
-        :param allowed: pairs of model and the oldest version that its newest job allows.
-        :param newest_by_model: newest version that trainers published.
+        :param allowed: pairs of model and the oldest weight version that its newest job allows.
+        :param newest_by_model: by model, the newest weight version that trainers published.
         """
         for model, oldest in allowed:
             if self._allowed_by_model.get(model) == oldest:
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/dispatcher.py
@@ -371,7 +371,8 @@
             return None
         if outcome.kind == "done":
             if job_record.item_by_id[run.item].reward is not None and not outcome.score:
-                # The item needs a score, so this is no result; only its reward call is repeated.
+                # The item needs a score, which the outcome lacks. The item gets no result, and only
+                # its reward call is repeated.
                 progress.complete = True
                 self.items.unscored.add(key)
                 return None
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/items.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/items.py
@@ -38,7 +38,7 @@
         self._state = state
         self._progress_by_job: dict[str, dict[str, ItemProgress]] = {}
         self._runs_by_key: dict[ItemKey, set[int]] = {}
-        # The rank of an item within its job never changes, so each job is sorted only once.
+        # The start order of a job's items never changes, so the items are sorted only once.
         self._ordered_by_job: dict[str, list[JobItem]] = {}
         self.committing: set[ItemKey] = set()
         self.unscored: set[ItemKey] = {
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/paces.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/paces.py
@@ -27,7 +27,7 @@
         self._pace_by_engine: dict[str, Pace] = {}
 
     def slow(self) -> frozenset[str]:
-        """Return the ids of the engines that are much slower than the median."""
+        """Return the ids of the engines that are much slower than the median engine."""
         return slow_engines(self._pace_by_engine)
 
     def slowness(self, engine: str) -> float:
--- a/tests/unit/directory/test_duties.py
+++ b/tests/unit/directory/test_duties.py
@@ -1,4 +1,9 @@
-"""Which daemon may send orders to external systems, and from which moment."""
+"""
+Which daemon may send orders to external systems, and from which moment.
+
+The holder is the daemon that may send them: the leader of the directory's log. The gap is the
+setting `holder_gap_s`, within which a receiver must not see orders of two holders alternate.
+"""
 
 from __future__ import annotations
 
@@ -65,10 +70,10 @@
 
 async def test_a_new_leader_orders_nothing_while_an_earlier_order_may_be_in_transit(leader):
     """
-    A leader is frozen while its order is in transit; another takes over and orders at once.
+    A leader is frozen while its order is in transit, and another daemon becomes the leader.
 
-    The receiver would see the orders of two holders alternate: the delayed order of the first
-    holder arrives after that of the second.
+    If the new leader sent an order at once, the receiver would see the orders of two holders
+    alternate: the delayed order of the first holder would arrive after that of the second.
     """
     leader.now = 100.0 + WAIT_SHARE_OF_GAP * GAP_S - 0.01
 
@@ -84,16 +89,17 @@
 
 async def test_a_leader_elected_again_orders_at_least_the_gap_after_its_last_order(leader) -> None:
     """
-    A leader orders and is lost, its successor orders and is lost at once, and the first leads
-    again.
+    A leader orders and is deposed, its successor orders and is deposed at once, and the first
+    daemon is the leader again.
 
-    A receiver that sees an order of the first holder, one of the second and again one of the first
-    within the gap concludes that both consider themselves the holder.
+    If a receiver saw an order of the first daemon, one of the second and again one of the first
+    within the gap, it would conclude that both consider themselves the holder.
     """
     ordered = []
     leader.now = 100.0
     for _ in range(3):
-        # The previous leader's lease had ended at the election, so its order was sent before that.
+        # At the election of a leader, the lease of the previous leader has ended, so that the
+        # previous leader sent its order before `led_since`.
         leader.directory.led_since = leader.now
         while not leader.duties.may_order():
             leader.now += 0.01
@@ -118,10 +124,10 @@
 
 async def test_an_order_is_not_sent_in_a_later_term(leader, monkeypatch) -> None:
     """
-    A leader is deposed and elected again while an order waits; the order carries the old fencing
-    number.
+    A leader is deposed and elected again while an order with its old fencing number waits.
 
-    That number is lower than that of the leader in between, which the receiver may have seen.
+    If the order were sent, its number would be lower than that of the leader in between, of which
+    the receiver may have received orders.
     """
     leader.now = 200.0
     lease_left = []
--- a/tests/unit/directory/test_service.py
+++ b/tests/unit/directory/test_service.py
@@ -43,7 +43,7 @@
 
 
 class _Consensus:
-    """Stand-in for the leader's replica; applies each command at once."""
+    """Stand-in for the leader's replica; applies each command as soon as it is proposed."""
 
     name = "consensus"
     is_leader = True
@@ -90,7 +90,7 @@
 
 
 async def start_waiting_renewal(directory: Directory, view: View, **fields):
-    """Start a renewal that waits for a view newer than `view`."""
+    """Start a renewal of entry 1 that waits for a directory view newer than `view`."""
     return asyncio.create_task(
         directory.renew(renew("1", epoch=view.epoch, revision=view.revision, hold_s=5.0, **fields))
     )
@@ -109,13 +109,14 @@
 
 
 async def test_an_entry_receives_no_updates_about_loads(directory) -> None:
-    # Engines load weights several times a second. If each load woke all entries, every entry would
-    # be sent all endpoints again each time. Stores with a replica need the loads, because the jobs'
-    # leader dispatches items by them.
+    # The engines together load weights several times a second. If each load ended the entries'
+    # waiting renewals, every entry would be sent all endpoints again each time. Only stores with a
+    # replica of the jobs' log need to know which engines are loading: one of them is the jobs'
+    # leader, which assigns no items of the model to such an engine.
     await directory.endpoints.announce(Announce(ENGINE))
     await directory.renew(dataclasses.replace(renew("2"), role="store", member=REPLICA_HOLDER))
     for _ in range(3):
-        # Run the tasks that the announcement and the store's first renewal have started.
+        # Let the tasks run that the announcement and the store's first renewal have started.
         await asyncio.sleep(0)
     view = await directory.renew(renew("1"))
     entry = await start_waiting_renewal(directory, view)
@@ -149,8 +150,9 @@
 
 
 async def test_a_store_without_a_replica_receives_no_updates_about_loads(directory) -> None:
-    # Of thirty stores, five hold the jobs' log. Updates about each load to the other stores were
-    # most of the traffic that control VMs send to other data centres.
+    # Of thirty stores, five hold a replica of the jobs' log. If the other stores were sent an
+    # update about each load of weights as well, these updates would be most of the traffic that
+    # control VMs send to other data centres.
     spare = dataclasses.replace(renew("2"), role="store", member=SPARE_STORE)
     await directory.endpoints.announce(Announce(ENGINE))
     await directory.renew(spare)
@@ -170,8 +172,8 @@
 
 
 async def test_a_store_that_becomes_a_member_receives_the_loads_at_once(directory) -> None:
-    # The store may become the leader of the jobs' log next and would then dispatch items to engines
-    # that are loading.
+    # A store becomes a member of the jobs' log and may be its next leader. If it did not know which
+    # engines are loading weights, it would dispatch items to them.
     spare = dataclasses.replace(renew("2"), role="store", member=SPARE_STORE)
     await directory.endpoints.announce(Announce(ENGINE))
     directory.endpoints.set_loading(ENGINE.endpoint, "m", is_loading=True)
@@ -188,8 +190,8 @@
 
 
 async def test_control_vms_receive_no_view(directory) -> None:
-    # Control VMs renew twice a second to keep their sessions active, and read the directory's state
-    # from their own replica of its log.
+    # Control VMs renew twice a second only to keep their sessions active. They read the directory's
+    # state from their own replica of its log, so a view would be sent to them for nothing.
     control = dataclasses.replace(renew("3"), role=CONTROL, member=REPLICA_HOLDER)
 
     assert isinstance(await directory.renew(control), Unchanged)
@@ -203,7 +205,8 @@
 
 
 async def test_an_operator_is_answered_once_all_active_entries_have_the_change(directory) -> None:
-    # With an earlier answer, one entry would still forward requests sent after it by the old route.
+    # An operator replaces the route table. If the answer were sent before all active entries use
+    # the new table, an entry would still forward requests by the old route after the answer.
     directory.led_since = boot_now() - 2 * SESSION_ACTIVE_S
     await directory.renew(renew("1"))
     order = ReplaceTable(RouteTable(4), b"document")
@@ -220,8 +223,8 @@
 
 
 async def test_a_departure_without_incarnation_ends_the_newest_known_one(directory) -> None:
-    # Engines announce their departure with an empty body. If such a message were rejected, requests
-    # would still be sent to the engine for seconds.
+    # Engines announce their departure with an empty body, which states no incarnation. If such an
+    # announcement were rejected, requests would still be sent to the engine for seconds.
     await directory.endpoints.announce(Announce(ENGINE))
 
     assert isinstance(
@@ -239,8 +242,9 @@
 async def test_a_new_leader_refuses_the_departure_of_an_endpoint_it_does_not_know(
     directory,
 ) -> None:
-    # The new leader has not received an announcement of the endpoint yet, while entries still send
-    # requests there.
+    # An endpoint departs before the new leader has received an announcement of it, while entries
+    # still send requests to it. If the departure were acknowledged without an effect, entries would
+    # continue to send requests to the endpoint.
     directory.endpoints.start_term(boot_now() + 60.0)
     assert isinstance(await directory.endpoints.depart(Depart("e1", UNKNOWN_INCARNATION)), Refusal)
 
@@ -251,8 +255,9 @@
 
 
 async def test_a_departure_is_kept_across_a_leader_change(directory) -> None:
-    # A delayed announcement with the state `serving` reaches the next leader. Without a record of
-    # the departure, that leader would direct requests to the endpoint again.
+    # An endpoint departs, and a delayed announcement of it with the state `serving` reaches the
+    # next leader. Without a replicated record of the departure, this leader would let entries send
+    # requests to the endpoint again.
     await directory.endpoints.announce(Announce(ENGINE))
     await directory.endpoints.depart(Depart("e1", UNKNOWN_INCARNATION))
     directory.consensus.term = 4
@@ -264,8 +269,9 @@
 
 
 async def test_a_new_leader_lists_the_endpoints_announced_to_its_predecessor(directory) -> None:
-    # All processes are restarted at the same moment. Until each endpoint has announced itself
-    # again, which takes seconds, every request would be rejected although all endpoints serve.
+    # All daemons are restarted at the same moment. Without the replicated records of the endpoints,
+    # every request would be rejected until each endpoint has announced itself again, which takes
+    # seconds, although all endpoints serve.
     await directory.endpoints.announce(Announce(ENGINE))
     await asyncio.sleep(0)
     directory.consensus.term = 4
@@ -277,8 +283,9 @@
 
 
 async def test_versions_of_an_incarnation_never_decrease(directory) -> None:
-    # An announcement that was sent before a load finished and arrives after it carries the old
-    # version; the load would be ordered a second time.
+    # An announcement that an engine sent before a load of weights finished arrives after the load
+    # and contains the old version. If the old version replaced the new one, the load would be
+    # ordered a second time.
     first = dataclasses.replace(ENGINE, version_by_adapter={"m": 1})
     await directory.endpoints.announce(Announce(first))
     directory.endpoints.update_versions(first, {"m": 2})
@@ -301,8 +308,8 @@
 
 
 async def test_a_short_absence_of_a_store_does_not_end_a_retirement(directory, monkeypatch) -> None:
-    # An operator who retires a store while another one restarts would receive the final answer that
-    # there are too few stores.
+    # An operator retires a store while another store restarts. If the restarting store were counted
+    # as lost, the operator would receive the final answer that there are too few stores.
     started_s = boot_now()
     await renew_stores(directory, "1", "2", "3", "4")
     monkeypatch.setattr(service, "boot_now", lambda: started_s + SESSION_ACTIVE_S + 0.5)
@@ -319,8 +326,8 @@
 async def test_a_store_without_renewals_past_the_restart_limit_counts_as_lost(
     directory, monkeypatch
 ) -> None:
-    # An operator who retires one of too few stores would otherwise wait for a permanently lost
-    # store.
+    # A store is permanently lost, and an operator retires another one, of which there are too few.
+    # If the lost store were still expected, the operator would retry and wait for it in vain.
     started_s = boot_now()
     await renew_stores(directory, "1", "2", "3", "4")
     monkeypatch.setattr(service, "boot_now", lambda: started_s + service.STORE_RESTART_S + 0.5)
@@ -330,7 +337,8 @@
 
 
 async def test_a_retirement_leaves_enough_stores_for_the_configured_losses() -> None:
-    # Where two stores may be lost at once, three remaining stores survive the loss of only one.
+    # The settings require that two of the five stores may be lost at once. The four stores that a
+    # retirement would leave could hold a log of three members, which survives the loss of only one.
     async with started(dataclasses.replace(SETTINGS, losses=2)) as directory:
         directory.led_since -= SESSION_ACTIVE_S
         await renew_stores(directory, "1", "2", "3", "4", "5")
@@ -341,8 +349,9 @@
 async def test_a_new_leader_does_not_report_too_few_stores_before_all_can_have_renewed(
     directory,
 ) -> None:
-    # An operator who retires a store during a change of the directory's leader would be refused
-    # finally: the new leader has received renewals of only some stores.
+    # An operator retires a store during a change of the directory's leader. The new leader has
+    # received renewals of only some stores. If it counted the others as lost, the operator would
+    # receive the final answer that there are too few stores.
     await renew_stores(directory, "1", "2", "3")
 
     assert isinstance(await directory.retire(Retire("1", begin=True)), Refusal)
@@ -351,8 +360,9 @@
 async def test_a_store_not_renewed_since_a_leader_change_is_unknown_only_after_a_limit(
     directory, monkeypatch
 ) -> None:
-    # An operator who retires a store that restarts during a change of the directory's leader would
-    # be told that no such store exists.
+    # An operator retires a store that restarts during a change of the directory's leader. If the
+    # new leader did not wait for the store's renewal, the operator would receive the answer that no
+    # such store exists.
     started_s = boot_now()
     monkeypatch.setattr(service, "boot_now", lambda: started_s + SESSION_ACTIVE_S + 0.5)
     await renew_stores(directory, "1", "2", "3")
--- a/tests/unit/directory/test_sessions.py
+++ b/tests/unit/directory/test_sessions.py
@@ -11,9 +11,9 @@
 
 
 def test_a_change_waits_only_for_active_entries() -> None:
-    # An operator changes a route while one entry is frozen. If the change waited for that entry,
-    # the operator would be answered too late. If it were confirmed before the other entries have
-    # the change, they would still forward requests by the old route.
+    # An operator changes a route while one entry is frozen. If the answer waited for the frozen
+    # entry, it would be sent too late. If it were sent before the other entries have the change,
+    # these would still forward requests by the old route after the answer.
     sessions = Sessions()
     sessions.record(renew("1", table_version=4), 10.0)
     sessions.record(renew("2", table_version=3), 10.0)
@@ -26,8 +26,9 @@
 
 
 def test_the_wall_clock_offset_is_the_median_over_all_daemons() -> None:
-    # The leader's clock jumps by two seconds. Requests would be counted in the wrong usage windows,
-    # and the reports of all client accounts would be wrong.
+    # The wall clock of the leader jumps by more than two seconds. If the daemons used this clock,
+    # requests would be counted in the wrong usage windows, and the reports of all client accounts
+    # would be wrong.
     sessions = Sessions()
     for name in ("1", "2", "3"):
         sessions.record(renew(name, wall_s=1000.0 + 10.0), 10.0)
@@ -55,8 +56,8 @@
 
 
 def test_later_counts_of_an_entry_replace_its_earlier_ones() -> None:
-    # Renewals are resent when their answer is lost; if counts were added up, a request would be
-    # billed twice.
+    # An entry sends a renewal again if the answer to it was lost. If the counts of both renewals
+    # were added up, a request would be billed twice.
     counts = WindowCounts()
     counts.merge(renew("1", usage=(UsageCount(7, "forge", 2),)), 6)
     counts.merge(renew("1", usage=(UsageCount(7, "forge", 3), UsageCount(6, "forge", 9))), 6)
--- a/tests/unit/directory/test_state.py
+++ b/tests/unit/directory/test_state.py
@@ -29,8 +29,8 @@
 
 
 def test_the_highest_version_is_in_force_regardless_of_arrival_order() -> None:
-    # Two operators change the configuration at once, and the older change is applied last: it must
-    # not revert the newer one.
+    # Two operators replace the route table at the same time, and the older version is applied last.
+    # If the order of arrival decided, the older table would replace the newer one.
     state = apply_all(put_table(7), put_table(5), put_table(6))
 
     assert state.table_version == 7
@@ -44,8 +44,9 @@
 
 
 def test_a_closed_window_keeps_its_counts() -> None:
-    # A leader reports a window and is deposed; its successor closes the window again with counts
-    # that arrived late. Two different sets of counts would be billed for one window.
+    # A leader closes and reports a usage window and is deposed. Its successor closes the window
+    # again, with counts that arrived late. If these replaced the first counts, two different sets
+    # of counts would be billed for one window.
     state = apply_all(
         CloseWindow(10, (("forge", 4),)),
         CloseWindow(10, (("forge", 5),)),
--- a/tests/unit/directory/test_version_lags.py
+++ b/tests/unit/directory/test_version_lags.py
@@ -13,10 +13,10 @@
 
 def test_a_version_published_before_its_job_does_not_raise_the_lag() -> None:
     """
-    Version 8 is published while the newest job is still the one that allows version 6.
+    Version 8 of a model is published while the newest job is still the one that allows version 6.
 
-    A lag computed at that moment would allow engines to be two versions behind, and no engine would
-    load version 8 before the job that needs it.
+    If the lag were computed at this moment, it would allow engines to be two versions behind, and
+    no engine would load version 8 before the job that needs this version is submitted.
     """
     lags = VersionLags()
     lags.update((("m", 6),), {"m": 7})
