--- a/packages/ibisspring-decisions/src/ibisspring_decisions/admission.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/admission.py
@@ -155,8 +155,8 @@
     @classmethod
     def from_rules(cls, rule_by_client_account: Mapping[str, RateRule], now: float) -> Admission:
         """
-        Build the admission control of an entry that uses the complete rates until `divide_by_demand` is
-        called.
+        Build the admission control of an entry that uses the complete rates until
+        `divide_by_demand` is called.
 
         :param rule_by_client_account: rate and burst of each account over all entries together.
         :param now: seconds on any steady clock, the same one in every call.
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
@@ -15,11 +15,11 @@
 their callers' estimate. With twice as many items as slots, a long item that begins last would end
 later than all others by its complete running time.
 
-`place_items` then gives each item to the engine that will probably end it first. A full engine takes a
-quarter longer for each event (part of an output) than an empty one and runs out of memory sooner,
-so its cost equals that of an empty engine of half its speed. The long items, which are placed
-first, thus go to the fast engines. A group is placed on the engine that already has its prompt
-while that engine has free capacity.
+`place_items` then gives each item to the engine that will probably end it first. A full engine
+takes a quarter longer for each event (part of an output) than an empty one and runs out of memory
+sooner, so its cost equals that of an empty engine of half its speed. The long items, which are
+placed first, thus go to the fast engines. A group is placed on the engine that already has its
+prompt while that engine has free capacity.
 """
 
 from __future__ import annotations
@@ -58,7 +58,8 @@
     :param priority: its job's priority; the lowest number begins first.
     :param carried: whether the item's group is one that an earlier job left incomplete.
     :param expected_tokens: expected length of the item's output in tokens; 0 if not known.
-    :param memory_tokens: tokens of engine memory that are reserved for the item, from `expected_memory_tokens`.
+    :param memory_tokens: tokens of engine memory that are reserved for the item, from
+        `expected_memory_tokens`.
     :param engines: ids of the engines that may run it.
     """
 
@@ -84,7 +85,8 @@
     :param slowness: the engine's time per event divided by that of the fastest engine, which has
         1.0.
     :param groups_with_prompt: groups whose prompt the engine has read.
-    :param idle_connections: number of idle connections to the engine; None if connections cost nothing.
+    :param idle_connections: number of idle connections to the engine; None if connections cost
+        nothing.
     """
 
     engine: str
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/routing.py
@@ -89,8 +89,8 @@
     :param queued: waiting requests, from the endpoint's last load report.
     :param capacity: number of requests that the endpoint works on at a time.
     :param in_flight: requests that this entry has sent to the endpoint and that have not ended.
-    :param sent_since_report: requests that this entry sent to the endpoint since the last load report was
-        received.
+    :param sent_since_report: requests that this entry sent to the endpoint since the last load
+        report was received.
     :param has_cached_prefix: whether the endpoint announced that it has cached the request's
         prompt prefix.
     :param has_idle_connection: whether a connection to the endpoint is known to be idle.
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/sampling.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/sampling.py
@@ -91,8 +91,8 @@
 
     :param earlier: number of versions that the trainer published in this span of each earlier step,
         the latest step last.
-    :return: the lowest of these numbers in the last `PUBLICATION_HISTORY_STEPS` steps; 0 if fewer steps are
-        known.
+    :return: the lowest of these numbers in the last `PUBLICATION_HISTORY_STEPS` steps; 0 if fewer
+        steps are known.
     """
     if len(earlier) < PUBLICATION_HISTORY_STEPS:
         return 0
