--- a/bench/_emulated_system.py
+++ b/bench/_emulated_system.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ibisspring_decisions.dispatch import memory_needed
+from ibisspring_decisions.dispatch import expected_memory_tokens
 from ibisspring_decisions.stragglers import Pace
 
 if TYPE_CHECKING:
@@ -104,7 +104,11 @@
         """Return the tokens of engine memory that are reserved for it."""
         expected = self.expected_tokens if by_estimate else 0
         max_tokens = PROMPT_TOKENS + MAX_OUTPUT_TOKENS
-        return memory_needed(max_tokens, PROMPT_TOKENS, expected) if by_estimate else max_tokens
+        return (
+            expected_memory_tokens(max_tokens, PROMPT_TOKENS, expected)
+            if by_estimate
+            else max_tokens
+        )
 
 
 @dataclass
--- a/bench/_emulator.py
+++ b/bench/_emulator.py
@@ -26,9 +26,14 @@
     Trainer,
     draw_text,
 )
-from ibisspring_decisions.dispatch import EngineRoom, WaitingItem, order_of, place
-from ibisspring_decisions.stragglers import LEAST_LEFT, MovableRun, choose_moves, slow_engines
-from ibisspring_decisions.version_hosts import Host, loads_at_once, next_loads
+from ibisspring_decisions.dispatch import EngineCapacity, WaitingItem, place_items, rank_of
+from ibisspring_decisions.stragglers import (
+    MIN_REMAINING_EVENTS,
+    MovableRun,
+    choose_moves,
+    slow_engines,
+)
+from ibisspring_decisions.version_hosts import EngineVersions, max_concurrent_loads, next_loads
 
 TICK_S = 0.02
 DISPATCH_EVERY_S = 0.1
@@ -200,7 +205,7 @@
                     text.done_s = now + self._reward_s
                     engine.runs.remove(text)
             if engine.runs:
-                engine.pace.measure(engine.event_s(slow))
+                engine.pace.add_measurement(engine.event_s(slow))
 
     def _save_texts(self) -> None:
         for engine in self._engines:
@@ -212,10 +217,13 @@
 
     def _start_loads(self, now: float) -> None:
         available = {engine.name: engine for engine in self._available_engines(now)}
-        hosts = [Host(one.name, one.version_by_model, one.loading) for one in available.values()]
+        hosts = [
+            EngineVersions(one.name, one.version_by_model, one.loading)
+            for one in available.values()
+        ]
         published = {trainer.model: trainer.version for trainer in self._trainers}
         lags = dict.fromkeys(published, ALLOWED_LAG if self._policy.staggered_loads else 0)
-        for load in next_loads(hosts, published, loads_at_once(len(hosts)), lags):
+        for load in next_loads(hosts, published, max_concurrent_loads(len(hosts)), lags):
             engine = available[load.engine]
             engine.loading, engine.load_version = load.model, load.version
             engine.loads_until_s = now + LOAD_S
@@ -249,28 +257,28 @@
                         priority=0,
                         carried=text.carried,
                         expected_tokens=text.expected_tokens if policy.long_first else 0,
-                        tokens=text.tokens(policy.memory_by_estimate),
+                        memory_tokens=text.tokens(policy.memory_by_estimate),
                         engines=usable,
                     )
                 )
         engine_by_name = {engine.name: engine for engine in self._available_engines(now)}
-        for placement in place(sorted(items, key=order_of), self._free_capacity(now)):
+        for placement in place_items(sorted(items, key=rank_of), self._free_capacity(now)):
             text = text_by_key[placement.key]
             text.engine = placement.engine
             engine_by_name[placement.engine].runs.append(text)
 
-    def _free_capacity(self, now: float) -> list[EngineRoom]:
+    def _free_capacity(self, now: float) -> list[EngineCapacity]:
         available = self._available_engines(now)
         fastest = min((one.pace.seconds for one in available if one.pace.seconds), default=1.0)
         return [
-            EngineRoom(
+            EngineCapacity(
                 engine=one.name,
-                slots=one.slots - len(one.runs),
-                tokens=self._fleet.memory_tokens
+                free_slots=one.slots - len(one.runs),
+                free_memory_tokens=self._fleet.memory_tokens
                 - sum(run.tokens(self._policy.memory_by_estimate) for run in one.runs),
                 running=len(one.runs),
                 slowness=one.pace.seconds / fastest if one.pace.seconds else 1.0,
-                groups={(run.key[0], str(run.group)) for run in one.runs},
+                groups_with_prompt={(run.key[0], str(run.group)) for run in one.runs},
             )
             for one in available
         ]
@@ -281,18 +289,22 @@
         if not slow:
             return
         free_capacity = self._free_capacity(now)
-        free_by_engine = {room.engine: max(0, room.slots) for room in free_capacity}
+        free_by_engine = {
+            capacity.engine: max(0, capacity.free_slots) for capacity in free_capacity
+        }
         runs = [(text, available[name]) for name in sorted(slow) for text in available[name].runs]
         movable = [
             MovableRun(
                 number,
                 engine.name,
-                max(text.expected_tokens / TOKENS_PER_EVENT - text.events_made, LEAST_LEFT),
+                max(
+                    text.expected_tokens / TOKENS_PER_EVENT - text.events_made, MIN_REMAINING_EVENTS
+                ),
                 frozenset(available),
             )
             for number, (text, engine) in enumerate(runs)
         ]
-        for number in choose_moves(movable, slow, free_by_engine, waiting=0):
+        for number in choose_moves(movable, slow, free_by_engine, waiting_items=0):
             text, engine = runs[number]
             self._end_run(engine, text, entry_alive=True)
 
--- a/bench/_serving.py
+++ b/bench/_serving.py
@@ -176,16 +176,18 @@
         for endpoint in self.endpoint_by_name.values():
             endpoint.reported = (endpoint.running, len(endpoint.queue))
         demands = [admission.demand(self.now) for admission in self.admissions]
-        wanted = [self.in_flight[entry] + self.queues[entry].waiting for entry in range(ENTRIES)]
+        wanted = [
+            self.in_flight[entry] + self.queues[entry].queued_count for entry in range(ENTRIES)
+        ]
         for entry in range(ENTRIES):
             others = [other for other in range(ENTRIES) if other != entry]
             peers = tuple(PeerDemand(self.now, demands[other]) for other in others)
-            self.admissions[entry].share(peers, self.now)
+            self.admissions[entry].divide_by_demand(peers, self.now)
             wanted_elsewhere = tuple(float(wanted[other]) for other in others)
             slots = entry_slots(self.capacity, float(wanted[entry]), wanted_elsewhere)
             self.queues[entry].slots = slots
             self.sent_since_report[entry].clear()
-            for rejected in self.queues[entry].expire(self.now):
+            for rejected in self.queues[entry].shed_expired(self.now):
                 self.reject(self.request_by_item.pop(rejected.item.item_id), rejected.retry_after_s)
             self.send_queued(entry)
 
@@ -193,7 +195,7 @@
         account = request.arrival.client_account
         request.tries += 1
         if self.policy.admission:
-            answer = self.admissions[request.entry].ask(account, self.now)
+            answer = self.admissions[request.entry].admit(account, self.now)
             if not isinstance(answer, Admitted):
                 self.reject(request, answer.retry_after_s)
                 return
@@ -239,9 +241,9 @@
             self.in_flight[entry] -= 1
             self.in_flight_by_endpoint[entry][name] -= 1
             took_s = self.now - sent_s
-            self.routers[entry].answered(name, took_s / request.arrival.expected_s)
+            self.routers[entry].record_success(name, took_s / request.arrival.expected_s)
             if item is not None:
-                self.queues[entry].correct(item, took_s)
+                self.queues[entry].charge_actual_time(item, took_s)
             self.record_answer(request, endpoint)
             self.send_queued(entry)
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -12,7 +12,15 @@
 from dataclasses import dataclass
 
 from bench._report import bar_plot, print_table, spread
-from ibisspring_decisions.capacity import CHEAP, STANDARD, Capacity, Place, Running, Start, Wanted
+from ibisspring_decisions.capacity import (
+    CHEAP,
+    STANDARD,
+    CapacityPlanner,
+    CapacityPool,
+    RunningEndpoint,
+    StartEndpoint,
+    WantedFleet,
+)
 
 # Endpoint counts of the services that the two deployments run: scorer-lm and sorter-llm are model
 # services, archive-app and ticketing are plain ones.
@@ -38,7 +46,7 @@
 class Span:
     """A time span in which no endpoint can start in a place; a reclaim also stops those there."""
 
-    place: Place
+    place: CapacityPool
     from_s: int
     to_s: int
     reclaim: bool
@@ -66,46 +74,50 @@
 class FixedFleet:
     """A fleet of fixed places; each reclaimed endpoint is ordered again there at every step."""
 
-    def __init__(self, places: list[Place]) -> None:
+    def __init__(self, places: list[CapacityPool]) -> None:
         self.places = places
 
-    def plan(self, now: int, running: list[Place], starting: list[Place]) -> list[Place]:
+    def plan(
+        self, now: int, running: list[CapacityPool], starting: list[CapacityPool]
+    ) -> list[CapacityPool]:
         missing = list(self.places)
         for place in [*running, *starting]:
             if place in missing:
                 missing.remove(place)
         return missing
 
-    def note(self, place: Place, lost: bool, now: int) -> None:
+    def note(self, place: CapacityPool, lost: bool, now: int) -> None:
         """No-op: a fixed fleet does not react to lost or unavailable endpoints."""
 
-    def endpoints_to_stop(self) -> list[Place]:
+    def endpoints_to_stop(self) -> list[CapacityPool]:
         return []
 
 
 class PlannedFleet:
     """A fleet that is planned by `ibisspring_decisions.capacity`."""
 
-    def __init__(self, wanted: Wanted) -> None:
+    def __init__(self, wanted: WantedFleet) -> None:
         self.wanted = wanted
-        self.capacity = Capacity()
-        self._to_stop: list[Place] = []
+        self.capacity = CapacityPlanner()
+        self._to_stop: list[CapacityPool] = []
 
-    def plan(self, now: int, running: list[Place], starting: list[Place]) -> list[Place]:
-        serving = tuple(Running(str(number), place) for number, place in enumerate(running))
+    def plan(
+        self, now: int, running: list[CapacityPool], starting: list[CapacityPool]
+    ) -> list[CapacityPool]:
+        serving = tuple(RunningEndpoint(str(number), place) for number, place in enumerate(running))
         steps = self.capacity.plan("lm", self.wanted, serving, tuple(starting), float(now))
         self._to_stop = [
-            running[int(step.endpoint)] for step in steps if not isinstance(step, Start)
+            running[int(step.endpoint)] for step in steps if not isinstance(step, StartEndpoint)
         ]
-        return [step.place for step in steps if isinstance(step, Start)]
+        return [step.place for step in steps if isinstance(step, StartEndpoint)]
 
-    def note(self, place: Place, lost: bool, now: int) -> None:
+    def note(self, place: CapacityPool, lost: bool, now: int) -> None:
         if lost:
-            self.capacity.note_lost(place, float(now))
+            self.capacity.record_loss(place, float(now))
         else:
-            self.capacity.note_unavailable(place, float(now))
+            self.capacity.record_unavailable(place, float(now))
 
-    def endpoints_to_stop(self) -> list[Place]:
+    def endpoints_to_stop(self) -> list[CapacityPool]:
         return self._to_stop
 
 
@@ -115,11 +127,11 @@
     spans = []
     for _ in range(RECLAIMS_A_DAY):
         start = source.randrange(DAY_S)
-        place = Place(source.choice(DATA_CENTRES), CHEAP)
+        place = CapacityPool(source.choice(DATA_CENTRES), CHEAP)
         spans.append(Span(place, start, start + RECLAIM_SPAN_S, reclaim=True))
     for _ in range(UNAVAILABLE_A_DAY):
         start = source.randrange(DAY_S)
-        place = Place(source.choice(DATA_CENTRES), source.choice((CHEAP, STANDARD)))
+        place = CapacityPool(source.choice(DATA_CENTRES), source.choice((CHEAP, STANDARD)))
         spans.append(Span(place, start, start + UNAVAILABLE_SPAN_S, reclaim=False))
     return spans
 
@@ -129,8 +141,8 @@
     spans = draw_spans(seed)
     source = random.Random(seed + 1000)
     outcome = Outcome()
-    running: list[Place] = []
-    starting: list[tuple[int, Place]] = []
+    running: list[CapacityPool] = []
+    starting: list[tuple[int, CapacityPool]] = []
     load = 1.0
     for now in range(0, DAY_S, STEP_S):
         if now % 600 == 0:
@@ -158,8 +170,8 @@
 def _add_step(
     outcome: Outcome,
     count: int,
-    running: list[Place],
-    starting: list[tuple[int, Place]],
+    running: list[CapacityPool],
+    starting: list[tuple[int, CapacityPool]],
     load: float,
 ) -> None:
     offered = count * load
@@ -178,11 +190,11 @@
 def fleets(count: int) -> dict[str, FixedFleet | PlannedFleet]:
     """Return the planned fleet and the fixed fleets that it is compared with, by name."""
     cheap = int(count * CHEAP_SHARE)
-    standard = [Place(DATA_CENTRES[number % 3], STANDARD) for number in range(count)]
-    cheap_spread = [Place(DATA_CENTRES[number % 3], CHEAP) for number in range(cheap)]
-    cheap_in_one = [Place(DATA_CENTRES[0], CHEAP) for _ in range(cheap)]
+    standard = [CapacityPool(DATA_CENTRES[number % 3], STANDARD) for number in range(count)]
+    cheap_spread = [CapacityPool(DATA_CENTRES[number % 3], CHEAP) for number in range(cheap)]
+    cheap_in_one = [CapacityPool(DATA_CENTRES[0], CHEAP) for _ in range(cheap)]
     return {
-        "planned": PlannedFleet(Wanted(DATA_CENTRES, count, CHEAP_SHARE)),
+        "planned": PlannedFleet(WantedFleet(DATA_CENTRES, count, CHEAP_SHARE)),
         "fixed, all standard": FixedFleet(standard),
         "fixed, cheap spread": FixedFleet(cheap_spread + standard[cheap:]),
         "fixed, cheap in one": FixedFleet(cheap_in_one + standard[cheap:]),
--- a/bench/dispatch.py
+++ b/bench/dispatch.py
@@ -12,7 +12,7 @@
 from ibisspring_jobs.commands import COMMANDS, AcceptJob
 from ibisspring_jobs.dispatcher import Dispatcher
 from ibisspring_jobs.state import JobsState
-from ibisspring_jobs.surroundings import Surroundings
+from ibisspring_jobs.surroundings import DispatchContext
 
 REPEATS = 200
 RUNS = 176
@@ -60,21 +60,21 @@
     records = tuple(record(number, slots) for number in range(engines))
     terms = ServiceTerms("scorer", 100, slots, 1 << 30)
     state = JobsState()
-    context = Surroundings(lambda service: records, lambda service: terms, lambda: 1000.0)
+    context = DispatchContext(lambda service: records, lambda service: terms, lambda: 1000.0)
     dispatcher = Dispatcher(state, context, 1)
     state.apply(1, COMMANDS.encode(AcceptJob(job(RUNS + WAITING))))
     for number in range(RUNNERS):
         call = TakeWork(f"e{number}", f"centre-{number % 3}", "x", 1, 1, (), 1 << 10, 0.4)
-        dispatcher.take(call, 0.0).waiting = True
-    dispatcher.match(0.0)
+        dispatcher.register_call(call, 0.0).waiting = True
+    dispatcher.assign_waiting_items(0.0)
     assert len(dispatcher.run_by_number) == RUNS
     times_s = []
     for repeat in range(REPEATS):
         if run_ends:
             number = next(iter(dispatcher.run_by_number))
-            dispatcher.report(Outcome(number, "broken"), repeat * DECISION_EVERY_S)
+            dispatcher.process_outcome(Outcome(number, "broken"), repeat * DECISION_EVERY_S)
         started_s = time.perf_counter()
-        dispatcher.match((repeat + 1) * DECISION_EVERY_S - 0.01)
+        dispatcher.assign_waiting_items((repeat + 1) * DECISION_EVERY_S - 0.01)
         times_s.append(time.perf_counter() - started_s)
     assert len(dispatcher.run_by_number) == RUNS
     return median(times_s)
--- a/bench/exchange.py
+++ b/bench/exchange.py
@@ -5,11 +5,11 @@
 import time
 
 from bench._report import print_table
-from ibisspring_core.endpoint_table import EndpointTable, Heard
+from ibisspring_core.endpoint_table import EndpointTable, ReceivedRecord
 from ibisspring_core.messages.endpoints import EndpointLoad, EndpointRecord
 from ibisspring_core.pb import entry_peer_pb2
 from ibisspring_entry.registry.peer_sent import Delta, SentToPeer
-from ibisspring_entry.registry.peer_wire import pack, take_all
+from ibisspring_entry.registry.peer_wire import encode_records, merge_records
 from ibisspring_entry.registry.peers import EXCHANGE_EVERY_S
 
 # Endpoints and entries of each row.
@@ -35,19 +35,19 @@
     )
 
 
-def exchange(table: EndpointTable, received: list[Heard], full_records: bool) -> bytes:
+def exchange(table: EndpointTable, received: list[ReceivedRecord], full_records: bool) -> bytes:
     """Encode, decode and apply one exchange; returns its bytes."""
     sent = SentToPeer()
     if not full_records:
-        sent.acknowledged(Delta(tuple(received), ()), 0.0)
+        sent.record_acknowledged(Delta(tuple(received), ()), 0.0)
     delta = sent.delta(received, 1.0)
-    records, ages_s = pack(delta.whole, 1.0)
+    records, ages_s = encode_records(delta.complete, 1.0)
     request = entry_peer_pb2.ExchangeRequest(
         daemon="e1", endpoints=records, ages_s=ages_s, refreshes=delta.refreshes, digest=1 << 63
     )
     data = request.SerializeToString()
     decoded = entry_peer_pb2.ExchangeRequest.FromString(data)
-    take_all(table, decoded.endpoints, decoded.ages_s, 1.0)
+    merge_records(table, decoded.endpoints, decoded.ages_s, 1.0)
     for refresh in decoded.refreshes:
         load = EndpointLoad(refresh.running, refresh.queued, refresh.capacity)
         start = (refresh.endpoint, refresh.incarnation)
@@ -57,10 +57,10 @@
 
 def measure(endpoints: int, entries: int, full_records: bool) -> tuple[str, ...]:
     """Measure bytes and processor time a second of one entry's exchanges with all others."""
-    received = [Heard(record(number), 0.0, True) for number in range(endpoints)]
+    received = [ReceivedRecord(record(number), 0.0, True) for number in range(endpoints)]
     table = EndpointTable(5.0)
     for entry_record in received:
-        table.take(entry_record.record, 0.0)
+        table.merge(entry_record.record, 0.0)
     # Each announcement reaches one entry; each exchange carries the announcements of its interval.
     share = endpoints / entries / ANNOUNCE_EVERY_S * EXCHANGE_EVERY_S
     count = max(1, round(share))
--- a/bench/rollouts.py
+++ b/bench/rollouts.py
@@ -17,8 +17,8 @@
 from bench._patterns import DEPLOYMENTS, Deployment
 from bench._report import bar_plot, print_table, spread
 from ibisspring_decisions.sampling import (
-    MemberView,
-    Start,
+    AttemptStart,
+    SampleState,
     expected_publications,
     is_stale,
     may_start,
@@ -38,14 +38,16 @@
 HANG_S = 120.0
 TICK_S = 0.5
 
-Planner = Callable[[tuple[MemberView, ...], int, tuple[float, ...], float], tuple[Start, ...]]
+Planner = Callable[
+    [tuple[SampleState, ...], int, tuple[float, ...], float], tuple[AttemptStart, ...]
+]
 
 
 @dataclass
 class Step:
     """A step's samples; `running` is a heap of end, sample, start and version of each attempt."""
 
-    views: list[MemberView]
+    views: list[SampleState]
     version_by_member: dict[int, int] = field(default_factory=dict)
     running: list[tuple[float, int, float, int]] = field(default_factory=list)
     durations_s: list[float] = field(default_factory=list)
@@ -63,8 +65,8 @@
 
 
 def without_races(
-    views: tuple[MemberView, ...], free: int, durations_s: tuple[float, ...], now: float
-) -> tuple[Start, ...]:
+    views: tuple[SampleState, ...], free: int, durations_s: tuple[float, ...], now: float
+) -> tuple[AttemptStart, ...]:
     """Plan starts without races: no durations are given that would show an attempt to be slow."""
     return plan_starts(views, free, (), now)
 
@@ -118,7 +120,7 @@
 
     def gather(self, publish_at_s: float) -> float:
         """Run one step, in which the trainer publishes; returns the time of the complete batch."""
-        step = Step([MemberView(g, m) for g in range(GROUPS) for m in range(GROUP_SIZE)])
+        step = Step([SampleState(g, m) for g in range(GROUPS) for m in range(GROUP_SIZE)])
         published = int(publish_at_s <= self.now)
         publications_left = 1 - published
         expected = expected_publications(self.publications) if self.policy.holds_back else 0
@@ -150,7 +152,7 @@
             duration_s = self.draw_duration_s()
             heapq.heappush(step.running, (self.now + duration_s, index, self.now, version))
             view = step.views[index]
-            step.views[index] = replace(view, started_s=(*view.started_s, self.now))
+            step.views[index] = replace(view, attempt_starts_s=(*view.attempt_starts_s, self.now))
 
     def draw_duration_s(self) -> float:
         """Draw the seconds of one attempt."""
@@ -171,7 +173,7 @@
             self.result.made += 1
             step.version_by_member[index] = version
             step.durations_s.append(self.now - started_s)
-            step.views[index] = replace(view, done=True, started_s=())
+            step.views[index] = replace(view, done=True, attempt_starts_s=())
             step.running = [entry for entry in step.running if entry[1] != index]
             heapq.heapify(step.running)
 
