--- a/bench/lost_worth.py
+++ b/bench/lost_worth.py
@@ -73,7 +73,7 @@
         for window in worst:
             if window.worth >= 1.0:
                 continue
-            active = ", ".join(dict.fromkeys(one.kind for one in day.during(window)))
+            active = ", ".join(dict.fromkeys(one.kind for one in day.events_overlapping(window)))
             lost = f"{window.late} late, {window.refused} refused, {window.failed} failed"
             rows.append((name, f"{window.name} s", f"{window.worth:.2f}", lost, active or "none"))
     print_table(("day", "from", "earned", "of its requests", "disturbances then"), rows)
--- a/packages/ibisspring-core/src/ibisspring_core/peer_rpc.py
+++ b/packages/ibisspring-core/src/ibisspring_core/peer_rpc.py
@@ -69,7 +69,7 @@
         self._servicers: list[Callable[[grpc.aio.Server], None]] = []
         self._server: grpc.aio.Server | None = None
 
-    def answer(self, message_type: type[Any], handler: Handler) -> None:
+    def register_handler(self, message_type: type[Any], handler: Handler) -> None:
         """
         Register the handler of a message type.
 
--- a/packages/ibisspring-directory/src/ibisspring_directory/service.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/service.py
@@ -123,7 +123,7 @@
         )
         self.state.subscribe(self.mark_changed)
         server = kernel.find("peer_server")
-        server.answer(Renew, self.renew)
+        server.register_handler(Renew, self.renew)
         on_leader = {
             Announce: self.endpoints.announce,
             Depart: self.endpoints.depart,
@@ -134,7 +134,7 @@
             CountUsage: self.count_usage,
         }
         for message_type, handler in on_leader.items():
-            server.answer(message_type, self._leader_only(handler))
+            server.register_handler(message_type, self._leader_only(handler))
         self._sweep_timer = kernel.find("timer").subscribe("directory", SWEEP_S, self._sweep)
 
     async def stop(self) -> None:
--- a/packages/ibisspring-directory/src/ibisspring_directory/status.py
+++ b/packages/ibisspring-directory/src/ibisspring_directory/status.py
@@ -48,7 +48,7 @@
         self._directory = kernel.find("directory")
         self._duties = kernel.find("duties")
         self._consensus = kernel.find("consensus")
-        kernel.find("peer_server").answer(ReadDirectoryStatus, self.read)
+        kernel.find("peer_server").register_handler(ReadDirectoryStatus, self.read)
 
     async def stop(self) -> None:
         """No-op: nothing runs in the background."""
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/service.py
@@ -100,8 +100,8 @@
             ReportWork: self.report_work,
         }
         for message_type, handler in handler_by_type.items():
-            server.answer(message_type, self._leader_only(handler))
-        server.answer(ReadListed, self.read_listed)
+            server.register_handler(message_type, self._leader_only(handler))
+        server.register_handler(ReadListed, self.read_listed)
         self._ticks = kernel.find("timer").subscribe("jobs", TICK_S, self._tick)
 
     async def stop(self) -> None:
--- a/packages/ibisspring-jobs/src/ibisspring_jobs/status.py
+++ b/packages/ibisspring-jobs/src/ibisspring_jobs/status.py
@@ -36,7 +36,7 @@
         self._state = kernel.find("jobs_state")
         self._view = kernel.find("directory_view")
         self._consensus = kernel.find("consensus")
-        kernel.find("peer_server").answer(ReadJobsStatus, self.read)
+        kernel.find("peer_server").register_handler(ReadJobsStatus, self.read)
 
     async def stop(self) -> None:
         """No-op: there is no task or connection to close."""
--- a/tests/integration/test_frozen_calls.py
+++ b/tests/integration/test_frozen_calls.py
@@ -32,7 +32,7 @@
         return await asyncio.get_running_loop().create_future()
 
     server = PeerServer(address, PEER_MESSAGES)
-    server.answer(Renew, never_answer)
+    server.register_handler(Renew, never_answer)
     await server.start(None)
     return server
 
--- a/tests/unit/core/test_peer_rpc.py
+++ b/tests/unit/core/test_peer_rpc.py
@@ -36,7 +36,7 @@
 
     address = free_address()
     server = PeerServer(address, PEER_MESSAGES)
-    server.answer(Renew, answer_late)
+    server.register_handler(Renew, answer_late)
     client = PeerClient(PEER_MESSAGES, Counters.from_config(None))
     await server.start(None)
     yield client, address
--- a/tests/unit/platform/test_day_reports.py
+++ b/tests/unit/platform/test_day_reports.py
@@ -43,8 +43,8 @@
 def test_window_lists_the_disturbances_that_overlap_it(report) -> None:
     day = read_report(report)
 
-    assert [event.kind for event in day.during(day.windows[1])] == ["kill_all"]
-    assert [event.kind for event in day.during(day.windows[0])] == []
+    assert [event.kind for event in day.events_overlapping(day.windows[1])] == ["kill_all"]
+    assert [event.kind for event in day.events_overlapping(day.windows[0])] == []
 
 
 def test_main_prints_the_tables_and_draws_the_losses(report, capsys, monkeypatch, tmp_path) -> None:
