--- a/packages/ibisspring-core/src/ibisspring_core/caller_leaving.py
+++ b/packages/ibisspring-core/src/ibisspring_core/caller_leaving.py
@@ -19,14 +19,15 @@
     """
     Wrap an application so that a request is cancelled when its caller disconnects.
 
-    Without this, the framework goes on iterating a stream after its reader has disconnected, and
-    the engine generates tokens that no caller receives. Cancellation runs the stream's clean-up,
-    which cancels the request at the engine.
+    Without this wrapper, the framework would go on iterating a stream after its reader has
+    disconnected, and the engine would generate tokens that no caller receives. Cancellation runs
+    the stream's clean-up, which cancels the request at the engine.
 
-    :param application: the ASGI application.
+    :param application: the ASGI application that answers the requests.
     :param read_timeout_s: seconds after which a send to a caller that reads nothing is cancelled.
-        The path may have lost the connection's state; the request would continue and be billed.
-    :return: the wrapped application.
+        A firewall on the path may have lost the connection's state; without this limit the request
+        would continue and be billed.
+    :return: the ASGI application that the server calls instead.
     """
 
     async def serve(scope: Event, receive: Receive, send: Send) -> None:
@@ -49,7 +50,7 @@
         try:
             await request_task
         except asyncio.CancelledError:
-            # The caller is disconnected, so there is no reader for a response.
+            # The caller has disconnected, so no response is sent.
             return
 
     return serve
--- a/packages/ibisspring-core/src/ibisspring_core/cancellation.py
+++ b/packages/ibisspring-core/src/ibisspring_core/cancellation.py
@@ -1,4 +1,4 @@
-"""Distinguishes the cancellation of a task from that of a call it awaits."""
+"""Distinguishes the cancellation of a task from that of a gRPC call that the task awaits."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-core/src/ibisspring_core/clock.py
+++ b/packages/ibisspring-core/src/ibisspring_core/clock.py
@@ -9,16 +9,17 @@
     """
     Read a monotonic clock that also counts the time for which the VM was suspended.
 
-    A lease timed by CLOCK_MONOTONIC, which stops during suspension, would still be valid for the
-    resumed process after it has lapsed in real time. CLOCK_BOOTTIME continues, so that the lease
-    has lapsed on resumption.
+    CLOCK_MONOTONIC stops during suspension: a lease that is timed by it would still be valid for
+    the resumed process after it has lapsed in real time. CLOCK_BOOTTIME continues, so that the
+    lease has lapsed when the process resumes.
 
     :return: seconds since boot.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-# Approximate start time of this process: daemons import this module before their other modules.
+# Approximate start time of this process, in seconds on the boot clock: daemons import this module
+# before their other modules.
 PROCESS_STARTED_S = boot_now()
 
 
--- a/packages/ibisspring-core/src/ibisspring_core/connections.py
+++ b/packages/ibisspring-core/src/ibisspring_core/connections.py
@@ -19,17 +19,20 @@
 
 Headers = tuple[tuple[str, str], ...]
 
-# An endpoint on a powered-off VM does not answer a SYN; another endpoint is tried after this time.
+# Seconds to wait for a TCP connection to an endpoint. An endpoint on a powered-off VM does not
+# answer a SYN; another endpoint is tried after this time.
 CONNECT_TIMEOUT_S = 0.5
-# Each endpoint limits its connections over all daemons together.
+# Maximum number of connections from this daemon to one endpoint. Each endpoint limits its
+# connections over all daemons together.
 CONNECTIONS_PER_ENDPOINT = 16
-# Longer than the keep-alive time of endpoints, which close idle connections themselves and announce
-# that time in each response.
+# Seconds after which this daemon closes an idle connection. This is longer than the keep-alive time
+# of endpoints, which close idle connections themselves and announce their keep-alive time in each
+# response.
 IDLE_S = 75.0
-# Assumed for an endpoint that sends no Keep-Alive header.
+# Keep-alive time in seconds that is assumed for an endpoint that sends no Keep-Alive header.
 DEFAULT_KEEP_ALIVE_S = 5.0
-# Limit for unacknowledged bytes; beyond it the endpoint's VM counts as powered off and the
-# connection fails.
+# Milliseconds for which sent bytes may stay unacknowledged. Afterwards the endpoint's VM counts as
+# powered off and the connection fails.
 TCP_USER_TIMEOUT_MS = 1500
 _SUPPRESSED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 
@@ -88,8 +91,8 @@
         """
         Send a read-only request over a pooled connection.
 
-        :param request: a request without side effects; orders use the guarded connections of
-            `guarded_http` instead.
+        :param request: a request without side effects; orders to the platform or an endpoint use
+            the guarded connections of `guarded_http` instead.
         :param timeout_s: seconds until the complete response must have arrived.
         :return: the response, or the error that prevented it.
         """
--- a/packages/ibisspring-core/src/ibisspring_core/control_channels.py
+++ b/packages/ibisspring-core/src/ibisspring_core/control_channels.py
@@ -10,10 +10,11 @@
 if TYPE_CHECKING:
     from ibisspring_core.pb.control_pb2_grpc import ControlStub
 
-# gRPC's default maximum of the reconnect backoff is 120 s; a control VM restarts within seconds.
+# Maximum milliseconds between two attempts to reconnect. gRPC's default is 120 s; a control VM
+# restarts within seconds.
 MAX_BACKOFF_MS = 1_000
 MAX_MESSAGE_BYTES = 16_777_216
-# Time for other calls on a replaced channel to finish.
+# Seconds that other calls on a replaced channel have to finish before they are cancelled.
 CLOSE_GRACE_S = 5.0
 _OPTIONS = (
     ("grpc.initial_reconnect_backoff_ms", 100),
@@ -21,15 +22,16 @@
     ("grpc.max_reconnect_backoff_ms", MAX_BACKOFF_MS),
     ("grpc.max_send_message_length", MAX_MESSAGE_BYTES),
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
-    # With the global pool a new channel would reuse the dead connection of the one it replaces.
+    # With the global pool of connections, a new channel would reuse the dead connection of the
+    # channel that it replaces.
     ("grpc.use_local_subchannel_pool", 1),
-    # An operator's proxy settings apply to the web, not to control VMs.
+    # An operator's proxy settings are for requests to the web, not for calls to control VMs.
     ("grpc.enable_http_proxy", 0),
 )
 
 
 class ControlChannels:
-    """The open channels by address."""
+    """The open channels to control daemons, by address."""
 
     def __init__(self) -> None:
         self._channel_by_address: dict[str, grpc.aio.Channel] = {}
@@ -40,7 +42,6 @@
         Return the gRPC stub of a control daemon; opens the channel if there is none.
 
         :param address: IP:port of the daemon.
-        :return: the stub.
         """
         from ibisspring_core.pb.control_pb2_grpc import ControlStub
 
@@ -77,9 +78,9 @@
 
     def replace(self, address: str) -> None:
         """
-        Close a channel after a call on it timed out; the next call opens a new connection.
+        Close the channel to an address after a call timed out; the next call opens a new one.
 
-        If the connection's state is lost on the path, for example in a firewall, every call on it
+        If a firewall on the path loses the state of a connection, every call on this connection
         times out while new connections work.
 
         :param address: IP:port of the daemon.
--- a/packages/ibisspring-core/src/ibisspring_core/control_client.py
+++ b/packages/ibisspring-core/src/ibisspring_core/control_client.py
@@ -23,20 +23,23 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings import Settings
 
-# Time limit of one try. A commit takes milliseconds and the server waits at most one second for the
-# entries, so that no reply within two seconds means a dead or silent connection.
+# Time limit of one try, in seconds. A commit takes milliseconds and the server waits at most one
+# second until all entries have received the change, so that no reply within two seconds means a
+# dead or silent connection.
 TRY_S = 2.0
-# Time limit of all tries of a call; longer than the failure detection and election of a new leader.
+# Time limit of all tries of a call, in seconds; longer than the detection of a leader's failure and
+# the election of a new leader.
 TOTAL_S = 10.0
-# Limits of a renewal in addition to its long-poll time. After a failed renewal, enough time must
-# remain for the next one before a lease of three seconds lapses.
+# Time limits of one try and of all tries of a lease renewal, in seconds in addition to its
+# long-poll time. After a failed renewal, enough time must remain for the next renewal before a
+# lease of three seconds lapses.
 RENEW_TRY_S = 0.8
 RENEW_TOTAL_S = 1.7
 RETRY_PAUSE_S = 0.1
 REDIRECT_PAUSE_S = 0.01
 MIN_TIMEOUT_S = 0.05
-# An address that did not answer is not used for this long, not even after a redirect: the other
-# replicas redirect to a frozen leader until they have elected a new one.
+# Seconds for which an address that did not answer is not called, not even after a redirect: the
+# other replicas redirect to a frozen leader until they have elected a new one.
 AVOID_S = 2.0
 RETRY_AFTER_S = 1.0
 
@@ -44,7 +47,7 @@
 @dataclass(frozen=True)
 class Attempt:
     """
-    The outcome of one try.
+    The outcome of one try of a call.
 
     :param reply: the reply; None if there is none.
     :param reason: the reason why there is no reply.
@@ -77,15 +80,14 @@
     @classmethod
     def from_config(cls, settings: Settings) -> ControlClient:
         """
-        Build the client; channels open with the first call.
+        Build the client from a daemon's settings; channels open with the first call.
 
         :param settings: settings with the addresses of the control daemons.
-        :return: the client.
         """
         return cls(dict(settings.control_addresses))
 
     async def start(self, kernel: Kernel) -> None:
-        """Look up the counters."""
+        """Look up the service `counters`, which counts retries and refusals."""
         self._counters = kernel.find("counters")
 
     async def stop(self) -> None:
@@ -132,7 +134,8 @@
         """
         Renew an entry's lease.
 
-        :param request: the renewal. The caller counts the lease from a time before this call.
+        :param request: the renewal. The caller counts the lease's duration from a time before this
+            call.
         :return: the leader's reply, or a refusal.
         """
         hold_s = request.hold_s
@@ -160,7 +163,8 @@
             if reply.status == control_pb2.INVALID:
                 return Refusal(Reason.BAD_REQUEST, True, None, reply.detail)
             if reply.status == control_pb2.UNKNOWN:
-                # The leader's reply: the command is being committed or waits for the entries.
+                # The leader replied that the command may or may not have been committed, or that
+                # some entries have not received its result yet.
                 sent = True
                 await self._pause(Reason.IN_PROGRESS, end_s)
                 continue
@@ -179,7 +183,7 @@
         except asyncio.CancelledError:
             if is_task_cancelled():
                 raise
-            # Another call on the channel failed, and the channel was closed.
+            # Another call on the channel timed out, and the channel was closed.
             return Attempt(None, Reason.NO_LEADER, sent=True)
         except grpc.aio.AioRpcError as error:
             if error.code() == grpc.StatusCode.DEADLINE_EXCEEDED:
@@ -187,11 +191,12 @@
                 self._channels.replace(address)
                 return Attempt(None, Reason.TIMEOUT, sent=True)
             self._forget_leader(address)
-            # gRPC does not report whether bytes were sent before the connection broke.
+            # gRPC does not report whether bytes were sent before the connection broke, so the
+            # request counts as sent.
             return Attempt(None, Reason.NO_LEADER, sent=True)
 
     def _avoid(self, address: str) -> None:
-        """Use the other replicas' addresses for the next `AVOID_S` seconds."""
+        """Call only the other replicas for the next `AVOID_S` seconds, if there are any."""
         self._forget_leader(address)
         self._avoided_until_by_address[address] = boot_now() + AVOID_S
 
--- a/packages/ibisspring-core/src/ibisspring_core/counters.py
+++ b/packages/ibisspring-core/src/ibisspring_core/counters.py
@@ -30,10 +30,10 @@
     @classmethod
     def from_config(cls, settings: StatsdSettings | None) -> Counters:
         """
-        Build the counters.
+        Build the counters of this process.
 
-        :param settings: address of statsd; None keeps the counts in memory only.
-        :return: the counters.
+        :param settings: address of the statsd server that they are sent to; None keeps them in
+            memory only.
         """
         if settings is None:
             return cls(None)
@@ -70,19 +70,11 @@
             self._client.timing(f"{name}.{outcome}", seconds * MS)
 
     def refused(self, reason: Reason) -> None:
-        """
-        Count a refusal.
-
-        :param reason: reason of the refusal.
-        """
+        """Count a refusal in the counter `refused.<reason>`."""
         self.add(f"refused.{reason.value}")
 
     def retried(self, reason: Reason) -> None:
-        """
-        Count a retry.
-
-        :param reason: reason why the previous try failed.
-        """
+        """Count a retry in `retried.<reason>`, by the reason why the try before it failed."""
         self.add(f"retried.{reason.value}")
 
 
--- a/packages/ibisspring-core/src/ibisspring_core/directory_view.py
+++ b/packages/ibisspring-core/src/ibisspring_core/directory_view.py
@@ -1,4 +1,4 @@
-"""The service `directory_view`: this daemon's copy of the directory, received from its leader."""
+"""The service `directory_view`: this daemon's copy of the directory, sent by its leader."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
     from ibisspring_core.messages.endpoints import EndpointRecord
     from ibisspring_core.settings.vm import VmSettings
 
-# Long-poll time of a renewal; the leader answers earlier on a change. A longer one would make the
-# leader treat the daemon as unreachable, a shorter one would raise the leader's load with hundreds
-# of daemons.
+# Long-poll time of a renewal: seconds after which the leader answers if there is no change; on a
+# change it answers earlier. With a longer time the leader would treat the daemon as unreachable;
+# with a shorter time the renewals of hundreds of daemons would cost the leader more CPU time.
 HOLD_S = 0.4
 CALL_TIMEOUT_S = 1.0
 RENEW_TIMEOUT_S = 3.0
-# An entry without a renewal for this long rejects all requests, as keys may have been withdrawn in
-# the meantime. Far longer than an election, so that the loss of control VMs does not interrupt
-# service.
+# Seconds without a successful renewal after which an entry rejects all requests, as keys may have
+# been withdrawn in the meantime. This is far longer than an election, so that the loss of control
+# VMs does not interrupt service.
 SERVE_WITHOUT_CONTROL_S = 20.0
 KEEP_ENDPOINTS_S = 3600.0
-# When all processes restart together, a daemon receives its first table about this long after its
-# own start: one election timeout with its random part, then the first renewals.
+# Seconds from a daemon's start until it receives its first route table when all processes restart
+# together: one election timeout with its random part, then the first renewals.
 TABLE_EXPECTED_S = 1.15
 MIN_RETRY_AFTER_S = 0.3
 
@@ -43,7 +43,7 @@
 
 
 class DirectoryView:
-    """Renews continuously and notifies subscribers of each change."""
+    """Renews this daemon's directory view continuously and notifies subscribers of changes."""
 
     name = "directory_view"
 
@@ -63,15 +63,15 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> DirectoryView:
         """
-        Build the service.
+        Build the service for one daemon.
 
-        :param settings: checked settings of an entry or a store.
-        :return: the service.
+        :param settings: checked settings of an entry or a store; its address, name, data centre and
+            role are sent with each renewal.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Start the renewal task."""
+        """Start the task that renews the view."""
         self._counters = kernel.find("counters")
         self._current_settings = kernel.find("current_settings")
         self._leader = LeaderClient(kernel.find("peer_client"), self._addresses)
@@ -79,7 +79,7 @@
         self._task = asyncio.create_task(self._run(), name="directory_view")
 
     async def stop(self) -> None:
-        """Cancel the renewal task."""
+        """Cancel the task that renews the view."""
         if self._task is not None:
             self._task.cancel()
 
@@ -89,10 +89,10 @@
 
     def set_usage_source(self, source: UsageSource) -> None:
         """
-        Set the source of the usage counts that each renewal carries.
+        Set the source of the usage counts that are sent with each renewal.
 
-        :param source: called with the number of the newest closed window; returns the counts of
-            later windows.
+        :param source: called with the number of the newest closed usage window; returns the counts
+            of later usage windows.
         """
         self._usage_source = source
 
@@ -112,21 +112,21 @@
 
     @property
     def table_version(self) -> int:
-        """Version of the route table in force in this daemon; -1 before the first."""
+        """Version of the route table in force in this daemon; -1 until a table is received."""
         return self.index.table.version if self.index is not None else -1
 
     def may_serve(self) -> bool:
-        """Whether a table is in force and renewed within `SERVE_WITHOUT_CONTROL_S`."""
+        """Whether a route table is in force and was renewed within `SERVE_WITHOUT_CONTROL_S`."""
         if self.index is None or self._renewed_at is None:
             return False
         return boot_now() - self._renewed_at <= SERVE_WITHOUT_CONTROL_S
 
     def retry_after_s(self) -> float:
         """
-        Return the Retry-After, in seconds, for requests refused because no table is in force.
+        Return the Retry-After, in seconds, for requests refused because no route table is in force.
 
-        With 0.3 s right after a start, callers repeated their request before a leader was elected
-        and had then used up their only retry.
+        With 0.3 s right after a start, callers would repeat their request before a leader is
+        elected, and their only retry would be refused too.
         """
         return max(MIN_RETRY_AFTER_S, PROCESS_STARTED_S + TABLE_EXPECTED_S - boot_now())
 
@@ -175,8 +175,8 @@
         self._apply(answer)
 
     def _apply(self, view: View) -> None:
-        # The table version never decreases: a deposed leader may still answer one call with an
-        # older view.
+        # A deposed leader may still answer one call with an older view. Such a view is ignored, so
+        # that the version of the route table never decreases.
         if view.epoch < self.view.epoch:
             self._counters.add("directory_view.older_epoch")
             return
--- a/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
+++ b/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
@@ -30,8 +30,8 @@
 """
 Number of TTLs after the last announcement at which a record is deleted.
 
-Until then a GONE record stays, so that a late copy relayed by a peer cannot bring the endpoint
-back. Later copies are rejected by their own age.
+Until then a GONE record stays, so that a late copy relayed by a peer cannot make the endpoint serve
+again. Copies that arrive after the deletion are rejected because of their own age.
 """
 
 
@@ -67,7 +67,6 @@
         """
         Merge an announcement into the table.
 
-        :param record: the announcement.
         :param received_at: when an entry received it, in seconds on this entry's boot clock.
         :param direct: True if the endpoint announced itself to this entry, False if a peer
             relayed the record.
@@ -136,7 +135,8 @@
         if known is None or comparable_fields(received.record) != comparable_fields(known.record):
             self.changed.add(endpoint)
             return
-        # The daemon that stops a draining endpoint waits until its load is zero.
+        # The daemon that stops a draining endpoint waits until no request runs there, so it needs
+        # each change of the load.
         if received.record.state == LEAVING and received.record.load != known.record.load:
             self.changed.add(endpoint)
 
@@ -187,8 +187,8 @@
         """
         Return the newest incarnation at each address.
 
-        A delayed announcement may arrive after its sender has exited and another endpoint has
-        started at the same address. Without this check both would count as serving there.
+        A delayed announcement may arrive after its endpoint has exited and another endpoint has
+        started at the same address. Without this check both endpoints would count as serving there.
         """
         newest: dict[str, int] = {}
         for received in self._received_by_endpoint.values():
@@ -202,7 +202,7 @@
 
     def stale_endpoints(self, now: float) -> tuple[str, ...]:
         """
-        List the endpoints without an announcement for more than half a TTL.
+        List the endpoints whose last announcement is more than half a TTL old.
 
         This entry asks its peers for newer announcements of these endpoints.
 
@@ -253,7 +253,6 @@
     """
     Return the fields of a record whose change is reported to peers and to the leader.
 
-    :param record: a record.
     :return: equal values for two records of an endpoint that differ only in sequence, load and
         other hints.
     """
--- a/packages/ibisspring-core/src/ibisspring_core/errors.py
+++ b/packages/ibisspring-core/src/ibisspring_core/errors.py
@@ -1,4 +1,4 @@
-"""Errors as values: a refusal with its reason, a finding with its position in a file."""
+"""Errors as values: a refused request with its reason, a fault with its position in a file."""
 
 from __future__ import annotations
 
@@ -40,9 +40,8 @@
     """
     A typed refusal, returned in place of a result and never raised.
 
-    :param reason: the cause.
-    :param not_run: True only if no byte was sent to an endpoint, or the endpoint answered that it
-        rejected the request before it started.
+    :param not_run: True only if no byte of the request was sent to an endpoint, or the endpoint
+        answered that it rejected the request before it started.
     :param retry_after_s: seconds after which the caller may retry; None if a retry cannot help.
     :param detail: one sentence for humans, without secrets.
     """
--- a/packages/ibisspring-core/src/ibisspring_core/exposition.py
+++ b/packages/ibisspring-core/src/ibisspring_core/exposition.py
@@ -28,8 +28,8 @@
     """
     Converts the counters and histograms of this process to metric families.
 
-    It runs in a thread of the metrics server and reads copies, since the event loop's thread may
-    add names at the same time.
+    `collect` runs in a thread of the metrics server and reads copies of the tables, since the event
+    loop's thread may add names at the same time.
     """
 
     def __init__(self, counters: Counters) -> None:
@@ -37,7 +37,7 @@
 
     def collect(self) -> Iterator[CounterMetricFamily | HistogramMetricFamily]:
         """
-        Return the current counters and histograms.
+        Yield the current counters and histograms.
 
         :return: one family for all counters, with the counter's name as a label, and one family for
             each name of a duration.
@@ -72,7 +72,7 @@
 
 class _Handler(WSGIRequestHandler):
     def log_message(self, format: str, *args: object) -> None:
-        """No-op: a log line for each read, every few seconds, is not useful."""
+        """No-op: a log line for each read of the metrics, every few seconds, is not useful."""
 
 
 def build_server(listener: socket.socket, counters: Counters) -> WSGIServer:
--- a/packages/ibisspring-core/src/ibisspring_core/grpc_runtime.py
+++ b/packages/ibisspring-core/src/ibisspring_core/grpc_runtime.py
@@ -2,7 +2,8 @@
 The service `grpc_runtime`: creates the pollers of gRPC's native library.
 
 If the system has no free file descriptor while the library creates its pollers, the library aborts
-the process with a signal. Once the pollers exist, a lack of descriptors fails only a single call.
+the process with a signal. Once the pollers exist, a lack of descriptors makes only single calls
+fail.
 """
 
 from __future__ import annotations
@@ -46,7 +47,7 @@
         self._keep_alive = grpc.aio.server()
 
     async def stop(self) -> None:
-        """Release the pollers."""
+        """Stop the server that keeps the pollers alive, so that the library releases them."""
         await self._keep_alive.stop(None)
 
 
@@ -59,7 +60,7 @@
 
 
 def _descriptor_error() -> OSError | None:
-    """Open and close as many descriptors as the library needs; return a temporary error if any."""
+    """Open and close as many descriptors as the library needs; return a temporary error."""
     opened = []
     try:
         for _ in range(DESCRIPTORS_NEEDED):
--- a/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
+++ b/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
@@ -1,4 +1,4 @@
-"""Sends HTTP requests of which no byte arrives after the sender's lease has lapsed."""
+"""Sends HTTP requests of which no byte arrives after the lease of the sending daemon has lapsed."""
 
 from __future__ import annotations
 
@@ -67,11 +67,12 @@
     """
     A TCP socket that checks the lease immediately before each send system call.
 
-    A process that is frozen after an earlier check would continue when it is thawed, although its
-    lease has lapsed, and send orders beside its successor. Here the check is the last statement
-    before the system call, so that only a freeze between these few instructions escapes it.
-    TCP_USER_TIMEOUT ends the kernel's retransmission when the lease lapses, even while the process
-    is frozen: bytes sent during a network partition do not arrive after it heals.
+    If the lease were checked earlier, a process that is frozen after the check and resumed after
+    its lease has lapsed would send its order while its successor sends orders too. Here the check
+    is the last statement before the system call, so that only a freeze between these few
+    instructions goes unnoticed. TCP_USER_TIMEOUT ends the operating system's retransmission when
+    the lease lapses, even while the process is frozen: bytes sent during a network partition do not
+    arrive after the partition heals.
     """
 
     lease_left: RemainingLease
@@ -105,15 +106,16 @@
         opened.sent = False
         opened.setblocking(False)
         opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # With this option, closing resets the connection and discards its unsent bytes. Otherwise
-        # the kernel would still deliver them, followed by a FIN.
+        # With this option, closing resets the connection and discards its unsent bytes. Without it,
+        # the operating system would still deliver these bytes, followed by a FIN.
         opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         self.sockets.append(opened)
         return opened
 
     async def connect(self, *arguments: Any, **keywords: Any) -> Any:
         # aiohttp repeats an idempotent request once if the connection closes without a response.
-        # That second order would have no committed intent, so the second connection is refused.
+        # That second order would have no committed `OrderIntent`, so the second connection is
+        # refused.
         if self.transport is not None:
             raise aiohttp.ClientConnectionError("the connection closed without a response")
         connection = await super().connect(*arguments, **keywords)
@@ -136,7 +138,7 @@
     """
     Send a request once, on a new connection, while a lease is valid.
 
-    :param request: the request.
+    :param request: the request, for example an order to the platform.
     :param lease_left: returns the remaining time of the lease in seconds, from a clock that counts
         suspension.
     :param min_lease_left_s: minimum remaining time of the lease, in seconds, when bytes are sent.
@@ -164,7 +166,8 @@
 async def _wait_until_done(
     exchange: asyncio.Task[HttpAnswer], lease_left: RemainingLease, timeout_s: float
 ) -> str:
-    # The event loop's timers stop while the VM is suspended, so the clocks are polled.
+    # The event loop's timers stop while the VM is suspended. The lease and the time limit are
+    # therefore checked every `LEASE_POLL_S` seconds on clocks that count the suspension.
     end_s = boot_now() + timeout_s
     while not exchange.done():
         if lease_left() <= 0:
--- a/packages/ibisspring-core/src/ibisspring_core/json_input.py
+++ b/packages/ibisspring-core/src/ibisspring_core/json_input.py
@@ -14,15 +14,14 @@
     Decode a JSON document.
 
     :param data: UTF-8 from an untrusted sender.
-    :param kind: the expected type; one that msgspec can decode.
-    :return: the value.
+    :param kind: the type of the value to return; one that msgspec can decode.
     :raises msgspec.DecodeError: if the data is not JSON, not of that type, or nested too deeply.
     """
     try:
         return msgspec.json.decode(data, type=kind)
     except RecursionError as error:
         # msgspec also parses the contents of unknown fields, recursively up to the interpreter's
-        # limit.
+        # recursion limit, which a sender can exceed with nested brackets.
         raise msgspec.DecodeError("nested too deeply") from error
 
 
--- a/packages/ibisspring-core/src/ibisspring_core/kept_connections.py
+++ b/packages/ibisspring-core/src/ibisspring_core/kept_connections.py
@@ -1,26 +1,26 @@
 """
 Counts the connections to endpoints that are idle and still open at the endpoint.
 
-A trainer's step starts eighty texts on five engines every few seconds, each over a connection of
-its own, and any of eight entries may read them; between steps the engines keep idle connections
-open for some seconds. Without these counts, the entry that reads an engine's texts changes with the
-momentary load of each entry, and each change opens new connections although idle ones exist at
-another entry: 240 connections were opened for 740 texts of which at most 80 run at a time, and each
-new connection costs a tenth of the value of a lookup.
+Every few seconds a trainer's step starts the generation of eighty texts on five engines. Each text
+needs a connection of its own, and any of eight entries may read it; between steps the engines keep
+idle connections open for some seconds. Without these counts, the choice of the entry that reads an
+engine's texts would change with the work that each entry has at the moment, and each change would
+open new connections although another entry has idle ones: 240 connections were opened for 740 texts
+of which at most 80 run at a time, and each new connection costs a tenth of the value of a lookup.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-# Subtracted from the keep-alive time that an endpoint announces with each response, for the
-# response's transfer and a late wake-up: a request on a connection that the endpoint is closing is
-# lost.
+# Seconds subtracted from the keep-alive time that an endpoint announces with each response, for the
+# response's transfer and a late wake-up of this process: a request on a connection that the
+# endpoint is closing is lost.
 MARGIN_S = 0.5
 
 
 class IdleConnections:
-    """The idle connections by key; `now` is in seconds on a monotonic clock."""
+    """The idle connections by endpoint; `now` is in seconds on a monotonic clock."""
 
     def __init__(self) -> None:
         self._expiries_by_key: dict[tuple[str, ...], deque[float]] = {}
@@ -29,8 +29,8 @@
         """
         Record that a connection became idle.
 
-        :param key: the endpoint, after the daemon that holds the connection where there are
-            several.
+        :param key: the endpoint; preceded by the daemon that holds the connection if the
+            connections of several daemons are counted.
         :param now: seconds on a monotonic clock.
         :param keep_s: seconds that the endpoint keeps the connection open; 0 if it closes it.
         """
@@ -41,7 +41,7 @@
         """
         Record that a request uses an idle connection: the one that became idle first.
 
-        The connection pool takes them in the same order.
+        The connection pool uses its idle connections in the same order.
 
         :return: False if there was none, so that a new connection is opened.
         """
--- a/packages/ibisspring-core/src/ibisspring_core/kernel.py
+++ b/packages/ibisspring-core/src/ibisspring_core/kernel.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: services are registered by name and look each other up by it."""
+"""The kernel: the registry in which the services of a daemon find each other by name."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     """
     Holds the services of one process, starts them in order and stops them in reverse order.
 
-    `stopping` is set when the process receives a signal to stop; a service that is waiting in its
-    `start` then aborts it.
+    `stopping` is set when the process receives a signal to stop; a service that is still waiting in
+    its `start` then ends the wait.
     """
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
         """
         Register a service; call this before `start`.
 
-        :param service: the service. Raises `ValueError` if its name is already registered.
+        :param service: the service; raises `ValueError` if its name is already registered.
         """
         if service.name in self.service_by_name:
             raise ValueError(f"service {service.name!r} is registered twice")
--- a/packages/ibisspring-core/src/ibisspring_core/latencies.py
+++ b/packages/ibisspring-core/src/ibisspring_core/latencies.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 PREFIX = "ibisspring_"
-# Upper bounds of the buckets, from a call between processes of one VM to the longest generation.
-# Each is two to two and a half times the previous one (the last three times), so that a quantile is
-# known to about that factor.
+# Upper bounds of the histograms' buckets in seconds, from the duration of a call between processes
+# of one VM to that of the longest text generation. Each bound is two to two and a half times the
+# bound before it (the last bound three times), so that a quantile is known to about that factor.
 BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
 
 
--- a/packages/ibisspring-core/src/ibisspring_core/leader_client.py
+++ b/packages/ibisspring-core/src/ibisspring_core/leader_client.py
@@ -1,4 +1,4 @@
-"""The client of a replicated log's leader: finds the leader and follows redirects."""
+"""Calls the leader of a replicated log: finds the leader and follows redirects."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 
     def __init__(self, client: PeerClient, addresses: Addresses) -> None:
         """
-        Build a client.
+        Build a client that does not know the leader's address yet.
 
-        :param client: the channels to other daemons.
+        :param client: sends the calls to the daemons of the log.
         :param addresses: returns the addresses at which the leader may be, the likeliest first.
         """
         self._client = client
@@ -88,8 +88,8 @@
         if not addresses:
             return ""
         if addresses[0] != self._last_first:
-            # The directory reported a new leader. In rotation with thirty other daemons it would
-            # be called only seconds later.
+            # The directory reported a new leader, which is called next. In rotation with thirty
+            # other daemons, the new leader would be called only seconds later.
             self._last_first = addresses[0]
             return addresses[0]
         self._rotation += 1
--- a/packages/ibisspring-core/src/ibisspring_core/log_budget.py
+++ b/packages/ibisspring-core/src/ibisspring_core/log_budget.py
@@ -3,8 +3,8 @@
 
 When every request of a flood is refused, an endpoint fails every try or a retry loop does not
 pause, lines of one message type come thousands of times a second. Without limits, writing them
-takes the CPU time that requests need, copies of one line fill the log collector's disk, and the few
-lines that name the cause are lost among them.
+would take the CPU time that requests need, copies of one line would fill the log collector's disk,
+and the few lines that name the cause would be hard to find.
 
 Each message type has a token bucket of its own, so that a flood of one type drops no lines of
 another; lines about failures have a larger bucket. While lines are buffered for a slow reader,
@@ -18,9 +18,11 @@
 # type uses at most 0.5% of a core for 100 routine lines and 2% for 400 lines about failures.
 ROUTINE_PER_S = 100.0
 FAILURES_PER_S = 400.0
-# A burst of one or two seconds, as after a change of leader, is written completely.
+# Size of a token bucket, in seconds of its rate: a burst of lines of one or two seconds, as after a
+# change of leader, is written completely.
 BURST_S = 2.0
-# Buffer size: the lines of ten seconds at 600 lines a second, for a reader that stops that long.
+# Buffer size in bytes: the lines of ten seconds at 600 lines a second, for a reader that stops for
+# ten seconds.
 BUFFER_BYTES = 2_000_000
 # Share of the buffer that routine lines may fill.
 ROUTINE_SHARE = 0.5
@@ -45,7 +47,7 @@
 
 
 class LogBudget:
-    """The rate limits of one process; callers pass `now`."""
+    """The rate limits for the log lines of one process."""
 
     def __init__(self) -> None:
         self._bucket_by_kind: dict[tuple[str, bool], _TokenBucket] = {}
@@ -59,7 +61,7 @@
         :param failure: whether the line reports a failure or a refusal.
         :param buffered_bytes: size of the lines that are buffered and not written yet.
         :param now: seconds on a monotonic clock.
-        :return: False for a line that is dropped; it is counted.
+        :return: False if the line must be dropped, which is then counted.
         """
         limit_bytes = BUFFER_BYTES if failure else BUFFER_BYTES * ROUTINE_SHARE
         key = (kind, failure)
--- a/packages/ibisspring-core/src/ibisspring_core/logs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/logs.py
@@ -21,13 +21,15 @@
 DROPPED_LINES_KIND = "log:left_out"
 # A line in which one of these fields is not empty reports a failure.
 FAILURE_FIELDS = ("reason", "error")
-# Lines that arrive within this time are written in one call. A process that is killed loses them.
+# Seconds that the writing thread waits after a line arrives: lines that arrive within this time are
+# written in one call. A process that is killed loses these lines.
 WRITE_DELAY_S = 0.01
 # Seconds between two reports of dropped lines.
 DROPPED_REPORT_EVERY_S = 1.0
-# At exit a process waits this long, in seconds, for a reader of the remaining lines.
+# Seconds that a process waits at exit until the buffered lines are written.
 FLUSH_S = 0.5
-# Eliot's position of a message within an action. No message here belongs to an action.
+# Fields in which eliot stores the position of a message within an action. They are omitted, since
+# no message of the daemons belongs to an action.
 _ACTION_FIELDS = ("task_uuid", "task_level")
 
 
@@ -35,8 +37,8 @@
     """
     Eliot's destination, which buffers messages and writes them in a separate thread.
 
-    Written by the event loop, a pipe whose reader has stopped would block the loop after 64 KiB,
-    and the process would answer no request.
+    If the event loop wrote the lines itself, a pipe whose reader has stopped would block the loop
+    after 64 KiB, and the process would answer no request.
     """
 
     def __init__(self, descriptor: int, process: str) -> None:
@@ -70,7 +72,7 @@
 
     def _enqueue(self, fields: dict[str, Any], now: float) -> None:
         fields["process"] = self._process
-        # The wall clock of a VM may be wrong or jump; this one is monotonic.
+        # The wall clock of a VM may be wrong or jump; the boot clock is monotonic.
         fields["boot_s"] = round(now, 4)
         line = msgspec.json.encode(fields, enc_hook=str) + b"\n"
         with self._bytes_lock:
@@ -130,7 +132,7 @@
 
     :param path: file to append to; None for standard error.
     :param process: name of this daemon, added to each line.
-    :return: the writer, which is flushed when the process exits.
+    :return: the writer; it writes its buffered lines when the process exits.
     """
     if path is None:
         return log_to(sys.stderr.fileno(), process)
@@ -148,7 +150,7 @@
 
     :param descriptor: file descriptor of the file or pipe; must stay open until the process exits.
     :param process: name of this daemon, added to each line.
-    :return: the writer.
+    :return: the writer, already started; it writes its buffered lines when the process exits.
     """
     faulthandler.enable(descriptor, all_threads=True)
     writer = LineWriter(descriptor, process)
--- a/packages/ibisspring-core/src/ibisspring_core/messages/claim_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/claim_commands.py
@@ -31,7 +31,7 @@
 @dataclass(frozen=True)
 class SettleClaim:
     """
-    Settle a claim.
+    Settle a claim: record the outcome of the request that it was made for.
 
     :param client_account: account of the caller.
     :param key: the caller's Idempotency-Key.
@@ -56,7 +56,7 @@
 @dataclass(frozen=True)
 class ClaimState:
     """
-    Result of `ClaimKey` and `SettleClaim`.
+    Result of `ClaimKey` and `SettleClaim`: the state of the claim after the command.
 
     :param state: `granted` (the proposer may send the request), `running`, `done`, `may_have_run`,
         `conflict` or `released`.
--- a/packages/ibisspring-core/src/ibisspring_core/messages/codec.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/codec.py
@@ -1,4 +1,4 @@
-"""Encodes frozen data classes to msgpack, alone or as pairs of kind and body."""
+"""Encodes frozen data classes to msgpack, alone or as pairs of kind (class name) and body."""
 
 from __future__ import annotations
 
@@ -11,17 +11,16 @@
 
 def encode(message: Any) -> bytes:
     """
-    Encode a data class without its kind, for a receiver that knows the type.
+    Encode a data class to msgpack without its kind, for a receiver that knows the type.
 
     :param message: a data class of `ibisspring_core.messages`.
-    :return: msgpack bytes.
     """
     return msgspec.msgpack.encode(message)
 
 
 def decode(data: bytes, message_type: type[MessageT]) -> MessageT:
     """
-    Decode and validate a data class that was encoded without its kind.
+    Decode and validate a data class that `encode` encoded without its kind.
 
     :param data: bytes from `encode`.
     :param message_type: the expected type.
@@ -40,25 +39,19 @@
     @classmethod
     def from_types(cls, *types: type[Any]) -> KindCodec:
         """
-        Build a codec in which a type's kind is its class name.
+        Build a codec for a set of data classes, in which a message's kind is its class name.
 
-        :param types: the data classes of the set.
-        :return: the codec.
+        :param types: all data classes that the codec can encode and decode.
         """
         return cls({kind_type.__name__: kind_type for kind_type in types})
 
     def encode(self, message: Any) -> bytes:
-        """
-        Encode a message of the set.
-
-        :param message: the message.
-        :return: msgpack bytes.
-        """
+        """Encode a message of the set to msgpack, as a pair of its kind and its fields."""
         return msgspec.msgpack.encode((self._kind_by_type[type(message)], message))
 
     def decode(self, data: bytes) -> Any:
         """
-        Decode a message of the set.
+        Decode a message of the set to the type that its kind names.
 
         :param data: bytes from `encode`.
         :return: the message; raises `msgspec.ValidationError` if the kind is unknown or the
--- a/packages/ibisspring-core/src/ibisspring_core/messages/commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/commands.py
@@ -2,10 +2,11 @@
 Commands to the replicated state machine and their results.
 
 Every command is idempotent. Most have an idempotency key of their own (usage sequence, order id,
-window, claim, step and epoch) and may be proposed under any request id; the state machine answers a
-repeated command from the state stored under that key. `ApplyRules` and `DrainEndpoint` have none:
-their key is the `Envelope`'s request id, made by `ibisspring_core.request_ids.new_request_id`. If
-the state machine refuses a command, its result is `Refused`.
+usage window, claim, step and epoch) and may be proposed under any request id; the state machine
+answers a repeated command from the state stored under that key. `ApplyRules` and `DrainEndpoint`
+have none: their key is the `Envelope`'s request id, made by
+`ibisspring_core.request_ids.new_request_id`. If the state machine refuses a command, its result is
+`Refused`.
 """
 
 from __future__ import annotations
@@ -53,7 +54,7 @@
 @dataclass(frozen=True)
 class Envelope:
     """
-    Content of one log entry.
+    Content of one entry of the replicated log: a command with its request id and time.
 
     :param request_id: idempotency key of the command, set by the proposer.
     :param stamped_s: the leader's wall clock at the proposal, in seconds since 1970. The state
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True)
 class Done:
-    """Result of a command that returns no value."""
+    """Result of a command that was applied and returns no value."""
 
 
 @dataclass(frozen=True)
--- a/packages/ibisspring-core/src/ibisspring_core/messages/directory.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/directory.py
@@ -13,14 +13,14 @@
 @dataclass(frozen=True)
 class Member:
     """
-    A daemon that may hold a replica of a log.
+    A daemon that may store a replica of a replicated log.
 
     :param address: IP:port of its peer server, which is also its id in the log.
     :param daemon: name of the daemon, as operators use it.
     :param data_centre: data centre of its VM.
     :param disk_id: id of its disk.
     :param empty: whether the disk has never belonged to a cluster.
-    :param cluster: id of the cluster that the disk belongs to; empty for none.
+    :param cluster: id of the cluster of replicas that the disk belongs to; empty for none.
     """
 
     address: str
@@ -47,11 +47,11 @@
 @dataclass(frozen=True)
 class UsageCount:
     """
-    Requests of one client account that endpoints started in one window, counted by one entry.
+    Requests of one client account that endpoints started in a usage window, counted by one entry.
 
     :param window: number of the usage window.
     :param client_account: name of the client account.
-    :param count: total for the window so far; a later count replaces it.
+    :param count: total for the usage window so far; a later count replaces this one.
     """
 
     window: int
@@ -62,7 +62,7 @@
 @dataclass(frozen=True)
 class Renew:
     """
-    Renewal: a daemon reports that it is alive and asks for changes of its view.
+    Renewal: a daemon reports that it is alive and asks for changes of its view of the directory.
 
     :param address: IP:port of the daemon's peer server.
     :param daemon: name of the daemon.
@@ -70,18 +70,18 @@
     :param incarnation: random id of the daemon's start.
     :param role: `entry`, `store` or `control`.
     :param epoch: epoch of the daemon's view; 0 for none.
-    :param revision: revision of that view.
+    :param revision: revision of that view; the leader answers at once if it has a later one.
     :param table_version: version of the route table in force in the daemon; -1 for none.
     :param hold_s: seconds that the leader waits for a change before it answers.
-    :param member: the daemon's disk; None if it has none.
-    :param usage: counts of windows that are not closed yet.
+    :param member: the daemon with its disk, as a possible replica; None without a disk.
+    :param usage: counts of the usage windows that are not closed yet.
     :param leads_jobs: whether the daemon is the leader of the jobs' log.
     :param job_members: peer addresses of the replicas of that log; only from its leader.
     :param wall_s: the daemon's wall clock, in seconds since 1970.
     :param demand: pairs of service and recent maximum of items that could run at the same time;
         only from the jobs' leader.
-    :param allowed: pairs of model and oldest weight version that its newest job accepts; only from
-        the jobs' leader.
+    :param allowed: pairs of model and oldest weight version that the newest job of the model
+        accepts; only from the jobs' leader.
     """
 
     address: str
@@ -105,10 +105,10 @@
 @dataclass(frozen=True)
 class AgedEndpoint:
     """
-    An endpoint's record with its age.
+    An endpoint's record with the age of its announcement.
 
     :param record: the newest announcement.
-    :param age_s: seconds since it was received.
+    :param age_s: seconds since the announcement was received.
     """
 
     record: EndpointRecord
@@ -118,13 +118,13 @@
 @dataclass(frozen=True)
 class View:
     """
-    The part of the directory that a daemon needs.
+    Answer to `Renew`: the part of the directory that the daemon needs.
 
     :param epoch: number of the directory's leader; rises with each new leader.
     :param revision: number of the view; rises with each change within an epoch.
     :param table: the route table; None if the version in the renewal is still in force.
     :param table_version: version of the route table in force; -1 for none.
-    :param endpoints: records of the endpoints.
+    :param endpoints: records of the known endpoints.
     :param learning: True while the leader is new and may not have received announcements of all
         endpoints.
     :param version_by_model: newest weight version published by trainers, by model. Empty for an
@@ -160,7 +160,7 @@
 @dataclass(frozen=True)
 class Unchanged:
     """
-    The view that the renewal named is current.
+    Answer to `Renew`: the view with the renewal's epoch and revision is still current.
 
     :param wall_s: wall clock that most daemons agree on, in seconds since 1970.
     :param closed_window: newest usage window whose counts are final; -1 for none.
@@ -177,7 +177,7 @@
 
     :param address: IP:port of the entry's peer server.
     :param incarnation: random id of the entry's start.
-    :param usage: all counts of windows that are not closed yet.
+    :param usage: all counts of usage windows that are not closed yet.
     """
 
     address: str
@@ -188,7 +188,7 @@
 @dataclass(frozen=True)
 class UsageCounted:
     """
-    The counts are recorded.
+    Answer to `CountUsage`: the counts are recorded.
 
     :param pause_s: seconds to wait before the next `CountUsage`.
     """
@@ -199,9 +199,9 @@
 @dataclass(frozen=True)
 class Announce:
     """
-    An endpoint's announcement, forwarded by the daemon that received it.
+    An endpoint's announcement, forwarded to the directory's leader.
 
-    :param record: the announcement.
+    :param record: the announcement, as the daemon that forwards it received it.
     """
 
     record: EndpointRecord
@@ -210,7 +210,7 @@
 @dataclass(frozen=True)
 class Depart:
     """
-    An endpoint reports that it has stopped.
+    An endpoint reports that it has stopped; its record then changes to state LEAVING.
 
     :param endpoint: id of the endpoint.
     :param incarnation: incarnation that has stopped; UNKNOWN_INCARNATION for the newest known one.
@@ -223,10 +223,10 @@
 @dataclass(frozen=True)
 class Announced:
     """
-    The announcement was recorded.
+    Answer to `Announce`: the announcement was recorded.
 
-    :param leader: peer address of the leader, which later announcements should be sent to; empty if
-        unknown.
+    :param leader: peer address of the directory's leader, which later announcements should be sent
+        to; empty if unknown.
     """
 
     leader: str = ""
@@ -235,7 +235,7 @@
 @dataclass(frozen=True)
 class ReplaceTable:
     """
-    Asks to replace the complete configuration.
+    Asks to replace the complete configuration (routes, services and client accounts).
 
     :param table: the new route table.
     :param document: the configuration as the operator sent it, returned byte for byte by
@@ -249,9 +249,9 @@
 @dataclass(frozen=True)
 class TableReplaced:
     """
-    The table, or one with a higher version, is in force.
+    Answer to `ReplaceTable`: the new table, or one with a higher version, is in force.
 
-    :param version: the version in force.
+    :param version: version of the table in force.
     """
 
     version: int
@@ -265,7 +265,7 @@
 @dataclass(frozen=True)
 class TableRead:
     """
-    The newest configuration.
+    Answer to `ReadTable`: the newest configuration.
 
     :param version: version of its route table; -1 if there is no configuration yet.
     :param document: the configuration as the operator sent it.
@@ -281,7 +281,7 @@
     A trainer publishes a weight version of its model.
 
     :param model: name of the model.
-    :param version: number of the version.
+    :param version: number of the weight version.
     """
 
     model: str
@@ -290,7 +290,7 @@
 
 @dataclass(frozen=True)
 class VersionNamed:
-    """The published version is recorded."""
+    """Answer to `NameVersion`: the published weight version is recorded."""
 
 
 @dataclass(frozen=True)
@@ -299,7 +299,7 @@
     An operator asks to retire a store, whose data then moves to other stores.
 
     :param daemon: name of the store's daemon.
-    :param begin: True starts the retirement; False only asks for its state.
+    :param begin: True starts the retirement; False only asks for the state of an earlier one.
     """
 
     daemon: str
@@ -309,7 +309,7 @@
 @dataclass(frozen=True)
 class Retiring:
     """
-    State of a store's retirement.
+    Answer to `Retire`: the state of the store's retirement.
 
     :param state: `unknown` if there is no such store, `too_few` if too few stores would remain,
         `active` while the data moves, or `completed`.
--- a/packages/ibisspring-core/src/ibisspring_core/messages/endpoints.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/endpoints.py
@@ -8,7 +8,7 @@
 @dataclass(frozen=True)
 class EndpointLoad:
     """
-    Load as reported by the endpoint; it lags behind the actual load.
+    Requests at an endpoint, as the endpoint reports them; the report is later than the changes.
 
     :param running: number of requests that run.
     :param queued: number of requests in the endpoint's queue.
@@ -36,7 +36,7 @@
     :param state: `serving`, `leaving` (final for the incarnation) or `gone` (TTL expired).
     :param version_by_adapter: weight version in use, by adapter name. An adapter has the name of
         its trainer; the empty name is the base model.
-    :param load: the last load report.
+    :param load: the endpoint's requests at the time of the announcement.
     :param prefixes: digests of prompt prefixes that the endpoint reports as cached. The report is
         late and incomplete, so this is a hint.
     :param checks_fencing: whether the endpoint rejects orders with an old fencing number.
@@ -64,12 +64,12 @@
 @dataclass(frozen=True)
 class Disproof:
     """
-    A weight version that an engine announced, but did not use for tokens it generated afterwards.
+    Report that an engine announced a weight version and generated later tokens with another one.
 
     :param endpoint: id of the engine.
     :param incarnation: incarnation of the engine.
     :param adapter: name of the adapter.
-    :param version: the announced version.
+    :param version: the weight version that was announced and not used.
     """
 
     endpoint: str
--- a/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
@@ -14,7 +14,8 @@
     """
     The request that scores an item's complete text.
 
-    It is sent after the text is complete. It is idempotent and belongs to no client account.
+    The reward call is sent after the text is complete. The call is idempotent and belongs to no
+    client account.
 
     :param request: id of the request at the endpoint.
     :param host: host name that, together with `path`, selects the route.
@@ -42,7 +43,7 @@
         their results have value only when the group is complete.
     :param prompt_tokens: number of prompt tokens.
     :param expected_tokens: the caller's estimate of the number of output tokens; 0 for none.
-    :param reward: the request that scores the text; None if the text alone is the result.
+    :param reward: the request that scores the generated text; None if the text alone is the result.
     """
 
     item: str
@@ -114,19 +115,19 @@
 
 @dataclass(frozen=True)
 class SubmitJob:
-    """Asks to accept a job; a repeated message does not create a second job."""
+    """Asks the jobs' leader to accept a job; a repeated message does not create a second job."""
 
     job: Job
 
 
 @dataclass(frozen=True)
 class JobAccepted:
-    """The job is stored by a majority of the stores."""
+    """Answer to `SubmitJob`: the job is stored by a majority of the stores."""
 
 
 @dataclass(frozen=True)
 class UnknownJob:
-    """The job does not exist for this client account; the leader is confirmed by a quorum."""
+    """The job does not exist for this client account, as a leader confirmed by a quorum answers."""
 
 
 @dataclass(frozen=True)
@@ -138,8 +139,8 @@
     :param client_account: account that submitted the job.
     :param after: first position, from 0.
     :param hold_s: seconds to wait for a result at that position.
-    :param max_bytes: maximum bytes of output; the answer contains at least one result if there is
-        one.
+    :param max_bytes: maximum bytes of output in the answer; it contains at least one result if
+        there is one.
     :param inline_bytes: bytes of output above which the answer is `ResultsListed`, with positions
         instead of results; None for no limit.
     """
@@ -155,7 +156,7 @@
 @dataclass(frozen=True)
 class ResultsListed:
     """
-    Results exist, and can be read from any store that has applied them.
+    Answer to `ReadResults`: results exist and can be read from any store that has applied them.
 
     :param total: number of items of the job.
     :param listed: position after the last result that fits into one answer.
@@ -185,7 +186,7 @@
 @dataclass(frozen=True)
 class ResultsRead:
     """
-    Results from the requested position on.
+    Answer to `ReadResults` and `ReadListed`: results from the requested position on.
 
     :param total: number of items of the job.
     :param results: the results in the order of their positions.
@@ -206,7 +207,7 @@
 
 @dataclass(frozen=True)
 class BodyRead:
-    """The request body; None if the item has a result, has ended or is not part of the job."""
+    """Answer to `ReadBody`; None if the item has a result, has ended or is not in the job."""
 
     body: bytes | None
 
@@ -221,13 +222,13 @@
 
 @dataclass(frozen=True)
 class JobEnded:
-    """The job has ended; none of its items starts to run any more."""
+    """Answer to `EndJob`: the job has ended and none of its items starts to run any more."""
 
 
 @dataclass(frozen=True)
 class Assignment:
     """
-    An item that a runner is to run at an endpoint, and then to score.
+    An item that a runner (a daemon that runs items) is to run at an endpoint, and then to score.
 
     :param number: number of the assignment, unique within an epoch.
     :param job: id of the job.
@@ -265,16 +266,16 @@
 @dataclass(frozen=True)
 class TakeWork:
     """
-    A runner asks for assignments.
+    A runner asks the jobs' leader for assignments.
 
     :param runner: peer address of the runner's daemon.
     :param data_centre: data centre of the runner.
     :param incarnation: id of the daemon's start.
-    :param epoch: epoch of the last work that the runner received.
+    :param epoch: epoch of the last `Work` that the runner received.
     :param sequence: number of the call; rises with each call of an incarnation.
     :param running: numbers of the assignments that run under that epoch.
     :param free: number of further assignments that the runner accepts.
-    :param hold_s: seconds to wait for work.
+    :param hold_s: seconds that the leader waits for new assignments before it answers.
     :param events: number of events generated so far by each assignment of `running`, in the same
         order.
     """
@@ -293,7 +294,7 @@
 @dataclass(frozen=True)
 class Work:
     """
-    New assignments for a runner, and running ones that it must stop.
+    Answer to `TakeWork`: new assignments for a runner, and running ones that it must stop.
 
     :param epoch: rises with each leader of the jobs' log. Assignments of an earlier epoch are
         cancelled.
@@ -320,7 +321,7 @@
         broke or timed out; `turned_away` if the endpoint rejected the request before it started;
         `stale` if the endpoint has another weight version; `unscored` if the reward call failed
         the maximum number of times.
-    :param output: data of the run's events since its last report, joined by line feeds.
+    :param output: data of the run's events since the last report, joined by line feeds.
     :param events: number of these events.
     :param versions: weight versions that generated them, in order.
     :param first_s: seconds from the start to the first event; 0.0 if there was none.
@@ -367,7 +368,9 @@
 @dataclass(frozen=True)
 class ReportWork:
     """
-    A runner reports the ends of runs and the output of others; sent again until it is answered.
+    A runner reports ended runs and the new output of running ones.
+
+    The message is sent again until it is answered.
 
     :param runner: peer address of the runner's daemon.
     :param epoch: epoch of the assignments.
@@ -381,7 +384,7 @@
 
 @dataclass(frozen=True)
 class WorkReported:
-    """The outcomes were recorded, or ignored because they belong to an earlier epoch."""
+    """Answer to `ReportWork`: outcomes are recorded, or ignored if of an earlier epoch."""
 
 
 __all__ = [
--- a/packages/ibisspring-core/src/ibisspring_core/messages/order_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/order_commands.py
@@ -1,4 +1,4 @@
-"""Commands that record orders, drains and starts of daemons."""
+"""Commands that record orders to the platform and endpoints, drains and starts of daemons."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 @dataclass(frozen=True)
 class OrderIntent:
     """
-    Intent to send an order; committed before the order is sent.
+    Intent to send an order to the platform or an endpoint; committed before the order is sent.
 
     :param order_id: id of the order at the receiver, the same when the order is sent again.
     :param receiver: `platform` or `endpoint:<id>`.
@@ -34,7 +34,7 @@
 @dataclass(frozen=True)
 class OrderResolved:
     """
-    The outcome of an order.
+    The outcome of an order whose intent was recorded by `OrderIntent`.
 
     :param order_id: id of the order.
     :param outcome: `done`, `refused` or `unknown` (sent, but no answer before retries stopped).
--- a/packages/ibisspring-core/src/ibisspring_core/messages/rule_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/rule_commands.py
@@ -1,4 +1,4 @@
-"""Commands that replace the rules in force."""
+"""Commands that replace the text of the rules file in force."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/status.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/status.py
@@ -38,9 +38,8 @@
 @dataclass(frozen=True)
 class DutyStatus:
     """
-    A duty that involves orders to outside systems; one daemon at a time holds it.
+    A duty that involves orders to outside systems; one daemon at a time performs it.
 
-    :param duty: name of the duty.
     :param holder: name of the daemon that holds the duty; empty while a new leader waits until an
         earlier holder has certainly stopped sending orders.
     :param number: fencing number; rises with each holder.
@@ -60,13 +59,13 @@
 
     :param leader: peer address of the leader.
     :param term: the leader's consensus term.
-    :param voters: peer addresses of the voting replicas of the directory's log.
+    :param voters: peer addresses of the directory log's replicas that vote in elections.
     :param table_version: version of the newest route table; -1 for none.
     :param daemons: daemons that have renewed recently.
-    :param endpoints: records of the endpoints.
+    :param endpoints: records of the known endpoints.
     :param loading: pairs of endpoint and the model whose weights it loads.
     :param version_by_model: newest published weight version by model.
-    :param duties: duties of the leader.
+    :param duties: the duties that involve orders, with the daemon that performs each.
     :param closed_window: newest usage window whose counts are final; -1 for none.
     """
 
@@ -96,7 +95,7 @@
     :param client_account: account that submitted the job.
     :param model: name of the model.
     :param total: number of items.
-    :param listed: number of items with a result.
+    :param listed: number of items whose result has a position in the job's result list.
     :param running: number of items that run now.
     :param halves: number of items without a result whose partial output is stored.
     :param ended: whether the job has ended.
@@ -121,7 +120,7 @@
 
     :param address: IP:port of its peer server.
     :param data_centre: data centre of its VM.
-    :param running: number of items that it runs now.
+    :param running: number of items that the daemon runs now.
     """
 
     address: str
@@ -136,7 +135,7 @@
 
     :param leader: peer address of the leader.
     :param term: the leader's consensus term.
-    :param voters: peer addresses of the voting replicas of the jobs' log.
+    :param voters: peer addresses of the jobs log's replicas that vote in elections.
     :param jobs: the stored jobs.
     :param runners: daemons that run items.
     """
--- a/packages/ibisspring-core/src/ibisspring_core/messages/step_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/step_commands.py
@@ -52,7 +52,7 @@
 @dataclass(frozen=True)
 class StepState:
     """
-    Result of the step commands.
+    Result of the commands on a training step: the state of the step after the command.
 
     :param state: `open`, `delivered`, `acknowledged` or `conflict`.
     :param epoch: number of the step's owner; rises with each takeover and is part of the sample
@@ -87,7 +87,9 @@
 @dataclass(frozen=True)
 class DeliverBatch:
     """
-    Deliver a complete batch. The staleness bound is checked when the command is applied.
+    Deliver a complete batch of a training step to its trainer.
+
+    The staleness bound of the samples is checked when the command is applied.
 
     :param trainer: name of the trainer.
     :param step: number of the step.
@@ -108,7 +110,7 @@
     """
     Result of `DeliverBatch` if samples exceed the staleness bound at this log index.
 
-    :param trainer_version: the trainer's newest weight version.
+    :param trainer_version: the trainer's newest weight version at that index.
     :param stale_samples: ids of the samples that exceed the bound.
     """
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/usage_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/usage_commands.py
@@ -27,7 +27,7 @@
 @dataclass(frozen=True)
 class AddUsage:
     """
-    Add an entry's usage; idempotent under the key (daemon, incarnation, sequence).
+    Add usage that an entry counted; idempotent under the key (daemon, incarnation, sequence).
 
     :param daemon: id of the entry.
     :param incarnation: number of the entry's start.
@@ -48,8 +48,8 @@
     """
     Result of `AddUsage`.
 
-    :param window: index of the window that the usage was added to; a later one than requested if
-        that was closed already.
+    :param window: index of the usage window that the usage was added to; a later window than the
+        command's if that one was closed already.
     """
 
     window: int
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True)
 class CloseWindow:
-    """Make the usage of a window final; proposed by the leader after the end of the window."""
+    """Make the counts of a usage window final; the leader proposes this after the window's end."""
 
     window: int
 
 
 @dataclass(frozen=True)
 class WindowReported:
-    """The platform's usage interface has acknowledged the usage of the window."""
+    """The platform's usage interface has acknowledged the counts of a usage window."""
 
     window: int
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/views.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/views.py
@@ -25,7 +25,7 @@
 @dataclass(frozen=True)
 class EntryView:
     """
-    The part of the replicated state that entries use.
+    The part of the replicated state that entries use, at one log index.
 
     :param index: log index of the view; it never decreases.
     :param rules_version: version of the rules in force.
@@ -33,8 +33,8 @@
     :param version_by_trainer: newest weight version by trainer.
     :param draining: ids of endpoints that get no new work.
     :param peer_by_daemon: entries with a valid lease, by id.
-    :param peers_complete: False while a new leader may not have received a renewal from every such
-        entry.
+    :param peers_complete: False while a new leader may not have received a renewal from every entry
+        with a valid lease.
     :param usage_window_s: length of a usage window in seconds, from the leader's settings.
     """
 
--- a/packages/ibisspring-core/src/ibisspring_core/metrics_server.py
+++ b/packages/ibisspring-core/src/ibisspring_core/metrics_server.py
@@ -1,4 +1,4 @@
-"""Serves the process's metrics to collectors."""
+"""Serves the metrics of this process to metrics collectors such as Prometheus."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 class MetricsServer:
     """
-    The service `metrics_server`.
+    The service `metrics_server`: serves counters and histograms over HTTP.
 
     Requests are served in a separate thread, so that metrics can be read while the event loop is
-    blocked and a stalled reader does not block callers' requests. The HTTP server and exporter are
-    imported with the first request: they use a megabyte of memory, and the metrics of most
-    processes are never read.
+    blocked and a stalled reader of metrics does not block callers' requests. The HTTP server and
+    the exporter are imported with the first request: they use a megabyte of memory, and the metrics
+    of most processes are never read.
     """
 
     name = "metrics_server"
@@ -44,7 +44,8 @@
         except OSError as error:
             eliot.log_message("metrics_server:not_served", listen=self._listen, error=repr(error))
             return
-        # The client may have disconnected before `accept`, which would then block.
+        # A client may disconnect before `accept` is called. With a blocking socket, `accept` would
+        # then wait for the next client.
         listener.setblocking(False)
         self._wake, wake_receiver = socket.socketpair()
         self._thread = threading.Thread(
--- a/packages/ibisspring-core/src/ibisspring_core/peer_rpc.py
+++ b/packages/ibisspring-core/src/ibisspring_core/peer_rpc.py
@@ -23,8 +23,8 @@
 SERVICE = "ibisspring.Peer"
 METHOD = f"/{SERVICE}/Call"
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
-# Long enough for TCP to retransmit two lost packets on a healthy path; after it the path counts as
-# dead and the connection fails.
+# Milliseconds without an acknowledgement after which the path counts as dead and the connection
+# fails; long enough for TCP to retransmit two lost packets on a healthy path.
 TCP_USER_TIMEOUT_MS = 1000
 _OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -40,8 +40,9 @@
     ("grpc.so_reuseport", 0),
 )
 STOP_GRACE_S = 1.0
-# Compression reduces jobs, views and texts to a third or less. For a message that fits into one
-# packet it is not worth the CPU time.
+# Size in bytes from which a message is compressed. Compression reduces jobs, directory views and
+# generated texts to a third or less. For a message that fits into one packet it is not worth the
+# CPU time.
 COMPRESS_FROM_BYTES = 1400
 
 Handler = Callable[[Any], Awaitable[Any]]
@@ -58,7 +59,7 @@
 
 
 class PeerServer:
-    """The daemon's only gRPC server; services register their handlers before it starts."""
+    """The daemon's only gRPC server; other services register their handlers before it starts."""
 
     name = "peer_server"
 
@@ -84,7 +85,7 @@
         self._servicers.append(add)
 
     async def start(self, kernel: Kernel) -> None:
-        """Listen and serve calls."""
+        """Listen for calls from other daemons and pass them to the registered handlers."""
         server = grpc.aio.server(options=_OPTIONS)
         method = grpc.unary_unary_rpc_method_handler(self._call)
         server.add_generic_rpc_handlers(
@@ -174,7 +175,7 @@
         except asyncio.CancelledError:
             if is_task_cancelled():
                 raise
-            # Another call on the channel failed, and the channel was closed.
+            # Another call on the channel failed, and `_replace` closed the channel.
             code = "channel_left"
         except msgspec.DecodeError as error:
             self._counters.add("peer_call_failed.unreadable")
@@ -186,9 +187,10 @@
         """
         Close a channel after a failed call; the next call opens a new one.
 
-        A connection whose state was lost on the path accepts bytes without end and returns nothing,
-        while a new connection works. Other calls on the channel have `STOP_GRACE_S` seconds to
-        finish; those still open afterwards fail too and are retried by their callers.
+        If a firewall on the path loses the state of a connection, the connection accepts bytes
+        without end and returns nothing, while a new connection works. Other calls on the channel
+        have `STOP_GRACE_S` seconds to finish; those still open afterwards fail too and are retried
+        by their callers.
         """
         if self._channel_by_address.get(address) is not channel:
             return
--- a/packages/ibisspring-core/src/ibisspring_core/request_ids.py
+++ b/packages/ibisspring-core/src/ibisspring_core/request_ids.py
@@ -15,8 +15,9 @@
     """
     Create a request id.
 
-    From the time in the id, the state machine detects and refuses a resend that arrives after the
-    result of the first attempt was deleted. Without it, the command would be applied twice.
+    From the time in the id, the state machine detects and refuses a resent command that arrives
+    after the result of the first attempt was deleted. Without the time, the command would be
+    applied twice.
 
     :return: milliseconds since 1970, a hyphen and 16 random hexadecimal digits.
     """
--- a/packages/ibisspring-core/src/ibisspring_core/routes/check.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/check.py
@@ -12,9 +12,9 @@
 
 def check_table(table: RouteTable) -> tuple[Finding, ...]:
     """
-    Check a route table.
+    Check a route table for faults that its field types do not exclude.
 
-    :param table: the table to check.
+    :param table: the table, for example as an operator sent it.
     :return: all findings, each with the route or account as its place; empty for a valid table.
     """
     findings: list[Finding] = []
@@ -34,8 +34,8 @@
     account_by_key: dict[str, str] = {}
     for number, account in enumerate(table.accounts):
         for key in account.keys:
-            # A key may be listed twice for one account. Shared by two accounts, it would not
-            # identify the caller.
+            # A key may be listed twice for one account. A key of two accounts would not identify
+            # the caller's account.
             if account_by_key.setdefault(key, account.name) != account.name:
                 report(f"accounts[{number}]", f"shares a key with {account_by_key[key]!r}")
     return tuple(findings)
--- a/packages/ibisspring-core/src/ibisspring_core/routes/index.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/index.py
@@ -10,7 +10,7 @@
 
 
 class RouteIndex:
-    """The lookup tables of one route table, built once."""
+    """Finds routes, services and accounts in one route table, with dictionaries built once."""
 
     def __init__(self, table: RouteTable) -> None:
         self.table = table
@@ -22,7 +22,8 @@
             self._routes_by_host.setdefault(route.host, []).append(route)
         for routes in self._routes_by_host.values():
             routes.sort(key=lambda route: -len(route.prefix))
-        # Keyed by digest, so that the time of a lookup reveals nothing about a key's characters.
+        # Accounts are found by the digest of a key, so that the time of a lookup reveals nothing
+        # about the key's characters.
         self._account_by_digest: dict[bytes, ClientAccount] = {
             _digest(key): account for account in table.accounts for key in account.keys
         }
--- a/packages/ibisspring-core/src/ibisspring_core/routes/model.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/model.py
@@ -35,7 +35,7 @@
 @dataclass(frozen=True)
 class JobTerms:
     """
-    Terms of the jobs that are submitted on a route.
+    Time limits and version rule of the jobs that are submitted on a route.
 
     :param due_s: seconds from the first submission until all results are due.
     :param give_up_s: seconds from the first submission after which an item may be abandoned.
@@ -50,22 +50,22 @@
 @dataclass(frozen=True)
 class Route:
     """
-    One route.
+    A route: the services and limits for requests with one host and path prefix.
 
     :param name: name of the route.
     :param host: host of the request, without a port.
     :param prefix: prefix of the request's path; starts and ends with a slash.
-    :param repeat: how often a request may run.
+    :param repeat: how often a request may run at endpoints.
     :param shares: the services that the requests are distributed over.
     :param timeout_s: time limit of a request, in seconds.
     :param target_s: seconds within which an answer has its full value.
-    :param priority: rank; 0 is the highest.
+    :param priority: rank of the route's requests; 0 is the highest.
     :param max_attempts: maximum number of endpoints that a request is sent to for one attempt of
         the caller.
     :param public: whether requests need no key.
     :param stream: whether the answer is a stream of events, forwarded as they arrive.
     :param resumable: whether a broken stream may be resumed at another endpoint.
-    :param job: terms of the jobs; None on routes that accept no jobs.
+    :param job: time limits and version rule of its jobs; None on routes that accept no jobs.
     """
 
     name: str
@@ -91,7 +91,8 @@
     :param least: minimum number of endpoints in a data centre.
     :param most: maximum number of endpoints in a data centre.
     :param boot_s: seconds from an order until the endpoint serves.
-    :param cheap_price: price of the cheap kind, relative to 1.0 for the standard kind.
+    :param cheap_price: price of a cheap endpoint, whose VM the cloud may reclaim, relative to 1.0
+        for a standard endpoint.
     :param price_by_data_centre: price of an endpoint per second, by data centre.
     """
 
@@ -132,7 +133,8 @@
 
     :param name: name of the client account.
     :param keys: the keys that callers of the account send.
-    :param priority: rank of its requests, which overrides that of the route; None uses the route's.
+    :param priority: rank of its requests, 0 for the highest, which overrides the route's priority;
+        None uses the route's.
     """
 
     name: str
--- a/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
@@ -30,7 +30,7 @@
 
 
 class Draft:
-    """The rules of the lines parsed so far."""
+    """The rules of the lines of a rules file that are parsed so far."""
 
     def __init__(self) -> None:
         self.client_account_by_name: dict[str, ClientAccount] = {}
@@ -81,7 +81,7 @@
             )
 
     def rules(self) -> Rules:
-        """Return the rules; valid only if there are no findings."""
+        """Return the complete rules; call this only if no finding was reported."""
         trainer_by_name = {
             name: Trainer(name, account, self.staleness_by_trainer[name])
             for name, account in self.client_account_by_trainer.items()
--- a/packages/ibisspring-core/src/ibisspring_core/rules/line.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/line.py
@@ -88,7 +88,7 @@
             self._next += 1
 
     def keyword(self, keyword: str) -> bool:
-        """Consume a fixed word; False, after reporting a finding, if another one follows."""
+        """Consume a fixed word; report a finding and return False if another word follows."""
         if self.peek() != keyword:
             self.report(f"expected {keyword!r}")
             return False
@@ -124,7 +124,7 @@
         return int(token)
 
     def end(self) -> bool:
-        """Return True at the end of the rule; else report the next word and return False."""
+        """Return True at the end of the rule; otherwise report the next word and return False."""
         token = self.peek()
         if token is None:
             return True
--- a/packages/ibisspring-core/src/ibisspring_core/rules/model.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/model.py
@@ -25,7 +25,7 @@
 @dataclass(frozen=True)
 class ClientAccount:
     """
-    A client account.
+    A client account with its keys, its rate limit and its share of the capacity.
 
     :param name: name of the client account.
     :param key_digests: SHA-256 of each valid key, in hexadecimal; empty if all are withdrawn.
@@ -44,7 +44,7 @@
 @dataclass(frozen=True)
 class Trainer:
     """
-    A trainer.
+    A trainer: a program that opens training steps and publishes weight versions.
 
     :param name: name of the trainer.
     :param client_account: name of the client account whose keys may open its steps.
@@ -60,12 +60,13 @@
 @dataclass(frozen=True)
 class Placement:
     """
-    Placement of a service's endpoints.
+    How many endpoints of a service are wanted, and in which data centres.
 
     :param service: name of the service.
     :param data_centres: data centres in order of preference.
     :param count: number of endpoints wanted, over all data centres.
-    :param cheap_share: maximum share of these endpoints that may be of the cheap kind, 0 to 1.
+    :param cheap_share: maximum share of these endpoints that may be cheap (on VMs that the cloud
+        may reclaim), 0 to 1.
     """
 
     service: str
--- a/packages/ibisspring-core/src/ibisspring_core/settings/current.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/current.py
@@ -16,8 +16,8 @@
 
 ReadSettings = Callable[[], "VmSettings | tuple[Finding, ...]"]
 
-# The file may change without a signal. A daemon that cannot reach any control daemon reads changed
-# seeds within this time.
+# Seconds between two reads of the settings file. The file may change without a signal; a daemon
+# that cannot reach any control daemon reads changed seeds within this time.
 READ_EVERY_S = 1.0
 _APPLIED_IMMEDIATELY = frozenset({"seeds"})
 
@@ -26,9 +26,10 @@
     """
     Reads the settings file periodically and on SIGHUP.
 
-    Changed seeds take effect immediately, other settings at the next start. Seeds that are read
-    only at the start may name daemons that have all been replaced since; a daemon that was
-    disconnected during the replacement would never reach the control daemons again.
+    Changed seeds (addresses of control daemons) take effect immediately, other settings at the next
+    start. If seeds were read only at the start, all daemons that they name might have been replaced
+    since; a daemon that was disconnected during the replacement would never reach the control
+    daemons again.
     """
 
     name = "current_settings"
@@ -44,11 +45,11 @@
         return self._settings.seeds
 
     async def start(self, kernel: Kernel) -> None:
-        """Start the periodic reads."""
+        """Start to read the settings file every `READ_EVERY_S` seconds."""
         self._subscription = kernel.find("timer").subscribe(self.name, READ_EVERY_S, self._tick)
 
     async def stop(self) -> None:
-        """Stop the periodic reads."""
+        """Stop the periodic reads of the settings file."""
         self._subscription.cancel()
 
     def reload(self) -> None:
--- a/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
@@ -45,7 +45,7 @@
 
 
 class _Reader:
-    """Converts YAML nodes to the types that the data classes' type hints name."""
+    """Converts YAML nodes to the data classes of the settings and collects findings."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -122,7 +122,7 @@
         return value
 
     def check_consistency(self, settings: Settings, node: yaml.Node) -> None:
-        """Report conflicts between settings."""
+        """Report settings that contradict each other and those that a role lacks."""
         for role in settings.roles:
             if role not in ROLES:
                 self.report(node, f"unknown role {role!r}; roles are {', '.join(ROLES)}")
@@ -142,8 +142,8 @@
         control = settings.control
         if settings.daemon not in settings.control_addresses:
             self.report(node, f"control_addresses does not name this daemon {settings.daemon!r}")
-        # With a lease as long as the election timeout, a new leader may be elected before the lease
-        # of the earlier one lapses, and both would send orders.
+        # With a lease as long as the election timeout, a new leader could be elected before the
+        # lease of the earlier leader lapses, and both would send orders.
         if control.leader_lease_s >= control.election_timeout_s:
             self.report(node, "control.leader_lease_s must be under control.election_timeout_s")
         if control.heartbeat_s * 2 > control.leader_lease_s:
--- a/packages/ibisspring-core/src/ibisspring_core/settings/model.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/model.py
@@ -10,7 +10,7 @@
 @dataclass(frozen=True)
 class StatsdSettings:
     """
-    Address of statsd.
+    Address of the statsd server that counters are sent to.
 
     :param host: host name or IP address.
     :param port: UDP port.
--- a/packages/ibisspring-core/src/ibisspring_core/settings/vm.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/vm.py
@@ -19,19 +19,20 @@
     :param data_centre: data centre of the VM.
     :param peer_address: IP:port of its peer server, which is also its id in a replicated log.
     :param seeds: peer addresses of control daemons; may be out of date.
-    :param found: whether to bootstrap a new system.
+    :param found: whether this daemon may bootstrap a new system.
     :param data_folder: the only folder on a persistent disk; empty without a disk.
     :param callers_listen: IP:port for callers; empty if the daemon serves none.
     :param readiness_listen: IP:port for the load balancer's readiness checks.
     :param control_listen: IP:port for operators, trainers and endpoints' announcements.
     :param metrics_listen: IP:port that serves counters and latency histograms; empty disables it.
-    :param losses: number of daemons with a disk whose simultaneous loss must be tolerated.
+    :param losses: number of daemons with a disk whose loss at the same time the system must
+        tolerate.
     :param platform_url: base URL of the platform's interface; empty for none.
-    :param holder_gap_s: minimum seconds between two orders of one holder of a duty if another
-        holder sent an order in between.
+    :param holder_gap_s: minimum seconds between two orders to the platform from one daemon if
+        another daemon, which held the duty to order in the meantime, sent an order in between.
     :param announce_every_s: seconds between announcements of an endpoint.
     :param usage_window_s: length of a usage window in seconds; 0 disables usage reports.
-    :param scales: whether endpoints may be ordered from the platform.
+    :param scales: whether the daemons may order endpoints from the platform.
     :param stop_s: seconds from SIGTERM until the process is killed.
     :param result_keep_s: seconds after a job's submission for which its results are stored.
     """
--- a/packages/ibisspring-core/src/ibisspring_core/timer.py
+++ b/packages/ibisspring-core/src/ibisspring_core/timer.py
@@ -18,7 +18,7 @@
 
 
 class Subscription:
-    """The periodic calls of one subscriber."""
+    """The periodic calls of one subscriber, which `cancel` stops."""
 
     def __init__(self, task: asyncio.Task[None]) -> None:
         self._task = task
@@ -42,7 +42,7 @@
         self._counters: Counters | None = None
 
     async def start(self, kernel: Kernel) -> None:
-        """Look up the counters, if there are any; each subscription starts its own task."""
+        """Look up the service `counters`, if it exists; each subscription starts its own task."""
         self._counters = kernel.find_optional("counters")
 
     async def stop(self) -> None:
@@ -65,7 +65,7 @@
         :param name: name of the subscriber in log lines and metrics.
         :param interval_s: seconds between the end of one call and the start of the next.
         :param callback: coroutine function. Exceptions are logged and do not stop the calls.
-        :return: the subscription.
+        :return: the subscription; cancel it to stop the calls.
         """
         task = asyncio.create_task(self._tick(name, interval_s, callback), name=f"timer:{name}")
         subscription = Subscription(task)
--- a/tests/unit/core/routes/test_routes.py
+++ b/tests/unit/core/routes/test_routes.py
@@ -39,8 +39,8 @@
 
 
 def test_each_fault_is_found() -> None:
-    # A typing error in a configuration would leave certificate fetches without an endpoint. The
-    # configuration is rejected and all its faults are reported together.
+    # An operator's configuration has typing errors. If it were accepted, certificate fetches could
+    # be left without an endpoint; it must be rejected with all its faults reported together.
     faulty = {
         "unknown service": with_route(shares=(Share("nowhere", 1.0),)),
         "no weight": with_route(shares=(Share("archive", 0.0),)),
--- a/tests/unit/core/test_connections.py
+++ b/tests/unit/core/test_connections.py
@@ -26,7 +26,8 @@
 
 
 def test_a_connection_is_not_counted_once_its_endpoint_may_close_it() -> None:
-    # A request on a connection that the endpoint is closing gets no response, and may have run.
+    # An idle connection is near the end of the endpoint's keep-alive time. A request sent on it
+    # while the endpoint closes it would get no response, and may have run.
     kept = IdleConnections()
     kept.add(("e1", "engine"), 0.0, 10.0)
 
@@ -46,8 +47,8 @@
 
 
 async def test_sequential_read_only_requests_share_one_connection() -> None:
-    # The state of a weight load is read from an endpoint every third of a second. A new connection
-    # for each of these requests would be billed separately.
+    # While an engine loads weights, the state of the loading is read from it every third of a
+    # second. If each of these requests opened a new connection, each connection would be billed.
     connections = Connections()
     await connections.start(Kernel())
     async with scripted(lambda head: [REPORT]) as endpoint:
--- a/tests/unit/core/test_control_client.py
+++ b/tests/unit/core/test_control_client.py
@@ -99,8 +99,8 @@
     """
     The connection to one control VM accepts bytes and never returns a reply.
 
-    Without a time limit on each try, the entry's lease would lapse although a healthy leader
-    exists.
+    Without a time limit on each try, the client would wait for this VM until the entry's lease
+    lapses, although a healthy leader exists.
     """
     monkeypatch.setattr(control_client, "TRY_S", 0.3)
     async with _served(_Replica(DONE)) as client, _silent_address() as silent:
@@ -114,7 +114,7 @@
     """
     A firewall loses the state of the connection to the leader, whose VM is healthy.
 
-    A client that kept the channel would send every later command over the dead connection.
+    If the client kept the channel, it would send every later command over the dead connection.
     """
     monkeypatch.setattr(control_client, "TRY_S", 0.3)
     replica = _Replica(DONE)
@@ -157,8 +157,8 @@
 
 
 async def test_replacing_a_channel_cancels_no_call_that_uses_it(monkeypatch) -> None:
-    # gRPC cancels the calls that are open on a closed channel. If the CancelledError propagated, it
-    # would end a task that was not cancelled.
+    # A channel is replaced while a call on it is open, and gRPC cancels this call. If the
+    # CancelledError propagated, it would end the calling task, which was not cancelled.
     monkeypatch.setattr(control_channels, "CLOSE_GRACE_S", 0.1)
     replica = _Replica(DONE)
     replica.late_s = [1.0]
--- a/tests/unit/core/test_current_settings.py
+++ b/tests/unit/core/test_current_settings.py
@@ -23,7 +23,8 @@
 
 
 def test_changed_seeds_take_effect_immediately(logged) -> None:
-    # A daemon whose known control VMs have all been replaced reaches control only by new seeds.
+    # All control VMs that a daemon knows have been replaced. If new seeds took effect only at the
+    # next start, the daemon would not reach the control daemons before.
     current = CurrentSettings(settings("a"), lambda: settings("b", "c", losses=2))
 
     current.reload()
@@ -35,7 +36,8 @@
 
 
 def test_unreadable_file_changes_no_settings(logged) -> None:
-    # The file is read while it is being written, and its first half contains no seeds.
+    # The file is read while it is being written, and its first half contains no seeds. If this half
+    # were applied, the daemon would lose the addresses of the control daemons.
     reads = [(Finding("boot.json", 0, 0, "cut short"),)] * 2
     reads.append(settings("b"))
     current = CurrentSettings(settings("a"), lambda: reads.pop(0))
--- a/tests/unit/core/test_endpoint_table.py
+++ b/tests/unit/core/test_endpoint_table.py
@@ -30,9 +30,9 @@
 
 
 def test_a_leaving_endpoint_serves_again_only_after_a_restart() -> None:
-    # Guards against requests to an endpoint that has announced LEAVING: an earlier SERVING
-    # announcement went through another entry and arrives late, or a faulty endpoint announces
-    # SERVING again.
+    # An endpoint has announced LEAVING. Then an earlier SERVING announcement arrives late through
+    # another entry, or a faulty endpoint announces SERVING again. If the table accepted it,
+    # requests would be sent to an endpoint that is about to stop.
     table = EndpointTable(TTL_S)
     leaving = after(FIRST, state="leaving")
     table.merge(leaving, 10.0)
@@ -45,8 +45,8 @@
 
 
 def test_peers_do_not_renew_each_others_record_of_a_dead_endpoint() -> None:
-    # An engine dies. If two entries renewed each other's record of it, requests would be sent to a
-    # dead machine until the entries are restarted.
+    # An engine dies. If two entries renewed each other's record of the engine, requests would be
+    # sent to a dead machine until the entries are restarted.
     tables = [EndpointTable(TTL_S), EndpointTable(TTL_S)]
     tables[0].merge(FIRST, 0.0)
 
@@ -61,8 +61,9 @@
 
 
 def test_refreshes_renew_known_records_and_create_none() -> None:
-    # A peer receives the complete record once and then only refreshes. A restarted peer receives
-    # refreshes of endpoints whose records it does not have, and must not create records from them.
+    # A peer receives the complete record once and then only refreshes (sequence number and load). A
+    # restarted peer receives refreshes of endpoints whose records it does not have, and must not
+    # create records from them.
     sender, known, restarted = (EndpointTable(TTL_S) for _ in range(3))
     sent = SentToPeer()
     record = FIRST
@@ -99,8 +100,8 @@
 
 
 def test_a_refresh_for_another_incarnation_is_ignored() -> None:
-    # An endpoint restarted with other weights. Its refresh must not renew the record of the earlier
-    # incarnation.
+    # An endpoint restarted with other weights. If its refresh renewed the record of the earlier
+    # incarnation, requests would be sent to it for weights that it no longer has.
     table = EndpointTable(TTL_S)
     table.merge(FIRST, 0.0)
 
--- a/tests/unit/core/test_grpc_runtime.py
+++ b/tests/unit/core/test_grpc_runtime.py
@@ -54,7 +54,8 @@
 
 @pytest.mark.parametrize("spare", range(6))
 def test_a_daemon_that_starts_without_descriptors_does_not_crash(spare) -> None:
-    # A daemon whose VM ran out of descriptors during its start crashed with signal 11 or 6.
+    # A daemon's VM has no free file descriptors while the daemon starts. If gRPC were initialised
+    # then, its native library would crash the daemon with signal 11 or 6.
     ended = subprocess.run(
         [sys.executable, "-c", PROGRAM, str(spare)], capture_output=True, text=True, timeout=60
     )
@@ -62,8 +63,9 @@
 
 
 def test_calls_without_descriptors_are_refused() -> None:
-    # A running daemon that had no free descriptor while all of its channels were closed crashed
-    # with signal 6.
+    # A running daemon has no free file descriptor while all of its channels are closed. If gRPC had
+    # released its pollers with the last channel, the next call would crash the daemon with signal
+    # 6.
     program = PROGRAM.replace("await kernel.start()", CALLS)
     ended = subprocess.run(
         [sys.executable, "-c", program, "100"], capture_output=True, text=True, timeout=60
@@ -72,8 +74,8 @@
 
 
 async def test_a_daemon_that_waits_for_descriptors_stops_on_request(monkeypatch) -> None:
-    # A daemon that waited for descriptors did not stop on a signal and was killed after its grace
-    # period.
+    # A daemon waits for file descriptors at its start and receives a signal to stop. If the wait
+    # could not be interrupted, the daemon would be killed after its grace period.
     def eventfd(value: int) -> int:
         raise OSError(24, "Too many open files")
 
--- a/tests/unit/core/test_guarded_http.py
+++ b/tests/unit/core/test_guarded_http.py
@@ -48,8 +48,9 @@
 
 
 async def test_a_process_frozen_after_its_check_sends_nothing(receiver, monkeypatch) -> None:
-    # A leader checks its lease, opens the connection, is frozen and thawed after its lease has
-    # lapsed. Its successor sends orders by then, so no byte of the old order may be sent.
+    # A leader checks its lease, opens the connection, is frozen and resumes after its lease has
+    # lapsed. By then its successor sends orders, so no byte of the earlier leader's order may be
+    # sent.
     thawed = threading.Event()
     connect = aiohttp.TCPConnector.connect
 
@@ -82,8 +83,9 @@
 
 
 async def test_bytes_written_into_a_partition_do_not_arrive_when_it_heals(receiver) -> None:
-    # The order's bytes are sent during a network partition. The lease lapses and the partition
-    # heals: TCP would retransmit the order beside those of the new leader.
+    # The order's bytes are sent during a network partition; then the lease lapses and the partition
+    # heals. If the connection were still open, TCP would retransmit the order while a new leader
+    # sends its own.
     proxy = await FaultProxy.in_front_of(receiver.address)
     await proxy.set_modes(Mode.HOLD, Mode.HOLD)
     end_s = boot_now() + 1.0
@@ -97,9 +99,10 @@
 
 
 async def test_the_kernel_stops_retransmission_while_the_process_is_frozen() -> None:
-    # The receiver's window is full, so the kernel buffers the remainder of the order. The sender is
-    # frozen past the end of its lease and cannot abort; the receiver reads again before the sender
-    # is thawed.
+    # The receiver's TCP window is full, so the sender's operating system buffers the remainder of
+    # the order. The sending process is frozen past the end of its lease and cannot abort the
+    # connection; the receiver reads again before the process resumes. Without TCP_USER_TIMEOUT the
+    # receiver would get the remainder of the order.
     order = b"x" * 400_000
     received: list[int] = []
     listener = socket.socket()
--- a/tests/unit/core/test_leader_client.py
+++ b/tests/unit/core/test_leader_client.py
@@ -19,8 +19,9 @@
 
 
 async def test_newly_reported_leader_is_called_first() -> None:
-    # The jobs' leader dies and the directory reports another. In rotation each of thirty stores
-    # would cost a tenth of a second until the leader is found, during which no item runs.
+    # The jobs' leader dies and the directory reports a new leader. If all thirty stores were called
+    # in turn, each would cost a tenth of a second until the leader is found, during which no item
+    # runs.
     peers = _Peers(DAEMONS[0])
     addresses = [DAEMONS]
     client = LeaderClient(peers, lambda: addresses[0])
--- a/tests/unit/core/test_log_budget.py
+++ b/tests/unit/core/test_log_budget.py
@@ -1,4 +1,4 @@
-"""Floods of log lines, replayed against the rate limits."""
+"""Floods of log lines, of which the rate limits for each message type drop some."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def _replay(budget: LogBudget, kind: str, failure: bool, per_s: int) -> int:
-    """Return how many lines of a steady stream are written."""
+    """Return how many lines of a stream with `per_s` lines a second are admitted."""
     written = 0
     for number in range(per_s * SECONDS):
         written += budget.admit(kind, failure, 0, number / per_s)
--- a/tests/unit/core/test_logs.py
+++ b/tests/unit/core/test_logs.py
@@ -72,8 +72,8 @@
     """
     A log collector hangs and its pipe fills up.
 
-    A write to a full pipe blocks until the reader continues; from the event loop it would stop the
-    processing of all requests.
+    A write to a full pipe blocks until the reader continues. If the event loop wrote the log lines,
+    the processing of all requests would stop.
     """
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
--- a/tests/unit/core/test_metrics_server.py
+++ b/tests/unit/core/test_metrics_server.py
@@ -75,7 +75,8 @@
 
 
 def test_exporter_is_not_imported_before_the_first_read() -> None:
-    # The exporter's modules use one of an entry's thirty megabytes, in each of 200 processes.
+    # The exporter's modules use one of an entry's thirty megabytes of memory. If they were imported
+    # at the start, each of 200 processes would use this megabyte.
     program = "import sys, ibisspring_platform.main; print('prometheus_client' in sys.modules)"
     environment = {**os.environ, "PYTHONPATH": "platform"}
     ran = subprocess.run(
@@ -92,7 +93,7 @@
 
 async def test_stalled_reader_does_not_block_other_readers(served) -> None:
     """
-    A collector connects, sends half a request and hangs.
+    A metrics collector connects, sends half a request and hangs.
 
     If requests were served one after the other, the next reader would wait without end.
     """
--- a/tests/unit/core/test_retry_after.py
+++ b/tests/unit/core/test_retry_after.py
@@ -21,8 +21,8 @@
 def test_retry_after_lasts_until_a_table_is_expected_after_a_restart(
     monkeypatch, up_s, expected_s
 ) -> None:
-    # All processes restart within a second. An entry without a table refuses a lookup; with too
-    # small a Retry-After the caller's only retry is refused as well.
+    # All processes restart within a second. An entry without a route table refuses a lookup. If its
+    # Retry-After were too short, the caller's only retry would be refused as well.
     monkeypatch.setattr(directory_view, "PROCESS_STARTED_S", STARTED_S)
     monkeypatch.setattr(directory_view, "boot_now", lambda: STARTED_S + up_s)
     view = DirectoryView.from_config(VmSettings("e1", ENTRY, "derby", "10.0.0.1:1", ()))
