--- a/packages/ibisspring-core/src/ibisspring_core/clock.py
+++ b/packages/ibisspring-core/src/ibisspring_core/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of the daemons."""
+"""The boot clock, which times leases, and the wall clock."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-core/src/ibisspring_core/connections.py
+++ b/packages/ibisspring-core/src/ibisspring_core/connections.py
@@ -71,7 +71,6 @@
         """
         Send a request without changing or adding headers, and without following redirects.
 
-        :param method: HTTP method.
         :param address: IP:port of the endpoint.
         :param target: path and query, sent as given.
         :param headers: pairs of name and value.
@@ -121,7 +120,7 @@
         Record that a response was read completely and its connection is idle.
 
         :param address: IP:port of the endpoint.
-        :param headers: headers of the response.
+        :param headers: headers of that response, with the endpoint's keep-alive time.
         :return: seconds that the endpoint keeps the connection open; 0.0 if it closes it.
         """
         keep_s = keep_alive_s(headers)
--- a/packages/ibisspring-core/src/ibisspring_core/control_channels.py
+++ b/packages/ibisspring-core/src/ibisspring_core/control_channels.py
@@ -93,7 +93,7 @@
         task.add_done_callback(self._closing.discard)
 
     async def close(self) -> None:
-        """Close all channels immediately."""
+        """Close all channels immediately, also those that `replace` has left to finish calls."""
         for task in self._closing:
             task.cancel()
         for channel in self._channel_by_address.values():
--- a/packages/ibisspring-core/src/ibisspring_core/control_client.py
+++ b/packages/ibisspring-core/src/ibisspring_core/control_client.py
@@ -61,7 +61,7 @@
 
 class ControlClient:
     """
-    Calls the leader of the control daemons.
+    Sends commands, reads and lease renewals to the leader of the control daemons.
 
     A command is sent again under the same request id until a reply arrives or its time limit is
     reached; the state machine applies it once.
@@ -91,7 +91,7 @@
         self._counters = kernel.find("counters")
 
     async def stop(self) -> None:
-        """Close all channels."""
+        """Close the channels to the control daemons."""
         await self._channels.close()
 
     async def propose(self, command: Any, request_id: str, total_s: float = TOTAL_S) -> Any:
@@ -121,7 +121,6 @@
 
         :param query: name of a query listed in docs/reference/command-line.md.
         :param total_s: time limit of all tries together, in seconds.
-        :param arguments: the query's arguments.
         :return: the JSON object of the reply, or a refusal.
         """
         request = control_pb2.ReadRequest(query=query, arguments=msgspec.msgpack.encode(arguments))
--- a/packages/ibisspring-core/src/ibisspring_core/counters.py
+++ b/packages/ibisspring-core/src/ibisspring_core/counters.py
@@ -40,7 +40,7 @@
         return cls(statsd.StatsClient(settings.host, settings.port, prefix="ibisspring"))
 
     async def start(self, kernel: Kernel) -> None:
-        """No-op: counters need no start."""
+        """No-op: counters are ready when they are built."""
 
     async def stop(self) -> None:
         """No-op: statsd uses UDP, so there is no connection to close."""
@@ -50,7 +50,7 @@
         Increase a counter.
 
         :param name: dotted name, listed in docs/reference/counters.md.
-        :param count: the increment.
+        :param count: number that is added to the counter.
         """
         self.count_by_name[name] = self.count_by_name.get(name, 0) + count
         if self._client is not None:
--- a/packages/ibisspring-core/src/ibisspring_core/embedded_server.py
+++ b/packages/ibisspring-core/src/ibisspring_core/embedded_server.py
@@ -1,4 +1,4 @@
-"""uvicorn, embedded into a daemon that manages its own life cycle."""
+"""The uvicorn HTTP server, embedded into a daemon that handles signals itself."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
+++ b/packages/ibisspring-core/src/ibisspring_core/endpoint_table.py
@@ -53,7 +53,7 @@
 
 class EndpointTable:
     """
-    The known endpoints by id.
+    The records of the endpoints that one entry or the directory knows, by endpoint id.
 
     The table reads no clock: callers pass `now`, in seconds on this entry's boot clock.
     """
@@ -65,7 +65,7 @@
 
     def merge(self, record: EndpointRecord, received_at: float, direct: bool = True) -> str:
         """
-        Merge an announcement into the table.
+        Record an announcement, unless a newer one of the endpoint is recorded already.
 
         :param received_at: when an entry received it, in seconds on this entry's boot clock.
         :param direct: True if the endpoint announced itself to this entry, False if a peer
@@ -135,8 +135,8 @@
         if known is None or comparable_fields(received.record) != comparable_fields(known.record):
             self.changed.add(endpoint)
             return
-        # The daemon that stops a draining endpoint waits until no request runs there, so it needs
-        # each change of the load.
+        # The daemon that stops a draining endpoint waits until the endpoint's load is zero, so each
+        # change of the load is reported.
         if received.record.state == LEAVING and received.record.load != known.record.load:
             self.changed.add(endpoint)
 
@@ -168,7 +168,7 @@
 
         :param service: name of the service or model.
         :param now: seconds on this entry's boot clock.
-        :return: their records.
+        :return: the records of these endpoints.
         """
         newest_by_address = self._newest_incarnation_by_address()
         found = []
@@ -207,7 +207,7 @@
         This entry asks its peers for newer announcements of these endpoints.
 
         :param now: seconds on this entry's boot clock.
-        :return: their ids.
+        :return: the ids of these endpoints.
         """
         found = []
         for received in self._received_by_endpoint.values():
--- a/packages/ibisspring-core/src/ibisspring_core/exposition.py
+++ b/packages/ibisspring-core/src/ibisspring_core/exposition.py
@@ -65,7 +65,7 @@
 
 
 class _Server(ThreadingMixIn, WSGIServer):
-    """Uses one thread per request, so that a stalled reader does not block the others."""
+    """Uses one thread per request, so that a stalled reader does not block other readers."""
 
     daemon_threads = True
 
--- a/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
+++ b/packages/ibisspring-core/src/ibisspring_core/guarded_http.py
@@ -24,7 +24,6 @@
     """
     A request to an external system or an endpoint.
 
-    :param method: HTTP method.
     :param url: absolute URL.
     :param body: body, sent byte for byte.
     :param headers: headers by name.
@@ -39,7 +38,7 @@
 @dataclass(frozen=True)
 class HttpAnswer:
     """
-    A complete response.
+    A complete HTTP response.
 
     :param status: HTTP status.
     :param body: body of the response.
@@ -52,7 +51,7 @@
 @dataclass(frozen=True)
 class NoAnswer:
     """
-    No complete response arrived.
+    The result of an HTTP request to which no complete response arrived.
 
     :param sent: whether a byte of the request may have been sent; if not, the receiver cannot have
         received the request.
@@ -127,7 +126,7 @@
         return any(opened.sent for opened in self.sockets)
 
     def abort(self) -> None:
-        """Reset the connection immediately."""
+        """Reset the connection immediately and discard the unsent bytes of the request."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/packages/ibisspring-core/src/ibisspring_core/incarnation.py
+++ b/packages/ibisspring-core/src/ibisspring_core/incarnation.py
@@ -1,4 +1,4 @@
-"""The incarnation number of this process."""
+"""The incarnation number of this process, which is higher after each start of the daemon."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-core/src/ibisspring_core/json_input.py
+++ b/packages/ibisspring-core/src/ibisspring_core/json_input.py
@@ -11,7 +11,7 @@
 
 def decode_json(data: bytes, kind: type[T]) -> T:
     """
-    Decode a JSON document.
+    Decode a JSON document to a value of a given type.
 
     :param data: UTF-8 from an untrusted sender.
     :param kind: the type of the value to return; one that msgspec can decode.
--- a/packages/ibisspring-core/src/ibisspring_core/latencies.py
+++ b/packages/ibisspring-core/src/ibisspring_core/latencies.py
@@ -15,7 +15,7 @@
 @dataclass
 class Histogram:
     """
-    Durations with one name and outcome.
+    Histogram of the measured durations with one name and outcome.
 
     :param counts: number of durations in each bucket; the last bucket has no upper bound.
     :param sum_s: sum of the durations, in seconds.
--- a/packages/ibisspring-core/src/ibisspring_core/leader_client.py
+++ b/packages/ibisspring-core/src/ibisspring_core/leader_client.py
@@ -53,7 +53,7 @@
         """
         Call the leader, and search for it if its address is unknown.
 
-        :param message: an idempotent message.
+        :param message: an idempotent message, as it may be sent more than once.
         :param timeout_s: time limit of all tries together, in seconds.
         :param call_timeout_s: time limit of a call to one daemon, in seconds.
         :return: the leader's answer; a `Refusal` with NO_LEADER if no leader answered in time.
--- a/packages/ibisspring-core/src/ibisspring_core/logs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/logs.py
@@ -53,7 +53,7 @@
         self._thread = threading.Thread(target=self._run, name="logs", daemon=True)
 
     def start(self) -> None:
-        """Start the writing thread."""
+        """Start the thread that writes the buffered lines."""
         self._thread.start()
 
     def __call__(self, message: dict[str, Any]) -> None:
--- a/packages/ibisspring-core/src/ibisspring_core/messages/codec.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/codec.py
@@ -23,7 +23,7 @@
     Decode and validate a data class that `encode` encoded without its kind.
 
     :param data: bytes from `encode`.
-    :param message_type: the expected type.
+    :param message_type: the data class that was encoded.
     :return: the message; raises `msgspec.ValidationError` if the data does not match the type.
     """
     return msgspec.msgpack.decode(data, type=message_type)
--- a/packages/ibisspring-core/src/ibisspring_core/messages/directory.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/directory.py
@@ -131,7 +131,7 @@
         entry, as are the versions in the records of endpoints.
     :param loading: pairs of endpoint and model: the endpoint loads weights and starts no request
         for that model. Empty for an entry.
-    :param stores: all daemons that may store jobs and have renewed recently.
+    :param stores: all daemons that may store jobs and whose last renewal is recent.
     :param job_leader: peer address of the leader of the jobs' log; a hint, empty if unknown.
     :param job_group: initial members of the jobs' log; None before they are decided.
     :param controls: peer addresses of the directory's members.
@@ -259,7 +259,7 @@
 
 @dataclass(frozen=True)
 class ReadTable:
-    """Asks for the newest configuration."""
+    """Asks for the newest configuration that an operator sent."""
 
 
 @dataclass(frozen=True)
--- a/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
@@ -32,7 +32,7 @@
 @dataclass(frozen=True)
 class JobItem:
     """
-    One request of a job.
+    One request of a job, which a runner sends to an endpoint.
 
     :param item: id of the item, also used as the request's id at an endpoint.
     :param path: path at the endpoint.
@@ -67,7 +67,7 @@
     :param host: host of the job's route, also sent to endpoints.
     :param service: name of the service that runs the items.
     :param model: name of the model that runs the items.
-    :param items: the requests.
+    :param items: the requests of the job.
     :param due_s: seconds from the submission until all results are due.
     :param give_up_s: seconds from the submission after which an item may be abandoned.
     :param max_attempts: number of failures after which an item is abandoned.
@@ -97,7 +97,7 @@
 @dataclass(frozen=True)
 class ItemResult:
     """
-    The final result of an item.
+    The final result of an item, after which it is not run any more.
 
     :param item: id of the item.
     :param state: COMPLETED or ABANDONED.
@@ -136,8 +136,8 @@
     Asks for results by position in the job's list of results.
 
     :param job: id of the job.
-    :param client_account: account that submitted the job.
-    :param after: first position, from 0.
+    :param client_account: account that reads the results; must have submitted the job.
+    :param after: position of the first requested result, from 0.
     :param hold_s: seconds to wait for a result at that position.
     :param max_bytes: maximum bytes of output in the answer; it contains at least one result if
         there is one.
@@ -172,9 +172,9 @@
     Asks any store for results that the leader has listed in `ResultsListed`.
 
     :param job: id of the job.
-    :param client_account: account that submitted the job.
-    :param after: first position, from 0.
-    :param listed: position after the last result.
+    :param client_account: account that reads the results; must have submitted the job.
+    :param after: position of the first requested result, from 0.
+    :param listed: position after the last requested result.
     """
 
     job: str
@@ -232,7 +232,7 @@
 
     :param number: number of the assignment, unique within an epoch.
     :param job: id of the job.
-    :param item: the item.
+    :param item: the item to run.
     :param client_account: account that submitted the job.
     :param host: host of the job's route.
     :param service: name of the service that runs the item.
@@ -298,7 +298,7 @@
 
     :param epoch: rises with each leader of the jobs' log. Assignments of an earlier epoch are
         cancelled.
-    :param assignments: items to start.
+    :param assignments: assignments whose items the runner starts.
     :param cancelled: numbers of assignments to stop.
     :param moved: numbers of assignments to stop and to report, because their items continue at
         another endpoint.
@@ -315,7 +315,7 @@
     """
     The end of a run, or its output since the last report.
 
-    :param number: number of the assignment.
+    :param number: number of the assignment whose run is reported.
     :param kind: PART while the run continues; `done`; `failed` if the endpoint reported that this
         run failed; `impossible` if it reported that no run can succeed; `broken` if the stream
         broke or timed out; `turned_away` if the endpoint rejected the request before it started;
@@ -373,7 +373,7 @@
     The message is sent again until it is answered.
 
     :param runner: peer address of the runner's daemon.
-    :param epoch: epoch of the assignments.
+    :param epoch: epoch of the assignments that the outcomes belong to.
     :param outcomes: the outcomes, in the order in which they occurred.
     """
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/order_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/order_commands.py
@@ -23,7 +23,7 @@
 @dataclass(frozen=True)
 class IntentRecorded:
     """
-    Result of `OrderIntent`.
+    Result of `OrderIntent`: the intent is committed.
 
     :param fencing: fencing number of the order; rises with every intent.
     """
@@ -36,7 +36,7 @@
     """
     The outcome of an order whose intent was recorded by `OrderIntent`.
 
-    :param order_id: id of the order.
+    :param order_id: id of the order in its `OrderIntent`.
     :param outcome: `done`, `refused` or `unknown` (sent, but no answer before retries stopped).
     :param detail: one sentence for humans.
     """
@@ -52,7 +52,7 @@
     Drain an endpoint: it gets no new work and is stopped when it is idle.
 
     :param endpoint: id of the endpoint.
-    :param operator: name of the operator.
+    :param operator: name of the operator who asks for the drain.
     :param cancel: True cancels an earlier drain; also proposed after the endpoint was stopped.
     """
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/rule_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/rule_commands.py
@@ -12,7 +12,7 @@
 
     :param base: version of the rules that the operator edited.
     :param text: complete text of the new rules file.
-    :param operator: name of the operator.
+    :param operator: name of the operator who replaces the rules.
     """
 
     base: int
@@ -32,8 +32,8 @@
     """
     Result of `ApplyRules` if `base` is not the version in force.
 
-    :param version: version in force.
-    :param operator: name of the operator who applied it.
+    :param version: version of the rules in force.
+    :param operator: name of the operator who applied this version.
     :param changed_lines: lines that differ between `base` and that version, with `- ` before a
         removed and `+ ` before an added line; a note in brackets if `base` is no longer stored.
     """
--- a/packages/ibisspring-core/src/ibisspring_core/messages/status.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/status.py
@@ -15,7 +15,7 @@
 @dataclass(frozen=True)
 class DaemonStatus:
     """
-    A daemon that has renewed recently.
+    State of a daemon whose last renewal of its directory view is recent.
 
     :param daemon: name of the daemon.
     :param role: `entry`, `store` or `control`.
@@ -61,7 +61,7 @@
     :param term: the leader's consensus term.
     :param voters: peer addresses of the directory log's replicas that vote in elections.
     :param table_version: version of the newest route table; -1 for none.
-    :param daemons: daemons that have renewed recently.
+    :param daemons: daemons whose last renewal of their directory view is recent.
     :param endpoints: records of the known endpoints.
     :param loading: pairs of endpoint and the model whose weights it loads.
     :param version_by_model: newest published weight version by model.
@@ -89,7 +89,7 @@
 @dataclass(frozen=True)
 class JobStatus:
     """
-    A stored job.
+    State of a stored job.
 
     :param job: id of the job.
     :param client_account: account that submitted the job.
@@ -116,7 +116,7 @@
 @dataclass(frozen=True)
 class RunnerStatus:
     """
-    A daemon that runs items.
+    State of a daemon that runs items of jobs.
 
     :param address: IP:port of its peer server.
     :param data_centre: data centre of its VM.
--- a/packages/ibisspring-core/src/ibisspring_core/messages/usage_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/usage_commands.py
@@ -29,11 +29,11 @@
     """
     Add usage that an entry counted; idempotent under the key (daemon, incarnation, sequence).
 
-    :param daemon: id of the entry.
+    :param daemon: id of the entry that counted the usage.
     :param incarnation: number of the entry's start.
     :param sequence: number of the command within the incarnation.
     :param window: index of the usage window in which the requests ended.
-    :param records: the usage to add.
+    :param records: the usage to add, by client account and service.
     """
 
     daemon: str
@@ -46,7 +46,7 @@
 @dataclass(frozen=True)
 class UsageAdded:
     """
-    Result of `AddUsage`.
+    Result of `AddUsage`: the usage is recorded.
 
     :param window: index of the usage window that the usage was added to; a later window than the
         command's if that one was closed already.
--- a/packages/ibisspring-core/src/ibisspring_core/messages/views.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/views.py
@@ -8,7 +8,7 @@
 @dataclass(frozen=True)
 class PeerRecord:
     """
-    An entry whose lease is valid.
+    An entry whose lease is valid, with the address at which other entries call it.
 
     :param daemon: id of the entry.
     :param incarnation: number of its start.
--- a/packages/ibisspring-core/src/ibisspring_core/metrics_server.py
+++ b/packages/ibisspring-core/src/ibisspring_core/metrics_server.py
@@ -57,7 +57,7 @@
         self._thread.start()
 
     async def stop(self) -> None:
-        """Stop the thread, which closes the listener."""
+        """Stop the serving thread, which closes the listening socket."""
         if self._wake is None or self._thread is None:
             return
         self._wake.close()
--- a/packages/ibisspring-core/src/ibisspring_core/peer_rpc.py
+++ b/packages/ibisspring-core/src/ibisspring_core/peer_rpc.py
@@ -139,7 +139,7 @@
         """No-op: a channel opens with its first call."""
 
     async def stop(self) -> None:
-        """Close all channels."""
+        """Close the channels to all other daemons."""
         for channel in self._channel_by_address.values():
             await channel.close()
         self._channel_by_address.clear()
--- a/packages/ibisspring-core/src/ibisspring_core/request_ids.py
+++ b/packages/ibisspring-core/src/ibisspring_core/request_ids.py
@@ -13,7 +13,7 @@
 
 def new_request_id() -> str:
     """
-    Create a request id.
+    Create a random request id that contains the time of its creation.
 
     From the time in the id, the state machine detects and refuses a resent command that arrives
     after the result of the first attempt was deleted. Without the time, the command would be
@@ -26,9 +26,9 @@
 
 def creation_time_s(request_id: str) -> float | None:
     """
-    Return the creation time in a request id.
+    Return the creation time that a request id contains.
 
-    :param request_id: any request id.
+    :param request_id: a request id from any source.
     :return: seconds since 1970; None if the id was not created by `new_request_id`.
     """
     match = _TIMED_ID.match(request_id)
--- a/packages/ibisspring-core/src/ibisspring_core/routes/model.py
+++ b/packages/ibisspring-core/src/ibisspring_core/routes/model.py
@@ -106,7 +106,7 @@
 @dataclass(frozen=True)
 class ServiceTerms:
     """
-    Properties of a service's endpoints.
+    A service: the limits of each of its endpoints, and whether endpoints may be ordered.
 
     :param name: name of the service.
     :param max_connections: maximum number of connections that one endpoint accepts, over all
@@ -129,7 +129,7 @@
 @dataclass(frozen=True)
 class ClientAccount:
     """
-    A client account with its keys.
+    A client account with its keys and the priority of its requests.
 
     :param name: name of the client account.
     :param keys: the keys that callers of the account send.
@@ -147,8 +147,8 @@
     """
     A complete configuration; the table with the highest version is in force.
 
-    :param version: version of the table.
-    :param routes: the routes.
+    :param version: version of this table.
+    :param routes: the routes, of which a request uses the longest matching one.
     :param services: the services that routes refer to.
     :param accounts: the client accounts; without any, callers need no key.
     :param idle_s: seconds after which an idle connection of a caller is closed.
--- a/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
@@ -19,7 +19,7 @@
 
     :param kind: kind of the name, such as `trainer`.
     :param name: the name.
-    :param line: the line that uses it.
+    :param line: the line that uses the name.
     :param column: column of the name, from 1.
     """
 
@@ -50,7 +50,6 @@
 
         :param line: the line that defines the name.
         :param kind: kind of the name, such as `trainer`.
-        :param name: the name.
         :return: False, after reporting a finding, if an earlier line defines the name.
         """
         earlier = self._line_by_definition.get((kind, name))
--- a/packages/ibisspring-core/src/ibisspring_core/rules/model.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/model.py
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """The rules of a complete rules file."""
+    """The rules of a complete rules file, by the name that each one is about."""
 
     client_account_by_name: dict[str, ClientAccount] = field(default_factory=dict)
     services_by_client_account: dict[str, frozenset[str]] = field(default_factory=dict)
--- a/packages/ibisspring-core/src/ibisspring_core/rules/parser.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/parser.py
@@ -21,7 +21,7 @@
 
 def parse_rules(text: str, place: str = "rules") -> Rules | tuple[Finding, ...]:
     """
-    Parse and check a rules file.
+    Parse a rules file and check that the names its rules use are defined.
 
     :param text: text of the file.
     :param place: file name for the findings.
--- a/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/loader.py
@@ -19,7 +19,7 @@
 
 def load_settings(path: str) -> Settings | tuple[Finding, ...]:
     """
-    Load and check a settings file.
+    Load a daemon's settings from its YAML file and check them.
 
     :param path: path of the YAML file.
     :return: the settings, or all findings in order of line and column.
--- a/packages/ibisspring-core/src/ibisspring_core/settings/model.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/model.py
@@ -37,7 +37,7 @@
         orders.
     :param usage_url: base URL to which usage is reported; empty disables usage reports.
     :param order_timeout_s: time limit of one order to the platform or an engine.
-    :param usage_window_s: length of a usage window.
+    :param usage_window_s: length of a usage window, for which usage is counted and reported.
     :param drain_settle_s: time after which a draining endpoint that announces no running requests
         is stopped, counted from the moment at which no entry sends it new work.
     :param drain_deadline_s: time after which a draining endpoint is stopped even with running
@@ -102,7 +102,7 @@
 @dataclass(frozen=True)
 class Settings:
     """
-    The settings of one daemon.
+    The settings of one daemon, as its YAML file contains them.
 
     :param daemon: id of the daemon, unique in the system and the same after restarts.
     :param data_centre: data centre of its VM.
--- a/packages/ibisspring-core/src/ibisspring_core/settings/vm.py
+++ b/packages/ibisspring-core/src/ibisspring_core/settings/vm.py
@@ -12,7 +12,7 @@
 @dataclass(frozen=True)
 class VmSettings:
     """
-    The settings of the daemon of one VM.
+    The settings of one daemon, which knows only seed addresses of other daemons.
 
     :param daemon: name of the daemon, as operators use it.
     :param role: CONTROL, ENTRY or STORE.
--- a/packages/ibisspring-core/src/ibisspring_core/timer.py
+++ b/packages/ibisspring-core/src/ibisspring_core/timer.py
@@ -30,7 +30,7 @@
 
 class TimerService:
     """
-    Calls each subscriber at its interval.
+    Calls the callback of each subscriber at the subscriber's interval.
 
     Each subscriber has a task of its own, so its calls never overlap.
     """
@@ -46,7 +46,7 @@
         self._counters = kernel.find_optional("counters")
 
     async def stop(self) -> None:
-        """Cancel all subscriptions."""
+        """Cancel the periodic calls of all subscribers."""
         for subscription in self._subscriptions:
             subscription.cancel()
 
