--- a/tests/unit/core/test_peer_rpc.py
+++ b/tests/unit/core/test_peer_rpc.py
@@ -3,7 +3,7 @@
 
 After a failed call its channel is closed, and gRPC cancels the calls that are still open on the
 channel. If each of these calls raised asyncio.CancelledError in its caller, as if the caller's task
-had been cancelled, loops that renew leases, fetch work or report results would end without a log
+had been cancelled, loops that send renewals, fetch work or report results would end without a log
 line, and an operator's call would be aborted. Reproduced with two calls over one channel: the call
 with a limit of 0.1 s failed with `deadline_exceeded`, and the call with a limit of 5 s raised
 CancelledError 1.0 s later.
