--- a/packages/ibisspring-core/src/ibisspring_core/counters.py
+++ b/packages/ibisspring-core/src/ibisspring_core/counters.py
@@ -30,17 +30,17 @@
     @classmethod
     def from_config(cls, settings: StatsdSettings | None) -> Counters:
         """
-        Build the counters.
+        Build the counters of this process.
 
-        :param settings: address of statsd; None keeps the counts in memory only.
-        :return: the counters.
+        :param settings: address of the statsd server that they are sent to; None keeps them in
+            memory only.
         """
         if settings is None:
             return cls(None)
         return cls(statsd.StatsClient(settings.host, settings.port, prefix="ibisspring"))
 
     async def start(self, kernel: Kernel) -> None:
-        """No-op: counters need no start."""
+        """No-op: counters are ready when they are built."""
 
     async def stop(self) -> None:
         """No-op: statsd uses UDP, so there is no connection to close."""
@@ -50,7 +50,7 @@
         Increase a counter.
 
         :param name: dotted name, listed in docs/reference/counters.md.
-        :param count: the increment.
+        :param count: number that is added to the counter.
         """
         self.count_by_name[name] = self.count_by_name.get(name, 0) + count
         if self._client is not None:
@@ -70,19 +70,11 @@
             self._client.timing(f"{name}.{outcome}", seconds * MS)
 
     def refused(self, reason: Reason) -> None:
-        """
-        Count a refusal.
-
-        :param reason: reason of the refusal.
-        """
+        """Count a refusal in the counter `refused.<reason>`."""
         self.add(f"refused.{reason.value}")
 
     def retried(self, reason: Reason) -> None:
-        """
-        Count a retry.
-
-        :param reason: reason why the previous try failed.
-        """
+        """Count a retry in `retried.<reason>`, by the reason why the try before it failed."""
         self.add(f"retried.{reason.value}")
 
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/jobs.py
@@ -14,7 +14,8 @@
     """
     The request that scores an item's complete text.
 
-    It is sent after the text is complete. It is idempotent and belongs to no client account.
+    The reward call is sent after the text is complete. The call is idempotent and belongs to no
+    client account.
 
     :param request: id of the request at the endpoint.
     :param host: host name that, together with `path`, selects the route.
@@ -31,7 +32,7 @@
 @dataclass(frozen=True)
 class JobItem:
     """
-    One request of a job.
+    One request of a job, which a runner sends to an endpoint.
 
     :param item: id of the item, also used as the request's id at an endpoint.
     :param path: path at the endpoint.
@@ -42,7 +43,7 @@
         their results have value only when the group is complete.
     :param prompt_tokens: number of prompt tokens.
     :param expected_tokens: the caller's estimate of the number of output tokens; 0 for none.
-    :param reward: the request that scores the text; None if the text alone is the result.
+    :param reward: the request that scores the generated text; None if the text alone is the result.
     """
 
     item: str
@@ -66,7 +67,7 @@
     :param host: host of the job's route, also sent to endpoints.
     :param service: name of the service that runs the items.
     :param model: name of the model that runs the items.
-    :param items: the requests.
+    :param items: the requests of the job.
     :param due_s: seconds from the submission until all results are due.
     :param give_up_s: seconds from the submission after which an item may be abandoned.
     :param max_attempts: number of failures after which an item is abandoned.
@@ -96,7 +97,7 @@
 @dataclass(frozen=True)
 class ItemResult:
     """
-    The final result of an item.
+    The final result of an item, after which it is not run any more.
 
     :param item: id of the item.
     :param state: COMPLETED or ABANDONED.
@@ -114,19 +115,19 @@
 
 @dataclass(frozen=True)
 class SubmitJob:
-    """Asks to accept a job; a repeated message does not create a second job."""
+    """Asks the jobs' leader to accept a job; a repeated message does not create a second job."""
 
     job: Job
 
 
 @dataclass(frozen=True)
 class JobAccepted:
-    """The job is stored by a majority of the stores."""
+    """Answer to `SubmitJob`: the job is stored by a majority of the stores."""
 
 
 @dataclass(frozen=True)
 class UnknownJob:
-    """The job does not exist for this client account; the leader is confirmed by a quorum."""
+    """The job does not exist for this client account, as a leader confirmed by a quorum answers."""
 
 
 @dataclass(frozen=True)
@@ -135,11 +136,11 @@
     Asks for results by position in the job's list of results.
 
     :param job: id of the job.
-    :param client_account: account that submitted the job.
-    :param after: first position, from 0.
+    :param client_account: account that reads the results; must have submitted the job.
+    :param after: position of the first requested result, from 0.
     :param hold_s: seconds to wait for a result at that position.
-    :param max_bytes: maximum bytes of output; the answer contains at least one result if there is
-        one.
+    :param max_bytes: maximum bytes of output in the answer; it contains at least one result if
+        there is one.
     :param inline_bytes: bytes of output above which the answer is `ResultsListed`, with positions
         instead of results; None for no limit.
     """
@@ -155,7 +156,7 @@
 @dataclass(frozen=True)
 class ResultsListed:
     """
-    Results exist, and can be read from any store that has applied them.
+    Answer to `ReadResults`: results exist and can be read from any store that has applied them.
 
     :param total: number of items of the job.
     :param listed: position after the last result that fits into one answer.
@@ -171,9 +172,9 @@
     Asks any store for results that the leader has listed in `ResultsListed`.
 
     :param job: id of the job.
-    :param client_account: account that submitted the job.
-    :param after: first position, from 0.
-    :param listed: position after the last result.
+    :param client_account: account that reads the results; must have submitted the job.
+    :param after: position of the first requested result, from 0.
+    :param listed: position after the last requested result.
     """
 
     job: str
@@ -185,7 +186,7 @@
 @dataclass(frozen=True)
 class ResultsRead:
     """
-    Results from the requested position on.
+    Answer to `ReadResults` and `ReadListed`: results from the requested position on.
 
     :param total: number of items of the job.
     :param results: the results in the order of their positions.
@@ -206,7 +207,7 @@
 
 @dataclass(frozen=True)
 class BodyRead:
-    """The request body; None if the item has a result, has ended or is not part of the job."""
+    """Answer to `ReadBody`; None if the item has a result, has ended or is not in the job."""
 
     body: bytes | None
 
@@ -221,17 +222,17 @@
 
 @dataclass(frozen=True)
 class JobEnded:
-    """The job has ended; none of its items starts to run any more."""
+    """Answer to `EndJob`: the job has ended and none of its items starts to run any more."""
 
 
 @dataclass(frozen=True)
 class Assignment:
     """
-    An item that a runner is to run at an endpoint, and then to score.
+    An item that a runner (a daemon that runs items) is to run at an endpoint, and then to score.
 
     :param number: number of the assignment, unique within an epoch.
     :param job: id of the job.
-    :param item: the item.
+    :param item: the item to run.
     :param client_account: account that submitted the job.
     :param host: host of the job's route.
     :param service: name of the service that runs the item.
@@ -265,16 +266,16 @@
 @dataclass(frozen=True)
 class TakeWork:
     """
-    A runner asks for assignments.
+    A runner asks the jobs' leader for assignments.
 
     :param runner: peer address of the runner's daemon.
     :param data_centre: data centre of the runner.
     :param incarnation: id of the daemon's start.
-    :param epoch: epoch of the last work that the runner received.
+    :param epoch: epoch of the last `Work` that the runner received.
     :param sequence: number of the call; rises with each call of an incarnation.
     :param running: numbers of the assignments that run under that epoch.
     :param free: number of further assignments that the runner accepts.
-    :param hold_s: seconds to wait for work.
+    :param hold_s: seconds that the leader waits for new assignments before it answers.
     :param events: number of events generated so far by each assignment of `running`, in the same
         order.
     """
@@ -293,11 +294,11 @@
 @dataclass(frozen=True)
 class Work:
     """
-    New assignments for a runner, and running ones that it must stop.
+    Answer to `TakeWork`: new assignments for a runner, and running ones that it must stop.
 
     :param epoch: rises with each leader of the jobs' log. Assignments of an earlier epoch are
         cancelled.
-    :param assignments: items to start.
+    :param assignments: assignments whose items the runner starts.
     :param cancelled: numbers of assignments to stop.
     :param moved: numbers of assignments to stop and to report, because their items continue at
         another endpoint.
@@ -314,13 +315,13 @@
     """
     The end of a run, or its output since the last report.
 
-    :param number: number of the assignment.
+    :param number: number of the assignment whose run is reported.
     :param kind: PART while the run continues; `done`; `failed` if the endpoint reported that this
         run failed; `impossible` if it reported that no run can succeed; `broken` if the stream
         broke or timed out; `turned_away` if the endpoint rejected the request before it started;
         `stale` if the endpoint has another weight version; `unscored` if the reward call failed
         the maximum number of times.
-    :param output: data of the run's events since its last report, joined by line feeds.
+    :param output: data of the run's events since the last report, joined by line feeds.
     :param events: number of these events.
     :param versions: weight versions that generated them, in order.
     :param first_s: seconds from the start to the first event; 0.0 if there was none.
@@ -367,10 +368,12 @@
 @dataclass(frozen=True)
 class ReportWork:
     """
-    A runner reports the ends of runs and the output of others; sent again until it is answered.
+    A runner reports ended runs and the new output of running ones.
+
+    The message is sent again until it is answered.
 
     :param runner: peer address of the runner's daemon.
-    :param epoch: epoch of the assignments.
+    :param epoch: epoch of the assignments that the outcomes belong to.
     :param outcomes: the outcomes, in the order in which they occurred.
     """
 
@@ -381,7 +384,7 @@
 
 @dataclass(frozen=True)
 class WorkReported:
-    """The outcomes were recorded, or ignored because they belong to an earlier epoch."""
+    """Answer to `ReportWork`: outcomes are recorded, or ignored if of an earlier epoch."""
 
 
 __all__ = [
--- a/packages/ibisspring-core/src/ibisspring_core/messages/order_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/order_commands.py
@@ -1,4 +1,4 @@
-"""Commands that record orders, drains and starts of daemons."""
+"""Commands that record orders to the platform and endpoints, drains and starts of daemons."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 @dataclass(frozen=True)
 class OrderIntent:
     """
-    Intent to send an order; committed before the order is sent.
+    Intent to send an order to the platform or an endpoint; committed before the order is sent.
 
     :param order_id: id of the order at the receiver, the same when the order is sent again.
     :param receiver: `platform` or `endpoint:<id>`.
@@ -23,7 +23,7 @@
 @dataclass(frozen=True)
 class IntentRecorded:
     """
-    Result of `OrderIntent`.
+    Result of `OrderIntent`: the intent is committed.
 
     :param fencing: fencing number of the order; rises with every intent.
     """
@@ -34,9 +34,9 @@
 @dataclass(frozen=True)
 class OrderResolved:
     """
-    The outcome of an order.
+    The outcome of an order whose intent was recorded by `OrderIntent`.
 
-    :param order_id: id of the order.
+    :param order_id: id of the order in its `OrderIntent`.
     :param outcome: `done`, `refused` or `unknown` (sent, but no answer before retries stopped).
     :param detail: one sentence for humans.
     """
@@ -52,7 +52,7 @@
     Drain an endpoint: it gets no new work and is stopped when it is idle.
 
     :param endpoint: id of the endpoint.
-    :param operator: name of the operator.
+    :param operator: name of the operator who asks for the drain.
     :param cancel: True cancels an earlier drain; also proposed after the endpoint was stopped.
     """
 
--- a/packages/ibisspring-core/src/ibisspring_core/messages/usage_commands.py
+++ b/packages/ibisspring-core/src/ibisspring_core/messages/usage_commands.py
@@ -27,13 +27,13 @@
 @dataclass(frozen=True)
 class AddUsage:
     """
-    Add an entry's usage; idempotent under the key (daemon, incarnation, sequence).
+    Add usage that an entry counted; idempotent under the key (daemon, incarnation, sequence).
 
-    :param daemon: id of the entry.
+    :param daemon: id of the entry that counted the usage.
     :param incarnation: number of the entry's start.
     :param sequence: number of the command within the incarnation.
     :param window: index of the usage window in which the requests ended.
-    :param records: the usage to add.
+    :param records: the usage to add, by client account and service.
     """
 
     daemon: str
@@ -46,10 +46,10 @@
 @dataclass(frozen=True)
 class UsageAdded:
     """
-    Result of `AddUsage`.
+    Result of `AddUsage`: the usage is recorded.
 
-    :param window: index of the window that the usage was added to; a later one than requested if
-        that was closed already.
+    :param window: index of the usage window that the usage was added to; a later window than the
+        command's if that one was closed already.
     """
 
     window: int
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True)
 class CloseWindow:
-    """Make the usage of a window final; proposed by the leader after the end of the window."""
+    """Make the counts of a usage window final; the leader proposes this after the window's end."""
 
     window: int
 
 
 @dataclass(frozen=True)
 class WindowReported:
-    """The platform's usage interface has acknowledged the usage of the window."""
+    """The platform's usage interface has acknowledged the counts of a usage window."""
 
     window: int
 
--- a/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
@@ -19,7 +19,7 @@
 
     :param kind: kind of the name, such as `trainer`.
     :param name: the name.
-    :param line: the line that uses it.
+    :param line: the line that uses the name.
     :param column: column of the name, from 1.
     """
 
@@ -30,7 +30,7 @@
 
 
 class Draft:
-    """The rules of the lines parsed so far."""
+    """The rules of the lines of a rules file that are parsed so far."""
 
     def __init__(self) -> None:
         self.client_account_by_name: dict[str, ClientAccount] = {}
@@ -50,7 +50,6 @@
 
         :param line: the line that defines the name.
         :param kind: kind of the name, such as `trainer`.
-        :param name: the name.
         :return: False, after reporting a finding, if an earlier line defines the name.
         """
         earlier = self._line_by_definition.get((kind, name))
@@ -81,7 +80,7 @@
             )
 
     def rules(self) -> Rules:
-        """Return the rules; valid only if there are no findings."""
+        """Return the complete rules; call this only if no finding was reported."""
         trainer_by_name = {
             name: Trainer(name, account, self.staleness_by_trainer[name])
             for name, account in self.client_account_by_trainer.items()
