--- a/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
@@ -29,20 +29,22 @@
 # sent to a second endpoint. Almost all responses take less time, and the second endpoint can still
 # respond within the target.
 HEDGE_DELAY_IN_TARGETS = 0.5
-# With less time than this remaining, no attempt is started: an endpoint could not complete it.
+# Seconds that must remain until a request's deadline for an attempt to be started; in less time, an
+# endpoint could not complete it.
 MIN_ATTEMPT_S = 0.02
+# Seconds after which a caller may repeat a request that no endpoint ran (`Refusal.retry_after_s`).
 RETRY_AFTER_S = 0.25
-# The status of an endpoint that ran the request and failed. Other error statuses are not counted as
-# failures of the endpoint, since their cause may lie elsewhere.
+# HTTP status with which an endpoint says that it ran the request and failed. Responses with other
+# error statuses are not counted as failures of the endpoint, since their cause may lie elsewhere.
 ENDPOINT_FAILURE_STATUS = 500
 
 
 @dataclass(frozen=True)
 class EndpointResponse:
     """
-    An endpoint's complete response.
+    An endpoint's complete response to a forwarded request.
 
-    :param headers: headers as the endpoint sent them.
+    :param headers: response headers as the endpoint sent them.
     """
 
     status: int
@@ -53,7 +55,7 @@
 @dataclass(frozen=True)
 class SendResult:
     """
-    The result of a request that the system itself sent.
+    The result of a request that the system itself sent, such as a reward call.
 
     :param answer: an endpoint's complete response, or a refusal that says why there is none.
     :param may_have_run: at least one endpoint may have run the request.
@@ -68,7 +70,7 @@
 @dataclass(frozen=True)
 class FailedAttempt:
     """
-    An attempt that got no usable response.
+    The reason why an attempt at one endpoint got no usable response.
 
     :param may_have_run: the endpoint may have run the request.
     """
@@ -90,10 +92,9 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> Forwarder:
         """
-        Build the service.
+        Build the forwarder of an entry, which prefers endpoints in its own data centre.
 
-        :param settings: validated settings of an entry.
-        :return: the service.
+        :param settings: validated settings of the entry.
         """
         return cls(settings.data_centre)
 
@@ -106,13 +107,13 @@
         self._usage = kernel.find("usage_counts")
 
     async def stop(self) -> None:
-        """Cancel the attempts that continue in the background."""
+        """Cancel the attempts whose requests have already been answered."""
         for task in self._background_attempts:
             task.cancel()
 
     async def forward(self, request: CallerRequest, route: Route) -> EndpointResponse | Refusal:
         """
-        Forward a caller's request, with attempts at other endpoints where the route allows them.
+        Forward a caller's request, with attempts at several endpoints where the route allows them.
 
         :param route: the route of the request.
         :return: an endpoint's complete response, or a refusal; its `not_run` is True only where no
@@ -144,7 +145,8 @@
         """
         Send a request of the system itself, which counts for no account's usage.
 
-        :param request: its `remaining_s` determines the deadline that is sent to endpoints.
+        :param request: the request; its `remaining_s` determines the deadline that is sent to
+            endpoints.
         :param time_limit_s: seconds after which this call returns without a response.
         """
         started_at_s = boot_now()
@@ -163,7 +165,7 @@
 
         :param tried_endpoints: ids of the endpoints of earlier attempts, which are excluded.
         :param at_most_once: the request must not run twice.
-        :return: the endpoint; None where there is no other one.
+        :return: the endpoint; None where the service has no endpoint that was not tried.
         """
         record_by_id = {
             record.endpoint: record
@@ -194,10 +196,10 @@
         self, attempts: set[asyncio.Task[EndpointResponse | FailedAttempt]]
     ) -> None:
         """
-        Let attempts end whose responses are no longer needed.
+        Let the remaining attempts of an answered request end by themselves.
 
-        The endpoints' work is wasted either way, but cancelling the attempts would also close their
-        connections.
+        Their responses are not used. The endpoints' work is wasted either way, but cancelling the
+        attempts would also close their connections.
         """
         for task in attempts:
             self._background_attempts.add(task)
@@ -213,7 +215,7 @@
         """
         Send a request to one endpoint and read its complete response.
 
-        :param record: the endpoint.
+        :param record: the directory's record of the endpoint.
         :param deadline_at_s: boot-clock time at which this attempt times out.
         :param endpoint_deadline_at_s: boot-clock time at which the endpoint is asked to stop
             working on the request.
@@ -312,7 +314,7 @@
         try:
             answer = await self._run_attempts(attempts)
         except asyncio.CancelledError:
-            # The caller disconnected, so that no response is needed.
+            # The caller disconnected, so no response to its request is needed.
             for task in attempts:
                 task.cancel()
             raise
@@ -354,7 +356,8 @@
             return None
         repeatable = self._route.repeat is RepeatRule.IDEMPOTENT
         if answer.status >= 500 and repeatable:
-            # Returned to the caller unless another endpoint answers without an error.
+            # This error response is returned to the caller if no other endpoint answers without an
+            # error.
             self._error_answer = answer
             self.may_have_run = True
             self.endpoint_failures += answer.status == ENDPOINT_FAILURE_STATUS
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/item_run.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/item_run.py
@@ -19,13 +19,14 @@
     from ibisspring_core.messages.jobs import Assignment
     from ibisspring_gateway.wire import EndpointAdapter
 
-# Longest wait for the response headers and then for the first event: the run may have to wait for
-# everything in the engine's queue.
+# Longest wait for the response headers, and then again for the first event: the run may first have
+# to wait for all runs in the engine's queue.
 FIRST_EVENT_TIMEOUT_S = 3.0
-# Longest wait for each later event. An engine that is four times slower than normal sends one every
-# 0.1 s.
+# Longest wait for each event after the first one. An engine that is four times slower than normal
+# sends an event every 0.1 s.
 EVENT_TIMEOUT_S = 1.2
-# An event has a few hundred bytes; a run with an event longer than this ends as `broken`.
+# A run with an event longer than this ends as `broken`, which limits the memory that a faulty
+# stream uses. A normal event has a few hundred bytes.
 MAX_EVENT_BYTES = 1024 * 1024
 EVENT_END = b"\n\n"
 
@@ -55,7 +56,9 @@
 
     def outcome(self, number: int, kind: str) -> Outcome:
         """
-        Build an outcome from the events since the previous one, and mark them as reported.
+        Build an outcome from the events that no earlier outcome contains.
+
+        The events are marked as reported, so that the next outcome does not repeat them.
 
         :param number: number of the assignment.
         :param kind: one of the kinds that `Outcome` lists.
@@ -81,15 +84,15 @@
     Run an item at the endpoint that it is assigned to.
 
     :param assignment: the item, its endpoint, and the event after which the run resumes.
-    :param progress: empty; events are added to it as they arrive.
-    :return: how the run ended, with its complete events that were not reported before.
+    :param progress: an empty record of the run, to which events are added as they arrive.
+    :return: how the run ended, with its complete events that no earlier outcome contains.
     """
     started_at_s = boot_now()
     deadline_at_s = started_at_s + assignment.deadline_s
     try:
         kind = await _stream(assignment, connections, wire, progress, (started_at_s, deadline_at_s))
     except (TimeoutError, aiohttp.ClientError, OSError, asyncio.CancelledError):
-        # A cancelled run reports the events that it has, like a run whose engine was lost.
+        # A cancelled run reports the events that it has received, like a run whose engine was lost.
         kind = "broken"
     if kind == "done" and not progress.complete:
         kind = "broken"
@@ -174,7 +177,7 @@
 
 
 def _append_event(assignment: Assignment, event: object, progress: RunProgress) -> bool:
-    """Append an event; return False where it is invalid, out of order or without a version."""
+    """Append an event to the run; return False if it is invalid, out of order or has no version."""
     if event is None or event.number != assignment.resume_after + len(progress.data) + 1:
         return False
     if event.version is not None:
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/result_reads.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/result_reads.py
@@ -1,4 +1,8 @@
-"""The service `result_reads`: reads the results of jobs, long texts from a nearby store."""
+"""
+The service `result_reads`, which reads the results of jobs for callers.
+
+Long texts are read from a nearby store, which is one in the entry's own data centre.
+"""
 
 from __future__ import annotations
 
@@ -12,23 +16,25 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings.vm import VmSettings
 
-# Up to this many bytes of results are returned by the leader in its first response, without a call
-# to a nearby store. A trainer that keeps up with its job reads no more than this at a time.
+# Up to this many bytes of results are returned by the leader of the jobs log in its first response,
+# without a call to a nearby store. A trainer that reads results as they are completed reads no more
+# than this at a time.
 INLINE_BYTES = 16_384
 NEARBY_CALL_TIMEOUT_S = 0.3
-# A store that did not answer is not called again for this long; by then the directory has noticed
-# its silence and no longer lists it.
+# Seconds for which a store that did not answer is not called again. Within this time, the directory
+# removes a store without contact from the directory view.
 AVOID_SILENT_STORE_S = 2.0
 
 
 class ResultReads:
     """
-    Reads results by position in a job.
+    Reads the results of a job by their position in the job's result list.
 
-    The leader of the jobs log says which positions are listed, and a nearby store returns long
-    texts. The result at a position never changes, so any store that has applied it returns the same
-    result. Callers read complete jobs repeatedly, and the leader is usually in another data centre:
-    without nearby reads, the texts would be sent between data centres each time.
+    The leader of the jobs log says up to which position results exist, and a nearby store returns
+    long texts. The result at a position never changes, so any store that has applied the log entry
+    returns the same result. Callers read complete jobs repeatedly, and the leader is usually in
+    another data centre: without nearby reads, the texts would be sent between data centres each
+    time.
     """
 
     name = "result_reads"
@@ -40,10 +46,9 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> ResultReads:
         """
-        Build the service.
+        Build the service of an entry, which reads from stores in the entry's data centre.
 
-        :param settings: validated settings of an entry.
-        :return: the service.
+        :param settings: validated settings of the entry.
         """
         return cls(settings.data_centre)
 
@@ -59,10 +64,10 @@
 
     async def read(self, message: ReadResults) -> Any:
         """
-        Read results from a position on.
+        Read a job's results from a position on.
 
-        :param message: first position and limits; the leader waits up to `hold_s` seconds for a
-            result at that position.
+        :param message: the job, the first position and the limits; the leader of the jobs log waits
+            up to `hold_s` seconds for a result at that position.
         :return: `ResultsRead`; `UnknownJob`; or a refusal where no leader answered in time.
         """
         store_address = self._nearby_store()
@@ -82,8 +87,8 @@
         self._counters.add("result_reads.near" if found else "result_reads.near_behind")
         if message.after + found >= answer.listed:
             return ResultsRead(answer.total, from_store.results)
-        # The store did not answer or has not applied the newest results yet: read those from the
-        # leader.
+        # The store did not answer, or has not applied the newest results yet: read the results that
+        # its response lacks from the leader.
         remaining_bytes = message.max_bytes - sum(
             len(result.output) for result in from_store.results
         )
@@ -103,8 +108,8 @@
         """
         Choose a store with a replica in this data centre.
 
-        :return: its peer address; empty where there is none or the leader itself is in this data
-            centre.
+        :return: the store's peer address; empty where there is no such store, or where the leader
+            of the jobs log itself is in this data centre.
         """
         view = self._view.view
         local_addresses = [
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
@@ -24,11 +24,11 @@
 # route's target time. An endpoint that dropped the call costs this much time; a healthy endpoint
 # answers within the target.
 TIME_LIMIT_TARGETS = 2.0
-# Lower bound of this time limit, which applies to routes with a short target.
+# Lower bound of the time limit of one send, which applies to routes with a short target time.
 MIN_TIME_LIMIT_S = 0.5
-# Pause before the next send when all endpoints were full or did not answer. It doubles from the
-# first value up to the second, so that a full service is not called continuously and a text is
-# scored soon after the service has free capacity again.
+# Pause before a reward call is sent again after all endpoints were full or did not answer. The
+# pause doubles from the first value up to the second, so that a full service is not called
+# continuously and a text is scored soon after the service has free capacity again.
 FIRST_RETRY_PAUSE_S = 0.05
 MAX_RETRY_PAUSE_S = 0.4
 
@@ -54,8 +54,9 @@
 
     def __init__(self) -> None:
         self._window_by_route: dict[str, CallWindow] = {}
-        # Per waiting call: a future that is resolved when the call gets a slot, and the time at
-        # which the call was queued. Cancelled futures stay in the queue and are skipped.
+        # Per waiting call: a future that is resolved when the call gets a slot of its route's call
+        # window, and the time at which the call was queued. Cancelled futures stay in the queue
+        # until they are first, and are then skipped.
         self._queue_by_route: dict[str, deque[tuple[asyncio.Future[None], float]]] = {}
 
     async def start(self, kernel: Kernel) -> None:
@@ -66,7 +67,7 @@
         self._counters = kernel.find("counters")
 
     async def stop(self) -> None:
-        """No-op: each call runs in the task of its run, which the runner cancels."""
+        """No-op: each reward call runs in the task of its item's run, which the runner cancels."""
 
     async def score(
         self, call: RewardCall, max_attempts: int, deadline_at_s: float
@@ -76,16 +77,17 @@
 
         :param max_attempts: failures after which the item may be abandoned; the route's own
             `max_attempts` applies where it is larger.
-        :param deadline_at_s: boot-clock time at which the item is abandoned; each send tells the
-            endpoint the seconds that remain until then.
-        :return: the score, or why there is none.
+        :param deadline_at_s: boot-clock time at which the item is abandoned; each request states
+            the seconds that remain until then.
+        :return: the score that the endpoint returned, or the reason why there is none.
         """
         failures = 0
         pause_s = FIRST_RETRY_PAUSE_S
         while boot_now() < deadline_at_s:
             route = self._route(call)
             if route is None:
-                # A later configuration may contain the route again.
+                # The current configuration lacks the call's route; a later one may contain it
+                # again.
                 self._counters.add("reward_call.no_route")
                 await asyncio.sleep(MAX_RETRY_PAUSE_S)
                 continue
@@ -137,7 +139,7 @@
         return sent
 
     def _reported_capacity(self, route: Route) -> int:
-        """Sum of the requests that the route's endpoints say they process at the same time."""
+        """Sum of the capacities that the route's endpoints report: requests processed at a time."""
         return sum(
             record.load.capacity
             for share in route.shares
@@ -145,7 +147,7 @@
         )
 
     async def _acquire_slot(self, route: Route) -> CallWindow:
-        """Wait for a free slot in the route's window; calls get slots in order of arrival."""
+        """Wait for a free slot in the route's call window; slots are given in order of arrival."""
         window = self._window_by_route.setdefault(route.name, CallWindow())
         queue = self._queue_by_route.setdefault(route.name, deque())
         if queue or not window.has_capacity():
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/runner.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/runner.py
@@ -21,34 +21,38 @@
     from ibisspring_core.messages.jobs import Assignment
     from ibisspring_core.settings.vm import VmSettings
 
-# Most streams that one entry reads at the same time; all engines together currently have 60 slots.
+# Most event streams of engines that one entry reads at the same time; all engines together
+# currently have 60 slots.
 MAX_STREAMS = 48
-# Seconds for which the dispatcher may hold a request for work while it has none; also the pause
-# after a request that failed.
+# Seconds for which the dispatcher may delay its response to a request for work while it has no
+# work; also the runner's pause after a request for work that failed.
 WORK_HOLD_S = 0.4
 CALL_TIMEOUT_S = 1.0
 FIND_LEADER_TIMEOUT_S = 3.0
-# Time limits of a caller's request about jobs: in total, and for each store that is asked. Callers
+# Time limits of a caller's request about jobs: in total, and for each store that is called. Callers
 # repeat such a request on their own after 1 or 2 s without a response.
 JOB_CALL_TIMEOUT_S = 2.0
 JOB_ATTEMPT_TIMEOUT_S = 0.8
-# Outcomes within this time are sent in one report and committed together.
+# Seconds from the first unreported outcome until a report is sent. All outcomes of this time are in
+# one report and are committed together.
 REPORT_DELAY_S = 0.02
 # Interval at which the new events of current runs are reported and stored in the jobs log. When an
 # entry, the leader of the jobs log or the power of all VMs is lost, each text then loses on
 # average the events of half this interval, instead of all its events.
 PART_INTERVAL_S = 1.0
-# Time limit of the last report at a stop; it uses part of the time until the process is killed.
+# Time limit of the last report of outcomes when the daemon stops. The report uses part of the time
+# between SIGTERM and the kill of the process.
 LAST_REPORT_TIMEOUT_S = 0.8
 
 
 class Runner:
     """
-    Runs assignments: one task requests work, another reports outcomes, and each run has its own.
+    Runs the items that the jobs dispatcher assigns to this entry.
 
-    The run of an item with a reward call continues after the engine's text is complete. The text is
-    reported and stored in the jobs log during the call, so that storing it does not delay the
-    result.
+    One task requests work, another task reports outcomes, and each run has a task of its own. The
+    run of an item with a reward call continues after the engine's text is complete. The text is
+    reported and stored in the jobs log during the reward call, so that storing it does not delay
+    the item's result.
     """
 
     name = "runner"
@@ -69,15 +73,14 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> Runner:
         """
-        Build the service.
+        Build the runner of an entry.
 
-        :param settings: validated settings of an entry.
-        :return: the service.
+        :param settings: validated settings of the entry.
         """
         return cls(settings)
 
     async def start(self, kernel: Kernel) -> None:
-        """Start to request work and to report outcomes."""
+        """Start the tasks that request work from the dispatcher and report outcomes to it."""
         self._view = kernel.find("directory_view")
         self._connections = kernel.find("connections")
         self._wire = kernel.find("endpoint_wire")
@@ -108,7 +111,7 @@
             await self.leader.call(message, LAST_REPORT_TIMEOUT_S, LAST_REPORT_TIMEOUT_S)
 
     def drain(self) -> None:
-        """Request no more work; current runs continue."""
+        """Stop requesting work from the dispatcher; current runs continue."""
         self._draining = True
 
     @property
@@ -120,7 +123,8 @@
         """Return peer addresses of possible leaders of the jobs log, the most likely one first."""
         view = self._view.view
         founders = view.job_group.founders if view.job_group is not None else ()
-        # A store without a replica is never the leader and does not know the leader's address.
+        # A store without a replica of the jobs log is never its leader and does not know the
+        # leader's address.
         replicas = (store.address for store in view.stores if not store.empty)
         hint = (view.job_leader,) if view.job_leader else ()
         return tuple(dict.fromkeys((*hint, *replicas, *(founder.address for founder in founders))))
@@ -129,7 +133,7 @@
         """
         Forward a caller's request to the leader of the jobs log.
 
-        :param message: a message that may be processed twice.
+        :param message: a message that may be processed twice, since it is repeated at other stores.
         :param hold_s: seconds for which the leader may delay its response.
         :return: the leader's response; a refusal where no leader responded in time.
         """
@@ -167,8 +171,8 @@
 
     def _apply_work(self, work: Work) -> None:
         if work.epoch != self._epoch:
-            # A new dispatcher resumes the items from their stored parts and ignores the outcomes of
-            # runs that belong to an earlier epoch.
+            # A new dispatcher resumes the items from the events stored in the jobs log, and ignores
+            # the outcomes of runs that belong to an earlier epoch.
             for task in self._task_by_number.values():
                 task.cancel()
             self._task_by_number.clear()
@@ -211,7 +215,11 @@
         self._queue_outcome(outcome)
 
     def _is_assigned(self, number: int, epoch: int) -> bool:
-        """Whether the dispatcher still expects an outcome; each epoch uses the same numbers."""
+        """
+        Whether the dispatcher still expects an outcome for this number.
+
+        The epoch is compared too, since each epoch uses the same numbers.
+        """
         return epoch == self._epoch and number in self._task_by_number
 
     def _queue_outcome(self, outcome: Outcome) -> None:
@@ -254,7 +262,7 @@
         progress = RunProgress()
         self._progress_by_number[assignment.number] = progress
         outcome = await run_item(assignment, self._connections, self._wire, progress)
-        # If the epoch changed during the run, the number may belong to another run now.
+        # If the epoch changed during this run, its number may now belong to a newer run.
         if self._progress_by_number.get(assignment.number) is progress:
             del self._progress_by_number[assignment.number]
         took_s = boot_now() - started_at_s
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
@@ -12,23 +12,25 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings.vm import VmSettings
 
-# Counts that are more than this many windows older than the newest one are dropped, so that memory
-# stays bounded while the directory does not confirm any, as during a long network partition.
+# Most usage windows before the newest one whose counts are kept. Older counts are dropped, so that
+# memory stays bounded while the directory confirms no counts, as during a long network partition.
 MAX_WINDOWS = 24
 
 
-# Pause after a report that the directory's leader did not acknowledge; an acknowledgement gives the
-# pause itself. During the pause, the counts are sent with the renewals only.
+# Seconds until the next report of counts, after a report that the directory's leader did not
+# acknowledge; an acknowledgement says itself how long to pause. During the pause, the counts are
+# sent with the lease renewals only.
 DEFAULT_PAUSE_S = 1.0
 
 
 class UsageCounts:
     """
-    The service `usage_counts`.
+    The service `usage_counts`, which counts requests and sends the counts to the directory.
 
-    Each renewal with the directory carries the counts of all windows that are not closed. The
-    leader may hold a renewal for half a second, and an entry that is killed loses the counts that
-    it has not sent; increased counts are therefore also reported in messages of their own.
+    Each lease renewal contains the counts of all usage windows that are not closed. The directory's
+    leader may delay its response to a renewal for half a second, and an entry that is killed loses
+    the counts that it has not sent; increased counts are therefore also reported in messages of
+    their own.
     """
 
     name = "usage_counts"
@@ -42,10 +44,9 @@
     @classmethod
     def from_config(cls, settings: VmSettings) -> UsageCounts:
         """
-        Build the service.
+        Build the counts of an entry, which are empty at its start.
 
-        :param settings: validated settings of an entry.
-        :return: the service.
+        :param settings: validated settings of the entry; a `usage_window_s` of 0 disables counting.
         """
         return cls(settings.usage_window_s)
 
@@ -56,7 +57,7 @@
         self._report_task = asyncio.create_task(self._report_increases(), name="usage_counts")
 
     async def stop(self) -> None:
-        """Cancel the reporting task."""
+        """Cancel the task that reports increased counts."""
         if self._report_task is not None:
             self._report_task.cancel()
 
@@ -84,9 +85,10 @@
 
     def open_counts(self, closed_window: int) -> tuple[UsageCount, ...]:
         """
-        Return the counts of the windows that are not closed, and drop all others.
+        Return the counts of the usage windows that are not closed, and drop all other counts.
 
-        :param closed_window: newest window whose counts the directory no longer changes.
+        :param closed_window: number of the newest window whose counts the directory no longer
+            changes.
         """
         newest = max((window for window, _ in self._count_by_key), default=0)
         for key in list(self._count_by_key):
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/wire.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/wire.py
@@ -41,8 +41,8 @@
 
     ANSWERED: the response is the endpoint's own answer to the request.
     REJECTED: the endpoint rejected the request and guarantees that it did not run it.
-    OTHER_ENDPOINT: the request was not run either, because another endpoint now has the address or
-    the endpoint has other weights than expected.
+    OTHER_ENDPOINT: the request was not run, because another endpoint now has the address or the
+    endpoint has other weights than expected.
     FAILED: the endpoint ran the request and failed; another endpoint may be tried.
     OTHER_REQUEST: the response belongs to another request.
     """
@@ -57,9 +57,9 @@
 @dataclass(frozen=True)
 class Event:
     """
-    One event of a streamed response.
+    One event of an engine's streamed response to an item's run.
 
-    :param number: position in the item's text, from 1.
+    :param number: position of the event in the item's text, from 1.
     :param version: weight version that made this event and the following ones; None where it is
         the same as for the previous event.
     """
--- a/tests/unit/gateway/test_forward.py
+++ b/tests/unit/gateway/test_forward.py
@@ -33,7 +33,12 @@
 
 
 class _Wire:
-    """Fake adapter: `Id` must be the request's id, `Turned-Away` says that it was not run."""
+    """
+    Fake endpoint adapter.
+
+    The response header `Id` must be the request's id, and `Turned-Away` says that the endpoint did
+    not run the request.
+    """
 
     name = "endpoint_wire"
 
@@ -129,8 +134,8 @@
 )
 async def test_an_idempotent_request_is_answered_by_another_endpoint(broken) -> None:
     # One endpoint resets the connection, or its response is invalid, an error or meant for another
-    # request. The request is sent to another endpoint, and no part of the bad response reaches the
-    # caller.
+    # request. The request must then be sent to a second endpoint, and no part of the bad response
+    # may reach the caller.
     def send_and_close(head: str) -> list:
         return [*broken, None]
 
@@ -158,7 +163,8 @@
 
 
 async def test_a_request_that_may_run_once_is_not_sent_again_once_it_may_have_run() -> None:
-    # An endpoint runs a payment and its response is lost. A second attempt would pay twice.
+    # An endpoint runs a payment, and its response is lost. If the request were sent again, the
+    # payment would be made twice.
     async with scripted(lambda head: [None]) as first, scripted(lambda head: [None]) as second:
         async with forwarder_to(first, second) as forwarder:
             result = await forwarder.forward(REQUEST, PAYMENT_ROUTE)
--- a/tests/unit/gateway/test_item_run.py
+++ b/tests/unit/gateway/test_item_run.py
@@ -15,7 +15,7 @@
 
 
 class _Wire:
-    """Fake adapter: an event is `number data` or `number data version`."""
+    """Fake endpoint adapter, whose events are `number data` or `number data version`."""
 
     def run_headers(self, assignment):
         return (("After", str(assignment.resume_after)),)
@@ -89,7 +89,8 @@
 
 
 async def test_a_text_without_a_version_is_discarded() -> None:
-    # The weight version is never guessed: weights of any age may have made the text.
+    # An engine does not state its weight version, so weights of any age may have made the text. If
+    # the version were guessed, a trainer might learn from text of the wrong version.
     head = HEAD.replace(b"Version: 4\r\n", b"")
 
     outcome = await run([head, chunk(b"1 a\n\n"), LAST_CHUNK])
@@ -108,8 +109,8 @@
 
 
 async def test_run_breaks_if_the_engine_stops_sending(monkeypatch) -> None:
-    # The engine sends nothing more on this connection, although it answers on new ones. Without a
-    # time limit for each event, the run would last until the step's deadline.
+    # The engine sends nothing more on this connection, although it answers on new connections.
+    # Without a time limit for each event, the run would last until the step's deadline.
     monkeypatch.setattr(item_run, "EVENT_TIMEOUT_S", 0.2)
 
     outcome = await run([HEAD, chunk(b"1 a\n\n"), 5.0])
--- a/tests/unit/gateway/test_result_reads.py
+++ b/tests/unit/gateway/test_result_reads.py
@@ -61,8 +61,9 @@
 
 
 async def test_long_texts_come_from_a_store_in_the_same_data_centre() -> None:
-    # Callers read complete jobs repeatedly, 200 kB each time. Read from the leader, these would be
-    # most of the traffic between data centres, all sent by the store that also dispatches the work.
+    # Callers read the results of complete jobs repeatedly, 200 kB each time. If all results were
+    # read from the leader, they would be most of the traffic between data centres, all sent by the
+    # store that also dispatches the work.
     stores = _Stores(applied=40)
 
     read = await reader_of(stores, LEADER_STORE, EMPTY_STORE, NEARBY_STORE).read(READ_ALL)
@@ -73,8 +74,8 @@
 
 @pytest.mark.parametrize("applied", [0, 25])
 async def test_results_that_a_store_has_not_applied_are_read_from_the_leader(applied) -> None:
-    # A trainer waits for the newest results. Without them in this response, its step would end half
-    # a second later.
+    # A trainer waits for the newest results, which the nearby store has not applied. If they were
+    # missing from this response, the trainer's step would end half a second later.
     stores = _Stores(applied)
 
     read = await reader_of(stores, LEADER_STORE, NEARBY_STORE).read(READ_ALL)
@@ -84,8 +85,8 @@
 
 
 async def test_results_from_two_stores_stay_within_max_bytes() -> None:
-    # The leader returned the results that the store had not applied, up to the full `max_bytes`
-    # again: the response was twice as long as callers accept.
+    # The leader returns the results that the store has not applied. If the leader's part could have
+    # `max_bytes` again, the combined response would be twice as long as callers accept.
     stores = _Stores(applied=10)
 
     read = await reader_of(stores, LEADER_STORE, NEARBY_STORE).read(
--- a/tests/unit/gateway/test_reward_calls.py
+++ b/tests/unit/gateway/test_reward_calls.py
@@ -62,7 +62,7 @@
 
 async def test_an_incomplete_response_yields_no_score() -> None:
     # The connection is reset in the middle of the response body. The response headers already
-    # contain a score, but a score counts only with the complete response.
+    # contain a score, but it must not be used: a score counts only with the complete response.
     responses = iter([[SCORED_RESPONSE[:-3], None], [SCORED_RESPONSE]])
     async with scripted(lambda head: next(responses)) as endpoint, calls_to(endpoint) as calls:
         assert await calls.score(REWARD_CALL, 3, boot_now() + 30.0) == "0.7"
@@ -71,8 +71,8 @@
 
 
 async def test_a_call_that_always_fails_ends_after_its_last_attempt() -> None:
-    # Each send tries two endpoints, and three failures are allowed: the call must not end after the
-    # second failure, nor start another send after the third.
+    # Each send of the reward call tries two endpoints, and three failures are allowed: the call
+    # must not end after the second failure, nor be sent again after the third.
     async with (
         scripted(lambda head: [FAILED_RESPONSE]) as first,
         scripted(lambda head: [FAILED_RESPONSE]) as second,
@@ -130,8 +130,8 @@
 
 
 async def test_the_remaining_time_sent_to_endpoints_decreases_with_each_attempt() -> None:
-    # If each send gave the endpoint the full time limit again, the endpoint would go on with a call
-    # after the deadline of its item.
+    # If each request stated the full time limit again, an endpoint would continue to work on a
+    # reward call after the deadline of its item.
     async with scripted(lambda head: [REJECTED_RESPONSE]) as endpoint, calls_to(endpoint) as calls:
         await calls.score(REWARD_CALL, 3, boot_now() + 0.5)
 
--- a/tests/unit/gateway/test_runner.py
+++ b/tests/unit/gateway/test_runner.py
@@ -14,8 +14,9 @@
 
 
 def test_stores_without_a_replica_are_not_asked_for_work() -> None:
-    # After the loss of the leader of the jobs log, a runner calls one store after another. Calls to
-    # stores without a replica are wasted, because these do not know the leader.
+    # After the loss of the leader of the jobs log, a runner calls one store after another to find
+    # the new leader. Calls to stores without a replica of the log would only cost time, because
+    # such stores do not know the leader.
     founders = (store("1", True), store("2", True))
     stores = (store("1", False), *(store(str(number), True) for number in range(5, 25)))
     runner = Runner.from_config(SETTINGS)
