--- a/tests/unit/platform/test_batch_jobs.py
+++ b/tests/unit/platform/test_batch_jobs.py
@@ -43,7 +43,8 @@
 
 
 def test_invalid_reward_call_rejects_the_complete_job_and_names_the_field() -> None:
-    # All faults are reported together, so that a trainer's author can fix them at the same time.
+    # All faults must be reported together. If only the first one were, a trainer's author would
+    # have to submit the job again to see the next fault.
     findings = read_scored_job(
         SCORER, {**SCORER, "path": "sync"}, {**SCORER, "body": "%"}, {**SCORER, "id": ""}
     )
--- a/tests/unit/platform/test_deploy.py
+++ b/tests/unit/platform/test_deploy.py
@@ -16,9 +16,9 @@
 @pytest.mark.parametrize("machines", [(2, 2, 1), (2, 1, 1, 1)])
 def test_control_keeps_a_majority_after_the_loss_of_two_disks(machines) -> None:
     # Two machines with control daemons lose their disks at the same moment, right after a
-    # configuration was acknowledged. If one machine in each of three data centres runs a control
-    # daemon, the remaining one is no majority: the configuration is permanently lost, and no
-    # further change is acknowledged.
+    # configuration was acknowledged. If only one machine in each of three data centres ran a
+    # control daemon, the remaining daemon would be no majority: the configuration would be
+    # permanently lost, and no further change would be acknowledged.
     losses = 2
     count = read_roles()["control"]["count"]
 
@@ -36,11 +36,13 @@
     [(1, (1, 1, 1)), (2, (4, 5, 4)), (2, (4, 4, 3, 3)), (2, (6, 6, 6, 6, 6))],
 )
 def test_store_majority_survives_disk_losses_while_one_store_is_retired(losses, machines) -> None:
-    # One store is retired while as many others as the site must tolerate lose their disks.
+    # One store is retired while as many other stores as the deployment must tolerate lose their
+    # disks. A majority of the stores must remain.
     assert count_stores(machines) >= min(2 * losses + 2, sum(machines))
 
 
 def test_added_store_can_replace_a_retired_one() -> None:
-    # With one store in each data centre the log has no spare member: a store that is retired leaves
-    # the log only after an added store has replaced it.
+    # With one store in each data centre, the jobs log has no spare member: a store that is retired
+    # may leave the log only after an added store has replaced it. More machines must therefore give
+    # more stores.
     assert count_stores((2, 1, 1)) > count_stores((1, 1, 1))
--- a/tests/unit/platform/test_hostile_bodies.py
+++ b/tests/unit/platform/test_hostile_bodies.py
@@ -1,11 +1,12 @@
 """
 Malformed and deeply nested request bodies are rejected and raise no unexpected exception.
 
-A body of a few kilobytes that nests an unknown field deeper than the interpreter's recursion limit
-raised RecursionError where only DecodeError was expected. The control API answered such a
-configuration with 500, while an invalid one must be rejected with 400, and the operator sent it
-again and again; jobs and heartbeats failed in the same way. Each reader below raised RecursionError
-at 5,000 levels and none did at 900.
+A body of a few kilobytes may nest an unknown field deeper than the interpreter's recursion limit.
+Without the guard of `decode_json`, decoding it would raise RecursionError where only DecodeError is
+expected. The control API would answer such a configuration with 500 instead of the 400 of an
+invalid configuration, and the operator would send it again and again; jobs and heartbeats would
+fail in the same way. Without the guard, each reader below raises RecursionError at 5,000 levels
+and none does at 900.
 """
 
 from __future__ import annotations
--- a/tests/unit/platform/test_settings.py
+++ b/tests/unit/platform/test_settings.py
@@ -82,7 +82,7 @@
 
 def test_control_and_store_on_one_vm_use_different_ports_and_folders(read) -> None:
     # Both processes get the same IP, ports and disk. Without different ports and folders, the
-    # second one could not listen, or would write to the log of the first.
+    # second process could not listen, or would write to the log of the first.
     store_boot = {**BOOT, "role": "store", "serves": ["storage"], "listen": {}}
 
     control, store = read(BOOT), read(store_boot)
@@ -107,9 +107,9 @@
     """
     An operator retires a store, whose VM is removed; then other stores lose their disks.
 
-    When a control replica ran on each of these VMs, the majority of the control log was lost too:
-    the newest acknowledged configuration could not be read back, and all later requests of callers
-    were refused.
+    If a control replica ran on each of these VMs, the majority of the control log would be lost
+    too: the newest acknowledged configuration could not be read back, and all later requests of
+    callers would be refused.
     """
     deploy = tomllib.loads((REPOSITORY / "deploy" / "system.toml").read_text())
     class_by_served = {
