--- a/packages/ibisspring-entry/src/ibisspring_entry/admission/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/admission/service.py
@@ -30,18 +30,17 @@
     @classmethod
     def from_config(cls, settings: Settings) -> AdmissionService:
         """
-        Build the service.
+        Build the service of this daemon; the operator's rules are applied at the first request.
 
         :param settings: validated settings of this daemon.
-        :return: the service, not started.
         """
         return cls(settings.daemon)
 
     async def start(self, kernel: Kernel) -> None:
         """
-        Find the required services and schedule the exchange of demand with the peers.
+        Look up the lease and the registry, and update this entry's shares periodically.
 
-        :param kernel: the daemon's kernel.
+        :param kernel: registry in which the daemon's services find each other.
         """
         self._lease = kernel.find("lease")
         self._registry = kernel.find("registry")
@@ -56,7 +55,7 @@
 
         :param client_account: the client account of the caller.
         :return: None if the request is admitted. Otherwise the refusal, with the seconds after
-            which to retry; a refused request has not been run.
+            which the caller should retry; a refused request has not been run.
         """
         rules = self._lease.rules()
         if isinstance(rules, Refusal):
--- a/packages/ibisspring-entry/src/ibisspring_entry/claims/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/claims/service.py
@@ -22,14 +22,15 @@
 """Largest number of characters of an Idempotency-Key."""
 
 MAX_STORED_BYTES = 65_536
-"""Largest answer body that is stored in the replicated state."""
+"""Largest answer body, in bytes, that is stored in the replicated state for later requests."""
 
 IN_PROGRESS_RETRY_S = 1.0
 """Seconds after which a caller should retry a call that is in progress or could not be claimed."""
 
 SETTLE_WAIT_S = 0.5
-"""Seconds that a caller waits for its claim to be settled before it gets the answer anyway."""
+"""Seconds that a caller's answer is delayed at most until its claim is settled."""
 
+# Largest number of attempts to settle a claim; with the pauses, they take 10 s or more.
 SETTLE_TRIES = 20
 SETTLE_PAUSE_S = 0.5
 """Seconds between two attempts to settle a claim."""
@@ -57,13 +58,12 @@
         cls, client_account: str, key: str, request_id: str, parts: tuple[str | bytes, ...]
     ) -> KeyedCall:
         """
-        Build a call.
+        Build a call with the digest of its content.
 
         :param client_account: the client account of the caller.
         :param key: the caller's Idempotency-Key.
-        :param request_id: the id of this request.
+        :param request_id: the id of this request, which identifies the claim.
         :param parts: the call's content; two calls with equal parts count as the same call.
-        :return: the call, with the digest of `parts`.
         """
         digest = xxhash.xxh3_128_hexdigest(msgspec.msgpack.encode(parts))
         return cls(client_account, key, digest, request_id)
@@ -82,18 +82,17 @@
     @classmethod
     def from_config(cls, settings: Settings) -> Claims:
         """
-        Build the service.
+        Build the service from the daemon's settings.
 
         :param settings: validated settings of a daemon with the entry role.
-        :return: the service, not started.
         """
         return cls(settings.daemon, settings.entry.drain_s)
 
     async def start(self, kernel: Kernel) -> None:
         """
-        Find the required services.
+        Look up the services that claim keys and send calls.
 
-        :param kernel: the daemon's kernel.
+        :param kernel: registry in which the daemon's services find each other.
         """
         self._endpoints = kernel.find("endpoints")
         self._control = kernel.find("control_client")
@@ -102,7 +101,7 @@
 
     async def stop(self) -> None:
         """
-        Wait until all claims are settled.
+        Wait until all claimed calls are answered and their claims are settled.
 
         The wait ends after `drain_s`, the limit for running requests at a stop.
         """
@@ -133,8 +132,8 @@
         if not 0 < len(call.key) <= MAX_KEY_LENGTH:
             detail = f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} characters"
             return Refusal(Reason.BAD_REQUEST, True, None, detail)
-        # Claiming, sending and settling continue if the caller disconnects. Cancelled halfway, the
-        # claim would stay "running" although it is unknown whether the call ran.
+        # Claiming, sending and settling continue if the caller disconnects. If they were cancelled
+        # halfway, the claim would stay "running" although it is unknown whether the call ran.
         return await asyncio.shield(self._track(self._claim_and_run(call, send)))
 
     async def _claim_and_run(self, call: KeyedCall, send: SendCall) -> CompleteAnswer | Refusal:
@@ -148,9 +147,9 @@
         )
         state = await self._control.propose(claim, f"claim-{call.request_id}")
         if isinstance(state, Refusal) and not state.not_run:
-            # The claim may be committed although its proposal failed. It is released, because
-            # otherwise the caller's retries would be rejected for minutes as "in progress" although
-            # the call was never sent.
+            # The claim may be committed although its proposal failed. It is released: otherwise the
+            # caller's retries would be rejected for minutes as "in progress" although the call was
+            # never sent.
             self._track(self._settle(settlement_of(claim, refusal_without_claim(state))))
         if not isinstance(state, ClaimState):
             return refusal_without_claim(state)
@@ -167,9 +166,9 @@
     async def _run_claimed(self, claim: ClaimKey, send: SendCall) -> CompleteAnswer | Refusal:
         answer = await send()
         settling = self._track(self._settle(settlement_of(claim, answer)))
-        # While the control group has no leader the claim cannot be settled. The caller gets its
-        # answer without waiting for that; until the answer is stored, another request under the key
-        # is rejected as "in progress".
+        # While the control group has no leader, the claim cannot be settled. The caller gets its
+        # answer without waiting for a leader; until the answer is stored, another request under the
+        # key is rejected as "in progress".
         await asyncio.wait({settling}, timeout=SETTLE_WAIT_S)
         return answer
 
@@ -185,11 +184,11 @@
 
 def settlement_of(claim: ClaimKey, answer: CompleteAnswer | Refusal) -> SettleClaim:
     """
-    Build the command that settles a claim.
+    Build the command that settles a claim with the result of its call.
 
-    :param claim: the claim.
-    :param answer: the result of the claimed call.
-    :return: the command, with the answer's body if that has at most `MAX_STORED_BYTES`.
+    :param claim: the claim that was granted for the call.
+    :param answer: the result of the call.
+    :return: the command; contains the answer's body if it has at most `MAX_STORED_BYTES`.
     """
     claim_id = (claim.client_account, claim.key, claim.request_id)
     if isinstance(answer, Refusal):
@@ -218,8 +217,8 @@
     """
     Answer a call whose key was already claimed by an earlier call.
 
-    :param call: the new call.
-    :param state: the state of the earlier claim.
+    :param call: the new call under the same key.
+    :param state: the state of the earlier call's claim.
     :return: the stored answer of the earlier call, or a refusal that says why there is none.
     """
     if state.state == "running":
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/access.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/access.py
@@ -15,9 +15,9 @@
     """
     Check that a client account may call a service.
 
-    :param kernel: the daemon's kernel.
+    :param kernel: registry in which the daemon's services find each other.
     :param client_account: client account of the caller.
-    :param service: name of a model or plain service.
+    :param service: name of the called model or plain service.
     :return: the current rules if they allow the call, else a refusal.
     """
     rules = kernel.find("lease").rules()
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/announce.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/announce.py
@@ -20,7 +20,7 @@
 
 
 class AnnounceResource:
-    """Receives announcements; no API key is required, see docs/how-to/endpoints.md."""
+    """Receives endpoints' announcements, without an API key (docs/how-to/endpoints.md)."""
 
     def __init__(self, kernel: Kernel, settings: EntrySettings) -> None:
         self._settings = settings
@@ -28,7 +28,7 @@
         self._counters = kernel.find("counters")
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Validate an announcement and record it in the registry."""
+        """Validate an announcement, record it in the registry and say whether it was accepted."""
         data = await read_body(request, self._settings)
         record = data if isinstance(data, Refusal) else parse_announcement(data)
         if isinstance(record, tuple):
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/bodies.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/bodies.py
@@ -25,7 +25,7 @@
     The time limit for the complete body is `caller_silence_s`: without it, a caller that stops
     sending in the middle of the body would keep the request open forever.
 
-    :param request: the HTTP request.
+    :param request: the request whose body is read.
     :param settings: contains the size limit `max_body_bytes` and the time limit `caller_silence_s`.
     :return: the body, or a refusal if it is too large or too slow; in both cases the request was
         not run.
@@ -50,9 +50,9 @@
 
 def parse_body(body: bytes, body_type: type[BodyT]) -> BodyT | Refusal:
     """
-    Decode a JSON body.
+    Decode the JSON body of a caller's request.
 
-    :param body: the bytes of the body.
+    :param body: the complete body.
     :param body_type: the data class to decode into.
     :return: the decoded object, or a refusal with the decoding error.
     """
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/caller_connection.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/caller_connection.py
@@ -33,7 +33,7 @@
         self._silence_s = silence_s
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Set both time limits of a new connection."""
+        """Set the limits for unacknowledged data and for the request head of a new connection."""
         super().connection_made(transport)
         connection = transport.get_extra_info("socket")
         silence_ms = max(1, round(self._silence_s * 1000))
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/callers.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/callers.py
@@ -35,9 +35,9 @@
     The lease is checked first: without a valid lease, this entry does not know which keys have been
     withdrawn.
 
-    :param kernel: the daemon's kernel.
-    :param request: the HTTP request; its context receives the client account.
-    :return: the caller, or a refusal.
+    :param kernel: registry in which the daemon's services find each other.
+    :param request: the request to identify; its context receives the client account.
+    :return: the caller with its client account, or a refusal.
     """
     lease = kernel.find("lease")
     view = lease.view()
@@ -60,9 +60,9 @@
     """
     Admit a request if its key is valid and its client account is within its rate limit.
 
-    :param kernel: the daemon's kernel.
-    :param request: the HTTP request; once admitted, it is cancelled if its key is withdrawn.
-    :return: the caller, or a refusal.
+    :param kernel: registry in which the daemon's services find each other.
+    :param request: the request to admit; once admitted, it is cancelled if its key is withdrawn.
+    :return: the caller with its client account, or a refusal.
     """
     caller = identify(kernel, request)
     if isinstance(caller, Refusal):
@@ -79,18 +79,18 @@
     """
     Return whether a caller's key still belongs to its client account.
 
-    :param kernel: the daemon's kernel.
+    :param kernel: registry in which the daemon's services find each other.
     :param caller: a caller that `admit` returned earlier.
-    :return: False also while the lease is lapsed.
+    :return: False if the key was withdrawn or given to another account, and while the lease is
+        lapsed.
     """
     return kernel.find("lease").client_account_of(caller.key) == caller.client_account
 
 
 def bearer_key(request: falcon.asgi.Request) -> str:
     """
-    Return the API key of the `Authorization: Bearer` header.
+    Return the API key of a request's `Authorization: Bearer` header.
 
-    :param request: the HTTP request.
     :return: the key; empty if the header is missing or has another scheme.
     """
     header = request.get_header("Authorization") or ""
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/ending.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/ending.py
@@ -26,11 +26,11 @@
     work: Awaitable[None],
 ) -> None:
     """
-    Serve a request; send a refusal if this entry cancels it.
+    Serve a request; respond with a refusal if this entry cancels it.
 
     A cancellation because the caller closed its connection is raised again.
 
-    :param work: fills the response.
+    :param work: serves the request and fills the response.
     """
     try:
         await work
@@ -43,11 +43,10 @@
 
 def take_cancellation(request: falcon.asgi.Request) -> Refusal | None:
     """
-    Revert the cancellation of a request and return its reason.
+    Revert the cancellation of a request's task, so that a refusal can be sent.
 
-    :param request: the HTTP request.
-    :return: the refusal to send; None if the caller closed the connection, in which case the
-        cancellation is not reverted.
+    :return: the refusal with the reason of the cancellation; None if the caller closed the
+        connection, in which case the cancellation is not reverted.
     """
     open_request = getattr(request.context, "open_request", None)
     return None if open_request is None else open_request.take_refusal()
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/generate.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/generate.py
@@ -37,7 +37,7 @@
 
 
 class GenerateResource:
-    """Handles `POST /v1/generate`."""
+    """`POST /v1/generate`: runs a generation at an engine and sends its tokens to the caller."""
 
     def __init__(self, kernel: Kernel, settings: EntrySettings) -> None:
         self._kernel = kernel
@@ -45,7 +45,7 @@
         self._counters = kernel.find("counters")
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Run one generation and send its tokens to the caller."""
+        """Run one generation; respond with a stream of lines or one JSON object, as requested."""
         work = self._serve(request, response)
         await serve_cancellable(request, response, self._counters, work)
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/generate_wire.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/generate_wire.py
@@ -28,7 +28,7 @@
     """
     Encode one piece of a streamed response.
 
-    :param request_id: id of the request.
+    :param request_id: id that each line repeats.
     :param piece: a run of tokens, the end of the generation, or its failure.
     :return: one JSON line with a newline.
     """
@@ -51,7 +51,7 @@
     """
     Encode the response of a generation that is not streamed.
 
-    :param request_id: id of the request.
+    :param request_id: id that the response contains.
     :param runs: the token runs of the generation in order.
     :return: one JSON object; adjacent runs with the same version are merged.
     """
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/health.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/health.py
@@ -1,4 +1,4 @@
-"""Health and readiness probes of the load balancer."""
+"""Responses to the health and readiness probes of the load balancer."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class HealthResource:
-    """`GET /healthz`: whether the process responds."""
+    """`GET /healthz`: shows that the process responds."""
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Respond with 200."""
+        """Respond with 200, whatever the state of the lease."""
         response.content_type = falcon.MEDIA_JSON
         response.data = b'{"healthy": true}'
 
@@ -33,7 +33,7 @@
         self._is_stopping = is_stopping
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Respond with 200, or with 503 and the reason."""
+        """Respond with 200, or with 503 and the reason why this entry is not ready."""
         reason = ""
         view = self._lease.view()
         if isinstance(view, Refusal):
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/keyed_generation.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/keyed_generation.py
@@ -42,9 +42,9 @@
 
     async def start(self, key: str) -> CompleteAnswer | Refusal | None:
         """
-        Claim the key and start the generation.
+        Claim the caller's Idempotency-Key and start the generation.
 
-        :param key: the caller's Idempotency-Key.
+        :param key: the value of the header `Idempotency-Key`.
         :return: the complete response if it is already stored or the generation is not streamed, a
             refusal, or None if `lines` streams the response.
         """
@@ -71,9 +71,9 @@
 
     async def lines(self) -> AsyncGenerator[bytes, None]:
         """
-        Stream the generation.
+        Stream the generation's response to the caller.
 
-        :return: its NDJSON lines; the last one is the end or an error.
+        :return: NDJSON lines; the last line is the end mark or an error.
         """
         line = self._first_line
         while line is not None:
@@ -81,7 +81,8 @@
             line = await self._line_queue.get()
 
     async def _run(self) -> CompleteAnswer | Refusal:
-        # The run continues without its caller, but is cancelled if the key is withdrawn.
+        # The generation continues without its caller, but is cancelled if the caller's API key is
+        # withdrawn.
         open_request = self._kernel.find("http").open_work.register(
             self._caller.key, self._caller.client_account
         )
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/middleware.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/middleware.py
@@ -30,7 +30,8 @@
         request_id = uuid.uuid4().hex
         correlation_id = request.get_header("X-Correlation-Id") or ""
         request.context.request_id = request_id
-        # Other values are replaced, so that callers cannot inject lines into the logs.
+        # Values in any other format are replaced, so that callers cannot inject lines into the
+        # logs.
         request.context.correlation_id = (
             correlation_id if CORRELATION_ID.fullmatch(correlation_id) else request_id
         )
@@ -58,7 +59,8 @@
         )
 
 
-# Frequent probes and announcements: neither logged nor refused during shutdown.
+# Paths of frequent requests (probes and announcements), which are neither logged nor refused during
+# shutdown.
 EXEMPT_PATHS = frozenset(("/healthz", "/readyz", "/v1/announce"))
 
 
@@ -108,8 +110,8 @@
     """
     Convert falcon's HTTP errors and unhandled exceptions to refusals.
 
-    :param app: the falcon application.
-    :param counters: the process's counters.
+    :param app: the application whose handlers are set.
+    :param counters: counts the refusals.
     """
 
     async def handle_http_error(
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/open_work.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/open_work.py
@@ -17,10 +17,11 @@
 """
 Seconds for which open requests continue without a valid lease.
 
-Long enough for an election of the control plane. Short enough that a key that is withdrawn while
-this entry is cut off from control stops working within seconds.
+The time is long enough for an election of a control leader, and short enough that a key that is
+withdrawn while this entry is cut off from the control daemons stops working within seconds.
 """
 
+# Seconds between two checks whether the lease has been lapsed for `LAPSE_GRACE_S`.
 WATCH_INTERVAL_S = 0.25
 
 
@@ -34,7 +35,7 @@
         self.reason: Reason | None = None
 
     def cancel(self, reason: Reason) -> None:
-        """Cancel the request's task; its caller gets the refusal of `take_refusal`."""
+        """Cancel the request's task; the caller gets the refusal that `take_refusal` returns."""
         if self.reason is None:
             self.reason = reason
             self.task.cancel()
@@ -70,11 +71,11 @@
 
     def register(self, key: str, client_account: str) -> OpenRequest:
         """
-        Register the request that the current task serves; removed when that task is done.
+        Register the request that the current task serves; it is removed when that task is done.
 
         :param key: the caller's API key.
         :param client_account: client account of the key.
-        :return: the open request.
+        :return: the registered request, which says why it was cancelled, if it was.
         """
         task = asyncio.current_task()
         open_request = OpenRequest(task, key, client_account)
@@ -86,7 +87,7 @@
         """
         Cancel every open request.
 
-        :param reason: reason of the refusal that the callers get.
+        :param reason: reason in the refusals that the callers get.
         """
         for request in list(self._open_requests):
             self._counters.add(f"ended.{reason.value}")
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/refusals.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/refusals.py
@@ -45,17 +45,17 @@
 
 UNREAD_BODY_REASONS = (Reason.TOO_LARGE, Reason.TIMEOUT)
 """
-Reasons after which the rest of a request body may still arrive.
+Reasons of refusals after which the remaining bytes of a request body may still arrive.
 
-The connection is closed, since an open one would wait for the remaining bytes.
+The connection is closed after such a refusal, since an open one would wait for these bytes.
 """
 
 
 def error_body(refusal: Refusal, request_id: str) -> dict[str, object]:
     """
-    Build the JSON body of a refusal.
+    Build the JSON body of the response to a refused request.
 
-    :param refusal: the refusal.
+    :param refusal: why the request is refused, and whether it may have run.
     :param request_id: id of the request, as in the header `X-Request-Id`.
     :return: the object `{"error": …}`.
     """
@@ -77,9 +77,9 @@
     Write a refusal into a response and count it.
 
     :param response: the response to fill.
-    :param refusal: the refusal.
-    :param request_id: id of the request.
-    :param counters: the process's counters.
+    :param refusal: why the request is refused, and whether it may have run.
+    :param request_id: id of the request, which the body repeats.
+    :param counters: counts the refusals by reason.
     """
     counters.refused(refusal.reason)
     response.status = falcon.code_to_http_status(STATUS_BY_REASON[refusal.reason])
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/server.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/server.py
@@ -24,13 +24,12 @@
     application: Application, settings: EntrySettings, counters: Counters
 ) -> EmbeddedServer:
     """
-    Configure the HTTP server.
+    Configure the HTTP server of an entry, without starting it.
 
-    :param application: the ASGI application.
+    :param application: the ASGI application that answers the requests.
     :param settings: contains the listen address and `caller_silence_s`, the time limit for silent
         callers.
-    :param counters: the process's counters.
-    :return: the server, not started.
+    :param counters: counts refused and silent connections.
     """
     host, _, port = settings.listen_http.rpartition(":")
     config = uvicorn.Config(
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/service.py
@@ -23,15 +23,15 @@
     from ibisspring_core.settings import EntrySettings, Settings
     from ibisspring_entry.http.server import EmbeddedServer
 
-# Seconds for which the port stays open and new requests are refused before running requests are
-# awaited.
+# Seconds of a stop for which new requests are refused while the port stays open, before the service
+# waits for running requests.
 REFUSAL_PERIOD_S = 0.3
 FINAL_TIMEOUT_S = 1
-"""Integer seconds that uvicorn grants the last requests, after running ones had `drain_s`."""
+"""Integer seconds that uvicorn grants the last requests after the wait of `drain_s` has ended."""
 
 
 class HttpService:
-    """Serves callers, trainers and announcements of endpoints."""
+    """The HTTP server for callers, trainers and the announcements of endpoints."""
 
     name = "http"
 
@@ -45,10 +45,9 @@
     @classmethod
     def from_config(cls, settings: Settings) -> HttpService:
         """
-        Build the service.
+        Build the service from the daemon's settings, without its routes.
 
         :param settings: settings of a daemon with the entry role.
-        :return: the service.
         """
         return cls(settings.entry)
 
@@ -62,7 +61,7 @@
         self._resource_by_path[path] = resource
 
     async def start(self, kernel: Kernel) -> None:
-        """Create the application and start to listen; raises OSError if that is not possible."""
+        """Create the falcon application and listen; raise OSError if the port cannot be opened."""
         counters = kernel.find("counters")
         self.open_work = OpenWork(kernel)
         self._stop_middleware = StopMiddleware(counters)
@@ -91,8 +90,8 @@
         Stop gracefully, without breaking running requests.
 
         The steps are: report not ready, wait `stop_wait_s` for the load balancer, refuse new
-        requests, wait up to `drain_s` for running ones, close the port. Until the load balancer has
-        detected that this entry is not ready, new requests still arrive and are served, since
+        requests, wait up to `drain_s` for running requests, close the port. Until the load balancer
+        has detected that this entry is not ready, new requests still arrive and are served, since
         refusing them at once would make the shutdown visible to callers without need.
         """
         self.stopping = True
@@ -100,14 +99,14 @@
         await asyncio.sleep(self._settings.stop_wait_s)
         self._stop_middleware.refusing = True
         # While running requests finish, the port stays open for callers that do not check readyz:
-        # their requests are refused as not run. Closing it would reset the connections in the
-        # backlog without a response.
+        # their requests are refused as not run. If the port were closed, connections in the listen
+        # backlog would be reset without a response.
         await asyncio.sleep(REFUSAL_PERIOD_S)
         running = set(self._server.server_state.tasks)
         if running:
             await asyncio.wait(running, timeout=self._settings.drain_s)
-        # Remaining requests get a refusal: a stream that ended without one would look complete or
-        # broken to its caller.
+        # Remaining requests get a refusal: to its caller, a stream that ended without a refusal
+        # would look complete or broken.
         self.open_work.cancel_all(Reason.STOPPING)
         self._server.config.timeout_graceful_shutdown = FINAL_TIMEOUT_S
         self._server.should_exit = True
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/services.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/services.py
@@ -27,7 +27,7 @@
 
 
 class ServicesResource:
-    """Forwards calls to plain services."""
+    """Forwards callers' requests to endpoints of plain services."""
 
     def __init__(self, kernel: Kernel, settings: EntrySettings) -> None:
         self._kernel = kernel
@@ -55,7 +55,8 @@
         if isinstance(answer, Refusal):
             refuse(response, answer, request.context.request_id, self._counters)
             return
-        # A replayed answer was stored by an earlier call, which has already been billed.
+        # A replayed answer was stored by an earlier call under the same Idempotency-Key, which has
+        # already been billed.
         if not answer.replayed:
             bill(
                 self._kernel,
@@ -125,7 +126,6 @@
     """
     Return the service and the path below it as sent by the caller, still percent-encoded.
 
-    :param request: the HTTP request.
     :return: the service name, and the path with its leading slash.
     """
     raw_path = request.scope["raw_path"].decode("ascii")
--- a/packages/ibisspring-entry/src/ibisspring_entry/http/usage.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/usage.py
@@ -19,12 +19,12 @@
     """
     Record the usage of an answered request once, however many endpoints were tried.
 
-    :param kernel: the daemon's kernel.
+    :param kernel: registry in which the daemon's services find each other.
     :param client_account: client account that is billed.
     :param service: name of the model or plain service.
-    :param tokens: number of tokens sent to the caller.
-    :param endpoint_s: seconds of endpoint time.
-    :param request_id: id of the request.
+    :param tokens: number of tokens sent to the caller; 0 for a plain service.
+    :param endpoint_s: seconds for which endpoints worked on the request.
+    :param request_id: id under which the request is billed once.
     """
     meter = kernel.find_optional("usage_meter")
     if meter is not None:
--- a/packages/ibisspring-entry/src/ibisspring_entry/lease/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/lease/__init__.py
@@ -1,4 +1,4 @@
-"""The entry's lease from the control leader, and the view and rules that are valid under it."""
+"""The entry's lease from the control leader, with the leader's view and rules valid under it."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/lease/holding.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/lease/holding.py
@@ -16,7 +16,7 @@
 
 
 class LeaseState:
-    """The newest view from the leader, its parsed rules and the time at which the lease lapses."""
+    """The control leader's newest view, its parsed rules and the time at which the lease lapses."""
 
     def __init__(self) -> None:
         self.view: EntryView | None = None
@@ -32,20 +32,20 @@
         serve after the leader considers the lease lapsed, and a withdrawn key would still work.
 
         :param sent_s: boot-clock time, in seconds, taken before the renewal was sent.
-        :param lease_s: seconds granted.
+        :param lease_s: seconds for which the leader granted the lease.
         """
         self.lapses_at = max(self.lapses_at, sent_s + lease_s)
 
     def accepts(self, view: EntryView) -> bool:
         """
-        Return whether a view may be applied.
+        Return whether a view from the leader may be applied.
 
         Replies may arrive out of order, and applying an older view would make a withdrawn key valid
         again. Rules that do not parse mean that this entry runs another release than the leader,
         which parsed the same text before it accepted the rules; the lease then lapses, so that the
         outdated rules do not stay in force.
 
-        :param view: a view from the leader.
+        :param view: the view in a renewal's reply.
         :return: False if this entry must neither apply the view nor extend its lease by the reply
             that carried it.
         """
@@ -57,8 +57,9 @@
         """
         Apply a view for which `accepts` returned True.
 
-        :param view: a view from the leader.
-        :param peers_digest: the leader's digest of its live entries, sent back in renewals.
+        :param view: the view in a renewal's reply.
+        :param peers_digest: the leader's digest of its live entries, which the next renewal sends
+            back.
         :return: True if the rules changed.
         """
         rules = self._parse_rules(view)
--- a/packages/ibisspring-entry/src/ibisspring_entry/lease/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/lease/service.py
@@ -1,4 +1,4 @@
-"""The service `lease`: renews the entry's lease and provides the view and rules under it."""
+"""The service `lease`: renews the entry's lease and provides the leader's view and rules."""
 
 from __future__ import annotations
 
@@ -30,7 +30,11 @@
 
 
 class Lease:
-    """The entry's permission to serve callers, with the view and rules to apply."""
+    """
+    The entry's permission to serve callers, which the control leader grants for some seconds.
+
+    Each renewal may return a new view (rules, peers and draining endpoints) to apply.
+    """
 
     name = "lease"
 
@@ -52,10 +56,9 @@
     @classmethod
     def from_config(cls, settings: Settings) -> Lease:
         """
-        Build the service.
+        Build the service from the daemon's settings; no lease is held yet.
 
         :param settings: validated settings of a daemon with the entry role.
-        :return: the service, not started and without a lease.
         """
         entry = settings.entry
         peer_address = entry.advertise_peer or entry.listen_peer
@@ -65,7 +68,7 @@
         """
         Start the task that renews the lease.
 
-        :param kernel: the daemon's kernel.
+        :param kernel: registry in which the daemon's services find each other.
         """
         self._client = kernel.find("control_client")
         self._counters = kernel.find("counters")
@@ -81,7 +84,7 @@
 
     def view(self) -> EntryView | Refusal:
         """
-        Get the view in force.
+        Get the control leader's view that is in force.
 
         :return: the view, or the refusal for callers while the lease is lapsed.
         """
@@ -91,7 +94,7 @@
 
     def rules(self) -> Rules | Refusal:
         """
-        Get the rules in force.
+        Get the operator's rules that are in force.
 
         :return: the parsed rules, or the refusal for callers while the lease is lapsed.
         """
@@ -114,8 +117,8 @@
         """
         Register a callback for changed rules.
 
-        :param callback: called with the old and the new rules, before a request is served under the
-            new ones.
+        :param callback: called with the old and the new rules, before any request is served under
+            the new rules.
         """
         self._rules_callbacks.append(callback)
 
@@ -134,7 +137,7 @@
             await asyncio.sleep(max(0.0, left_s))
 
     async def _renew(self) -> bool:
-        """Renew the lease once; return True if the view changed."""
+        """Renew the lease once; return True if the reply contained a newer view."""
         registry = self._kernel.find_optional("registry")
         records, are_all = registry.pending_changes() if registry is not None else ((), False)
         disproofs = registry.pending_disproofs() if registry is not None else ()
@@ -188,7 +191,11 @@
         return view.index > old_index
 
     def _commit_start(self) -> None:
-        """Commit this start once, so that claims of an earlier start no longer count as running."""
+        """
+        Commit this start of the daemon once.
+
+        After that, claims of an earlier start no longer count as running.
+        """
         if self._start_committed or (self._start_task is not None and not self._start_task.done()):
             return
         self._start_task = asyncio.create_task(self._propose_start(), name="lease:start")
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/__init__.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/__init__.py
@@ -1,4 +1,4 @@
-"""Sends requests to endpoints and returns complete answers or refusals."""
+"""Sends callers' requests to endpoints and returns complete answers or refusals."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/connections.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/connections.py
@@ -16,18 +16,18 @@
 
 CONNECT_TIMEOUT_S = 2.0
 """
-Limit for a TCP handshake: the round trip between VMs takes milliseconds, and a lost SYN is resent
-after 1 s.
+Time limit in seconds for a TCP handshake: the round trip between VMs takes milliseconds, and a lost
+SYN is resent after 1 s.
 """
 
 MAX_LINE_BYTES = 1 << 20
-"""Largest line in an engine's response stream."""
+"""Largest line, in bytes, in an engine's response stream."""
 
 KEEPALIVE_S = 5
 """Idle seconds before the first TCP keepalive probe, and seconds between two probes."""
 
 USER_TIMEOUT_MS = 10_000
-"""The kernel closes a connection whose sent data is unacknowledged for this time."""
+"""Milliseconds after which the operating system closes a connection with unacknowledged data."""
 
 CONNECT_FAILURES = (
     aiohttp.ClientConnectorError,
@@ -37,7 +37,7 @@
 
 
 def _make_socket(address: tuple) -> socket.socket:
-    """Create a socket on which the kernel detects a peer that vanished without closing it."""
+    """Create a socket on which the operating system detects a peer that is no longer reachable."""
     family, kind, protocol, _, _ = address
     opened = socket.socket(family, kind, protocol)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -53,7 +53,7 @@
     Open the HTTP client session for all endpoints.
 
     Cookies are not stored, because a cookie set for one client account would be sent with requests
-    of others.
+    of other client accounts.
 
     :return: the session, to be closed by the caller.
     """
@@ -77,10 +77,11 @@
 
 def request_timeout(read_timeout_s: float) -> aiohttp.ClientTimeout:
     """
-    Build the timeouts of one request; the code that awaits the answer limits the total time.
+    Build the HTTP client's timeouts of one request to an endpoint.
+
+    The code that awaits the answer limits the total time.
 
     :param read_timeout_s: longest time in seconds without a received byte.
-    :return: the timeouts for the HTTP client.
     """
     return aiohttp.ClientTimeout(
         total=None, connect=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=read_timeout_s
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
@@ -20,7 +20,7 @@
     from ibisspring_core.messages.endpoints import EndpointRecord
 
 EndpointStart = tuple[str, int]
-"""An endpoint's id and incarnation; a failure of one incarnation says nothing about the next."""
+"""An endpoint's id and incarnation; a failure of one start says nothing about the next start."""
 
 
 class EndpointClient:
@@ -45,7 +45,7 @@
         repeatable: bool = True,
     ) -> EndpointRecord | None:
         """
-        Choose an endpoint for a try.
+        Choose an endpoint for the next try of a request.
 
         :param service: the model or plain service.
         :param prompt: the prompt, used to prefer endpoints that have its prefix cached; empty for
@@ -96,7 +96,7 @@
         """
         Count one request as in flight at an endpoint while the context is open.
 
-        :param record: the endpoint's record.
+        :param record: the endpoint's record, whose announcement the choice was based on.
         """
         endpoint = record.endpoint
         self._in_flight_by_endpoint[endpoint] = self._in_flight_by_endpoint.get(endpoint, 0) + 1
@@ -122,7 +122,7 @@
         Record for the routing that an endpoint gave a complete answer.
 
         :param endpoint: the endpoint's id.
-        :param unit_s: seconds that each token or call took.
+        :param unit_s: seconds that a token of the generation, or the plain call, took.
         """
         self._router.record_success(endpoint, unit_s)
 
@@ -131,8 +131,8 @@
         Check the retry budget for one more try, and count the try if it is allowed.
 
         :param reason: why the previous try failed.
-        :param charged: whether the retry adds load to the endpoints; only then it is charged to the
-            retry budget.
+        :param charged: whether the retry adds work for the endpoints; only then the retry is
+            charged to the retry budget.
         :return: True if the retry may be sent.
         """
         if charged and not self._budget.take_retry(boot_now()):
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/engine_try.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/engine_try.py
@@ -23,20 +23,21 @@
 MAX_STALLED_CHECKS = 3
 """
 Consecutive checks in which the engine reports that it works on the request but has made no new
-token. A single one may be a long prefill; after 3 the engine counts as stalled.
+token. A single check of this kind may be a long prefill; after 3 checks the engine counts as
+stalled.
 """
 
 REFUSED_STATUSES = (429, 503)
 """HTTP statuses with which an engine refuses a request."""
 
 CANCEL_TIMEOUT_S = 5.0
-"""Limit for a cancel request to the engine."""
+"""Time limit in seconds for a cancel request to the engine."""
 
 
 @dataclass(frozen=True)
 class TryOutcome:
     """
-    How a try ended.
+    How a try of a generation ended.
 
     :param reason: why the try failed; None if the end mark arrived and its total matches the tokens
         received.
@@ -52,10 +53,10 @@
 
 class EngineTry:
     """
-    The state of one try.
+    The state of one try of a generation.
 
-    :param session: the HTTP client session.
-    :param record: the engine's record.
+    :param session: the HTTP client session for all endpoints.
+    :param record: the engine's record, which gives its address.
     :param request: the generation.
     :param try_id: the id of this try, which the engine echoes in its response and in every line.
     :param received: tokens received so far; the list is shared with the later tries, which resume
@@ -215,9 +216,9 @@
         Ask the engine over a new connection for the state of a request whose connection is silent.
 
         A connection whose state a device in between has dropped never delivers data again, while
-        new ones work, so that waiting longer on it would block the caller. The state that the
-        engine reports over a new connection tells a dead connection (the engine has made more
-        tokens than were received) from slow work.
+        new connections work, so that waiting longer on the silent connection would block the
+        caller. The state that the engine reports over a new connection tells a dead connection (the
+        engine has made more tokens than were received) from slow work.
 
         :return: the outcome if the try is over, or None to continue waiting.
         """
@@ -258,7 +259,8 @@
                 async with self._session.post(url, allow_redirects=False) as response:
                     await response.read()
         except (aiohttp.ClientError, OSError, TimeoutError):
-            # If the cancel fails, the engine stops the work itself when its next write fails.
+            # If the cancel request fails, the engine stops the work itself when its next write to
+            # the closed connection fails.
             return
 
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/engine_wire.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/engine_wire.py
@@ -40,12 +40,11 @@
     request: GenerateRequest, try_id: str, resume_tokens: tuple[int, ...]
 ) -> dict[str, object]:
     """
-    Build the body of `POST /generate`.
+    Build the JSON body of a try's `POST /generate` to an engine.
 
-    :param request: the caller's request.
-    :param try_id: the id of this try.
-    :param resume_tokens: tokens already received, after which the engine continues.
-    :return: the JSON object.
+    :param request: the generation.
+    :param try_id: the id of this try, which the engine echoes.
+    :param resume_tokens: tokens received by earlier tries, after which the engine continues.
     """
     return {
         "request_id": try_id,
@@ -62,7 +61,6 @@
     """
     Parse one line of an engine's stream.
 
-    :param data: the line's bytes.
     :return: the line, or None if the bytes are no valid line, such as the incomplete last line of a
         truncated stream.
     """
@@ -74,10 +72,9 @@
 
 def parse_state(data: bytes) -> RequestState | None:
     """
-    Parse the answer to `GET /requests/{id}`.
+    Parse the body of an engine's answer to `GET /requests/{id}`.
 
-    :param data: the body.
-    :return: the state, or None if the body is no valid state.
+    :return: the state of the request, or None if the body is no valid state.
     """
     try:
         return decode_json(data, RequestState)
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/generation.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/generation.py
@@ -24,7 +24,7 @@
     from ibisspring_entry.proxy.endpoint_use import EndpointClient, EndpointStart
 
 MAX_TRIES = 10
-"""Largest number of tries of one generation, also if each try adds tokens."""
+"""Largest number of tries of one generation, even if each try adds tokens."""
 
 MAX_TRIES_WITHOUT_TOKENS = 3
 """
@@ -141,8 +141,8 @@
             self._failed_on.add(start)
             self._endpoints.record_failure(record.endpoint)
         if outcome.not_run and outcome.reason is Reason.ENDPOINT_FAILED:
-            # No process accepts connections there, but its record stays until its TTL ends. The
-            # endpoint is tried again only after a new start.
+            # No process accepts connections at the endpoint's address, but the endpoint's record
+            # stays until its TTL ends. The endpoint is tried again only after a new start.
             self._unreachable.add(start)
         eliot.log_message(
             "generation:try_failed",
@@ -158,9 +158,9 @@
             return False
         if self._tries >= MAX_TRIES or self._tries_without_tokens >= MAX_TRIES_WITHOUT_TOKENS:
             return False
-        # A lost engine or connection ends the previous try's work, so that a retry adds no load.
-        # Only retries whose previous engine may still be working, but slowly, are charged to the
-        # retry budget.
+        # A lost engine or connection ends the previous try's work, so that a retry adds no work for
+        # the engines. A retry is charged to the retry budget only if the engine of the previous try
+        # may still be working, but slowly.
         charged = outcome.reason is not Reason.ENDPOINT_FAILED and not outcome.same_engine
         return self._endpoints.may_retry(outcome.reason, charged)
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/messages.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/messages.py
@@ -1,4 +1,4 @@
-"""Requests to the proxy and its answers."""
+"""Requests to the proxy, which sends them to endpoints, and the proxy's answers."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 @dataclass(frozen=True)
 class GenerateRequest:
     """
-    One generation.
+    A request to generate text with a model.
 
-    :param request_id: the caller's id for the request; each try has an id derived from it.
+    :param request_id: the id of the request; each try at an engine has an id derived from it.
     :param client_account: the client account for which the generation runs.
     :param model: the service name that the engines announce.
     :param prompt: the prompt's text.
@@ -24,9 +24,10 @@
     :param adapter: name of a trainer's adapter weights; empty for the base model.
     :param priority: the engine schedules higher priorities first.
     :param deadline_s: seconds from the call within which the complete answer is needed.
-    :param correlation_id: written to logs and sent to the engine.
-    :param excluded_endpoints: ids of endpoints that must not be used, such as the one that runs a
-        straggler.
+    :param correlation_id: id from the caller's header `X-Correlation-Id`, which is written to logs
+        and sent to the engine.
+    :param excluded_endpoints: ids of endpoints that must not be used, such as the engine that
+        already runs a slow attempt at the same sample.
     :param on_endpoint_chosen: called with each engine's id before the engine is tried, so also for
         an engine that never returns a token.
     :param is_still_allowed: called when the request has got a slot; False rejects it, because its
@@ -71,11 +72,11 @@
 @dataclass(frozen=True)
 class GenerationEnd:
     """
-    The end mark of a complete answer.
+    The end mark of a generation's complete answer.
 
     :param total: number of tokens of the complete answer.
     :param endpoint: id of the engine that generated the last tokens.
-    :param tries: number of tries that the generation needed; 1 if none failed.
+    :param tries: number of tries that the generation needed; 1 if no try failed.
     :param endpoint_s: seconds from the start of the first try to the end, without the wait for a
         slot.
     """
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_call.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_call.py
@@ -15,11 +15,11 @@
 
 MAX_TRIES = 3
 RETRY_AFTER_S = 1.0
-"""Seconds after which the caller should retry if no endpoint accepts requests."""
+"""Seconds after which the caller should retry if no endpoint of the service accepts requests."""
 
 
 class PlainCall:
-    """The state of one call: the endpoints that were tried, and whether any try may have run."""
+    """The state of one plain call: the endpoints tried, and whether any try may have run."""
 
     def __init__(self, endpoints: EndpointClient, request: PlainRequest, deadline: float) -> None:
         self._endpoints = endpoints
@@ -90,8 +90,8 @@
         """
         Wait for the first complete answer and remove failed tries from `running`.
 
-        :param running: tries in progress.
-        :param wait_s: limit in seconds; None stands for `silence_s`.
+        :param running: the tasks of the tries in progress.
+        :param wait_s: time limit in seconds; None stands for `silence_s`.
         :return: the answer, or None if the limit has passed or all tries have failed.
         """
         until = boot_now() + (wait_s or self._endpoints.silence_s)
@@ -134,8 +134,8 @@
     def _may_try_again(self, refusal: Refusal) -> bool:
         if self._tries >= MAX_TRIES or boot_now() >= self._deadline:
             return False
-        # If no endpoint was available, an immediate retry would find none either and would loop
-        # without pause.
+        # If no endpoint was available, an immediate retry would find no endpoint either, and the
+        # call would be retried in a loop without pause.
         if self._no_endpoint:
             return False
         return self._endpoints.may_retry(refusal.reason, charged=not refusal.not_run)
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_try.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_try.py
@@ -18,7 +18,7 @@
     from ibisspring_core.messages.endpoints import EndpointRecord
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Largest answer body that is read from an endpoint."""
+"""Largest answer body, in bytes, that is read from an endpoint."""
 
 RETRY_AFTER_S = 1.0
 """Seconds after which the caller should retry a call that has not been run."""
@@ -32,11 +32,11 @@
     deadline: float,
 ) -> CompleteAnswer | Refusal:
     """
-    Send a call once.
+    Send a call to one endpoint once.
 
-    :param session: the HTTP client session.
-    :param record: the endpoint's record.
-    :param request: the call.
+    :param session: the HTTP client session for all endpoints.
+    :param record: the endpoint's record, which gives its address.
+    :param request: the call of the plain service.
     :param try_id: the id of this try, which the endpoint must echo.
     :param deadline: boot-clock time at which the try ends as timed out.
     :return: the complete answer, or a refusal whose `not_run` holds for this try only.
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_wire.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/plain_wire.py
@@ -73,9 +73,9 @@
 
 def answer_headers(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
     """
-    Select an endpoint's headers that are forwarded to the caller.
+    Select the headers of an endpoint's answer that are forwarded to the caller.
 
-    :param headers: the endpoint's headers.
+    :param headers: the headers as the endpoint sent them.
     :return: names in lower case with their values.
     """
     kept = []
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/service.py
@@ -41,10 +41,9 @@
     @classmethod
     def from_config(cls, settings: Settings) -> Endpoints:
         """
-        Build the service.
+        Build the service, which prefers endpoints in the daemon's data centre.
 
         :param settings: validated settings of a daemon with the entry role.
-        :return: the service, not started.
         """
         return cls(settings.data_centre, settings.entry.silence_s)
 
@@ -52,7 +51,7 @@
         """
         Open the HTTP client session; no connection is opened before the first request.
 
-        :param kernel: the daemon's kernel.
+        :param kernel: registry in which the daemon's services find each other.
         """
         self._registry = kernel.find("registry")
         self._counters = kernel.find("counters")
@@ -69,11 +68,11 @@
         self, request: GenerateRequest
     ) -> AsyncGenerator[TokenRun | GenerationEnd | GenerationFailed, None]:
         """
-        Wait for a slot, then run a generation.
+        Wait for a slot of the model, then run a generation at its engines.
 
         Ending the iteration early (by `aclose` or cancellation) cancels the engine's work.
 
-        :param request: the generation.
+        :param request: the prompt with the model, the limits and the client account.
         :return: runs of tokens in order, then exactly one `GenerationEnd` or `GenerationFailed`.
         """
         began = boot_now()
@@ -105,9 +104,9 @@
 
     async def call(self, request: PlainRequest) -> CompleteAnswer | Refusal:
         """
-        Wait for a slot, then call a plain service.
+        Wait for a slot of a plain service, then call one of its endpoints.
 
-        :param request: the call.
+        :param request: the HTTP request with the service, the deadline and the client account.
         :return: the complete answer or a refusal.
         """
         began = boot_now()
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/turn_taking.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/turn_taking.py
@@ -29,7 +29,7 @@
         """
         Schedule the updates by the endpoints' capacity, the rules and the peers' demand.
 
-        :param kernel: the daemon's kernel.
+        :param kernel: registry in which the daemon's services find each other.
         """
         self._registry = kernel.find("registry")
         self._lease = kernel.find("lease")
@@ -39,7 +39,7 @@
         self, service: str, client_account: str, units: int, deadline_s: float
     ) -> Item | Refusal:
         """
-        Wait for a slot of a service.
+        Wait for a slot of a service, which permits to run one request.
 
         :param service: the service's name.
         :param client_account: the client account of the caller.
@@ -58,7 +58,7 @@
 
     def release(self, service: str, item: Item, units: int, work_s: float, complete: bool) -> None:
         """
-        Return a slot.
+        Return a slot, so that the next waiting request of the service can start.
 
         :param service: the service's name.
         :param item: the slot from `acquire`.
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/turns.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/turns.py
@@ -31,10 +31,10 @@
         """
         Build the slots of a service without running or waiting requests.
 
-        :param weight_by_client_account: weights from the rules.
+        :param weight_by_client_account: the client accounts' weights in the fair queue, from the
+            operator's rules.
         :param work_time: estimates how long a request of the service takes.
         :param slots: largest number of requests that may run at the same time.
-        :return: the service's slots.
         """
         return cls(FairQueue.from_weights(weight_by_client_account, slots), work_time)
 
@@ -46,7 +46,7 @@
         self, item_id: str, client_account: str, units: int, deadline_s: float
     ) -> Item | Refusal:
         """
-        Wait for a slot.
+        Wait for a slot, which permits to run one request of the service.
 
         :param item_id: an id that is unique among the requests of this entry.
         :param client_account: the client account of the caller.
@@ -90,7 +90,7 @@
         """
         Apply new slots and weights, and refuse requests that cannot finish before their deadlines.
 
-        :param weight_by_client_account: weights from the rules in force.
+        :param weight_by_client_account: the client accounts' weights from the rules in force.
         :param slots: largest number of requests that may run at the same time.
         :param now: seconds on the boot clock.
         """
@@ -100,8 +100,8 @@
         self._start_waiting(now)
 
     def _start_waiting(self, now: float) -> None:
-        # Without any endpoint there are no slots, and waiting requests would never start. All are
-        # started, so that each is refused at once because no endpoint is available.
+        # Without any endpoint there are no slots, and waiting requests would never start. They are
+        # all started, so that each is refused at once because no endpoint is available.
         while self.running < self._queue.slots or self._queue.slots == 0:
             next_start = self._queue.take(now)
             self._refuse(next_start.shed)
@@ -123,7 +123,7 @@
             granted.set_result(Refusal(reason, True, refused.retry_after_s, detail))
 
     def _remove_cancelled(self, item: Item, granted: asyncio.Future[Refusal | None]) -> None:
-        """Remove a request that was cancelled while it waited; release a slot it had just got."""
+        """Remove a cancelled request from the queue; release the slot if it had just got one."""
         self._queue.remove(lambda other: other.item_id == item.item_id)
         if granted.done() and not granted.cancelled() and granted.result() is None:
             self.running -= 1
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/announcement.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/announcement.py
@@ -17,7 +17,7 @@
 
 def parse_announcement(data: bytes) -> EndpointRecord | tuple[Finding, ...]:
     """
-    Parse and validate an announcement.
+    Parse and validate the announcement of an endpoint.
 
     :param data: the request body, one JSON object with the fields of `EndpointRecord`.
     :return: the record, or all errors found in it.
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_sent.py
@@ -20,7 +20,7 @@
 @dataclass(frozen=True)
 class Delta:
     """
-    The endpoint records that one exchange carries.
+    The endpoint records that one exchange sends to a peer.
 
     :param complete: complete records that the peer may lack or whose content changed.
     :param refreshes: updates of records of which only the sequence and the load changed.
@@ -47,11 +47,11 @@
         """
         Select the records and refreshes that the peer lacks.
 
-        Records received from other peers are not forwarded: every entry exchanges with every other,
-        and n entries that forwarded records would send n^2 copies of each announcement.
+        Records received from other peers are not forwarded: every entry exchanges with every other
+        entry, and n entries that forwarded records would send n^2 copies of each announcement.
 
-        :param received: all records of this entry's table.
-        :param now: seconds on this entry's boot clock.
+        :param received: all records of this entry's endpoint table.
+        :param now: the current time in seconds on this entry's boot clock.
         :return: the records and refreshes to send.
         """
         complete = []
@@ -71,7 +71,7 @@
         """
         Record that the peer received a delta.
 
-        :param delta: the delta that was sent.
+        :param delta: the records and refreshes that were sent.
         :param began: boot-clock time at which the exchange began.
         """
         self.sent_until = began
@@ -92,11 +92,10 @@
 
 def refresh_of(record: EndpointRecord, age_s: float) -> entry_peer_pb2.Refresh:
     """
-    Encode a refresh of a record that the peer has.
+    Encode a refresh, which updates sequence, load and age of a record that the peer has.
 
-    :param record: the record.
+    :param record: this entry's newest record of the endpoint.
     :param age_s: seconds since the endpoint's last announcement.
-    :return: the message.
     """
     return entry_peer_pb2.Refresh(
         endpoint=record.endpoint,
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_wire.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peer_wire.py
@@ -19,10 +19,10 @@
     received: Iterable[ReceivedRecord], now: float
 ) -> tuple[list[bytes], list[float]]:
     """
-    Encode records.
+    Encode endpoint records for a peer.
 
     :param received: the records to send.
-    :param now: seconds on this entry's boot clock.
+    :param now: the current time in seconds on this entry's boot clock.
     :return: the encoded records and, in the same order, their ages in seconds.
     """
     records = []
@@ -43,8 +43,8 @@
     every entry removes a failed endpoint one TTL after its last announcement, however often entries
     exchange its record.
 
-    :param table: this entry's table.
-    :param records: encoded records.
+    :param table: this entry's endpoint table.
+    :param records: endpoint records as the peer encoded them.
     :param ages_s: the records' ages in seconds, in the same order; records without an age are
         ignored.
     :param now: boot-clock time at which the exchange began.
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/peers.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/peers.py
@@ -31,15 +31,15 @@
 
 DIGEST_EVERY = 2
 """
-One of this many exchanges carries the table's digest, so that missing records are repaired within
-about two seconds.
+One of this many exchanges contains the digest of the endpoint table. A peer whose digest differs
+sends all its records, so that missing records are repaired within about two seconds.
 """
 
 EXCHANGE_TIMEOUT_S = 2.0
-"""Limit for one exchange."""
+"""Time limit in seconds for one exchange with a peer."""
 
 PEER_REPORT_TTL_S = 5.0
-"""Seconds for which a peer's report of its demand is used."""
+"""Seconds after its receipt for which a peer's report of its demand is used."""
 
 STOP_GRACE_S = 1.0
 """Seconds that running calls of peers get to end when the server stops."""
@@ -61,8 +61,8 @@
 
     :param received_at: boot-clock time of the report: the start of the exchange if this entry
         initiated it, else the receipt of the peer's request.
-    :param demand_by_client_account: requests per second.
-    :param wanted_by_service: number of running and waiting requests.
+    :param demand_by_client_account: requests per second at the peer.
+    :param wanted_by_service: number of running and waiting requests at the peer.
     """
 
     received_at: float
@@ -72,7 +72,9 @@
 
 def initiates_exchange(daemon: str, peer: str) -> bool:
     """
-    Decide whether this entry of a pair sends the requests; replies carry as much as requests.
+    Decide whether this entry or its peer sends the requests of their exchanges.
+
+    One of them is enough, because a reply contains the same kinds of records as a request.
 
     :param daemon: name of this entry's daemon.
     :param peer: name of the peer's daemon.
@@ -101,19 +103,18 @@
     @classmethod
     def from_config(cls, settings: Settings, table: EndpointTable) -> PeerExchange:
         """
-        Build the exchange.
+        Build the exchange of an entry with its peers, without starting it.
 
         :param settings: validated settings of a daemon with the entry role.
-        :param table: this entry's endpoint table.
-        :return: the exchange, not started.
+        :param table: this entry's endpoint table, into which the peers' records are merged.
         """
         return cls(settings.daemon, settings.entry.listen_peer, table)
 
     async def start(self, kernel: Kernel) -> None:
         """
-        Start the server for peers and schedule the updates of the peer list from the view.
+        Start the gRPC server for peers, and update the list of peers from the leader's view.
 
-        :param kernel: the daemon's kernel.
+        :param kernel: registry in which the daemon's services find each other.
         """
         self._kernel = kernel
         self._lease = kernel.find("lease")
@@ -134,8 +135,8 @@
 
     async def _update_peers(self, now: float) -> None:
         view = self._lease.view()
-        # While the lease is lapsed there is no view. The last known peers are kept, since their
-        # records of endpoints remain valid.
+        # While the lease is lapsed there is no view from the leader. The last known peers are kept,
+        # since their records of endpoints remain valid.
         if not isinstance(view, Refusal):
             self._peer_by_daemon = dict(view.peer_by_daemon)
             self._peer_by_daemon.pop(self._daemon, None)
@@ -150,7 +151,11 @@
                 self._task_by_daemon[daemon] = asyncio.create_task(self._exchange_with(daemon))
 
     async def _exchange_with(self, daemon: str) -> None:
-        """Exchange with one peer until it leaves the view; replace the channel after a failure."""
+        """
+        Exchange with one peer every `EXCHANGE_EVERY_S` until the leader's view lacks the peer.
+
+        After a failed exchange, the gRPC channel is replaced.
+        """
         channel: grpc.aio.Channel | None = None
         address = ""
         sent = SentToPeer()
@@ -164,9 +169,9 @@
                 with_digest = exchange_count % DIGEST_EVERY == 0
                 exchange_count += 1
                 if not await self._exchange(daemon, channel, sent, with_digest):
-                    # If a device in the network has dropped a connection's state, its channel never
-                    # delivers a reply again, while a new channel works. The call's timeout detects
-                    # this.
+                    # If a device in the network has dropped the state of a channel's connection,
+                    # the channel never delivers a reply again, while a new channel works. The
+                    # timeout of the exchange detects the failure.
                     await channel.close()
                     channel = None
                 await asyncio.sleep(EXCHANGE_EVERY_S)
@@ -222,7 +227,7 @@
         """
         Process a peer's request and build the reply.
 
-        If the reply is lost, the peer lacks records until the digest of a later exchange differs.
+        If the reply is lost, the peer lacks its records until a later request's digest differs.
 
         :param request: the peer's records, digest and demand.
         :return: this entry's demand, with its new records or, if the digests differ, all records.
@@ -236,8 +241,8 @@
         )
         sent = self._sent_in_replies_by_daemon.setdefault(request.daemon, SentToPeer())
         delta = sent.delta(self._table.records(), now)
-        # Whether the reply arrives is unknown here. If it is lost, the digests of a later exchange
-        # differ, and the records are sent again.
+        # Whether the reply arrives is unknown here. If the reply is lost, the digests of a later
+        # exchange differ, and the records are sent again.
         sent.record_acknowledged(delta, now)
         known = [*delta.complete, *self._table.recent_records(request.unheard, now)]
         differs = request.digest not in (0, self._table.digest())
@@ -258,7 +263,7 @@
         """
         Return the peers' reports of the last `PEER_REPORT_TTL_S` seconds.
 
-        :param now: seconds on this entry's boot clock.
+        :param now: the current time in seconds on this entry's boot clock.
         :return: the newest report of each peer, by daemon name.
         """
         found = {}
@@ -278,7 +283,7 @@
     async def Exchange(
         self, request: entry_peer_pb2.ExchangeRequest, context: grpc.aio.ServicerContext
     ) -> entry_peer_pb2.ExchangeReply:
-        """Merge a peer's records and reply with this entry's; see proto/entry_peer.proto."""
+        """Merge a peer's records and reply with this entry's records (proto/entry_peer.proto)."""
         return self._exchange.answer(request)
 
     async def FetchBatch(
--- a/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/registry/service.py
@@ -33,19 +33,18 @@
     @classmethod
     def from_config(cls, settings: Settings) -> Registry:
         """
-        Build the service.
+        Build the service with an empty endpoint table.
 
         :param settings: validated settings of a daemon with the entry role.
-        :return: the service, not started.
         """
         table = EndpointTable(settings.entry.announce_ttl_s)
         return cls(table, PeerExchange.from_config(settings, table))
 
     async def start(self, kernel: Kernel) -> None:
         """
-        Schedule the expiry of endpoints and start the exchange with the peers.
+        Schedule the expiry of silent endpoints and start the exchange with the peers.
 
-        :param kernel: the daemon's kernel.
+        :param kernel: registry in which the daemon's services find each other.
         """
         self._kernel = kernel
         self._lease = kernel.find("lease")
@@ -54,7 +53,7 @@
         await self._exchange.start(kernel)
 
     async def stop(self) -> None:
-        """Stop the exchange with the peers."""
+        """Stop the exchange of endpoint records and demand with the peers."""
         await self._exchange.stop()
 
     async def _expire_endpoints(self, now: float) -> None:
@@ -92,11 +91,11 @@
 
     def pending_changes(self) -> tuple[tuple[EndpointRecord, ...], bool]:
         """
-        Return the records that the next renewal must send to the leader.
+        Return the endpoint records that the next lease renewal must send to the control leader.
 
-        :return: records that changed in more than sequence and load, together with those of
-            draining endpoints and those of leaving endpoints whose load changed; and whether these
-            are all records of the table.
+        :return: records that changed in more than sequence and load, together with the records of
+            draining endpoints and of leaving endpoints whose load changed; and whether these are
+            all records of the table.
         """
         if self._all_pending:
             return tuple(received.record for received in self.table.records()), True
@@ -109,21 +108,23 @@
 
     def report_false_version(self, disproof: Disproof) -> None:
         """
-        Record that an engine's tokens contradicted its announcement, for the next renewal.
+        Record that an engine does not have the weight version that it announced.
 
-        :param disproof: the announcement that was contradicted.
+        The next lease renewal sends this report to the control leader.
+
+        :param disproof: the engine's start and the announced version that its tokens contradicted.
         """
         self._disproofs.add(disproof)
 
     def pending_disproofs(self) -> tuple[Disproof, ...]:
-        """Return the disproofs that the leader has not yet acknowledged."""
+        """Return the reports of falsely announced versions that the leader has not acknowledged."""
         return tuple(self._disproofs)
 
     def disproofs_acknowledged(self, disproofs: tuple[Disproof, ...]) -> None:
         """
-        Remove disproofs that the leader has acknowledged.
+        Remove reports of falsely announced versions that the leader has acknowledged.
 
-        :param disproofs: the result of `pending_disproofs` that the renewal carried.
+        :param disproofs: the result of `pending_disproofs` that was sent with the renewal.
         """
         self._disproofs.difference_update(disproofs)
 
@@ -131,7 +132,7 @@
         """
         Remove changes that the leader has acknowledged; records changed since then stay pending.
 
-        :param records: the records from `pending_changes` that the renewal carried.
+        :param records: the records from `pending_changes` that were sent with the renewal.
         """
         self._all_pending = False
         for record in records:
@@ -139,7 +140,7 @@
                 self.table.changed.discard(record.endpoint)
 
     def mark_all_pending(self) -> None:
-        """Send all records with the next renewal, because the leader is new or lacks some."""
+        """Send all records with the next renewal: the leader is new or lacks some records."""
         self._all_pending = True
 
     def _draining(self) -> set[str]:
@@ -148,7 +149,7 @@
 
     def set_demand(self, demand_by_client_account: dict[str, float]) -> None:
         """
-        Set the demand of client accounts at this entry that exchanges send to the peers.
+        Set the demand of client accounts at this entry, which is sent to the peers.
 
         :param demand_by_client_account: requests per second.
         """
@@ -156,7 +157,7 @@
 
     def set_wanted(self, wanted_by_service: dict[str, float]) -> None:
         """
-        Set the number of requests at this entry that exchanges send to the peers.
+        Set the numbers of requests at this entry, which are sent to the peers.
 
         :param wanted_by_service: number of running and waiting requests.
         """
@@ -177,7 +178,7 @@
 
     def peer_wanted(self) -> dict[str, dict[str, float]]:
         """
-        Return the number of requests at the other entries.
+        Return the numbers of requests at the other entries.
 
         :return: by daemon name, the number of running and waiting requests by service; only of
             peers with a recent report.
--- a/packages/ibisspring-entry/src/ibisspring_entry/role.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/role.py
@@ -1,4 +1,4 @@
-"""The services of the entry role."""
+"""The services of the entry role, which serves callers and trainers."""
 
 from __future__ import annotations
 
@@ -20,13 +20,12 @@
 
 def build_services(settings: Settings) -> tuple[Service, ...]:
     """
-    Build the services of this role in start order.
+    Build the services of the entry role, in the order in which the kernel starts them.
 
     `http` starts last, when all routes are registered, and stops first, so that running requests
     can finish while the services that they use still run.
 
     :param settings: validated settings of this daemon.
-    :return: the services, in the order in which the kernel starts them.
     """
     return (
         Lease.from_config(settings),
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
@@ -35,10 +35,10 @@
 @dataclass(frozen=True)
 class AttemptPlan:
     """
-    The generation that one attempt runs.
+    The generation that one attempt at a sample runs.
 
-    :param sample_id: id of the sample; unique to the attempt, also when two attempts race for the
-        same sample.
+    :param sample_id: id of the sample that the attempt produces; unique to the attempt, also when
+        two attempts generate the same sample and the first complete one is used.
     """
 
     sample_id: str
@@ -101,13 +101,13 @@
     """
     Generate one sample.
 
-    :param endpoints: the kernel's `endpoints`.
-    :param plan: what to generate.
+    :param endpoints: the kernel's service `endpoints`, which sends generations to engines.
+    :param plan: the prompt and the request to generate from.
     :param current_bound: returns the staleness bound at the time of the call. An attempt whose
         tokens have become too old is cancelled at once to save engine time; the binding check is
         made when the delivery of the batch is committed.
-    :param engine: receives the version of the first tokens.
-    :return: the complete sample with its label runs, or the cause why none was produced.
+    :param engine: receives the weight version of the first tokens.
+    :return: the complete sample with its label runs, or the cause why no sample was produced.
     """
     tokens: list[int] = []
     runs: tuple[LabelRun, ...] = ()
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/engine_choice.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/engine_choice.py
@@ -14,8 +14,8 @@
 EXCLUSION_S = 5.0
 """Seconds without attempts on an engine whose tokens were unlabelled or older than announced.
 
-Long enough that such an engine does not use up the time of a step; short against the minutes
-between two versions, so that an engine that has recovered is soon used again."""
+The time is long enough that such an engine does not use up the time of a step, and short against
+the minutes between two versions, so that an engine that has recovered is soon used again."""
 
 
 class EngineChoice:
@@ -71,7 +71,7 @@
 
     def exclude(self, endpoint: str, now: float) -> None:
         """
-        Exclude an engine for `EXCLUSION_S`.
+        Exclude an engine from new attempts for `EXCLUSION_S`.
 
         :param now: monotonic time in seconds.
         """
@@ -81,7 +81,7 @@
         """
         Exclude an engine whose first tokens were older than announced, and report it to the leader.
 
-        :param version: version label of the tokens.
+        :param version: weight version in the label of the first tokens.
         :param now: monotonic time in seconds.
         """
         self.exclude(endpoint, now)
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
@@ -30,7 +30,8 @@
 MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
 PLAN_INTERVAL_S = 0.2
-# Upper limit for generating one sample; a second attempt is started long before for a straggler.
+# Longest time in seconds for generating one sample. If the attempt is a straggler, a second attempt
+# is started long before this time.
 ATTEMPT_TIMEOUT_S = 600.0
 
 
@@ -51,10 +52,10 @@
 @dataclass(frozen=True)
 class GatheringContext:
     """
-    The services and rules that a gathering uses.
+    The services and rules that the generation of one step's samples uses.
 
-    :param endpoints: the kernel's `endpoints`.
-    :param counters: the kernel's `counters`.
+    :param endpoints: the kernel's service `endpoints`, which sends generations to engines.
+    :param counters: the kernel's service `counters`.
     :param client_account: client account that the generated tokens are billed to.
     :param current_bound: returns the staleness bound at the time of the call.
     :param engines: selects the engines and limits the concurrent attempts.
@@ -74,7 +75,12 @@
 
 
 class Gathering:
-    """Generates the samples of one step and replaces stale ones until the batch is complete."""
+    """
+    Generates the samples of one step and replaces stale samples until the batch is complete.
+
+    For a sample whose attempt is slow, a second engine generates the same sample, and the first
+    complete attempt is used (a race).
+    """
 
     def __init__(self, key: StepKey, request: StepRequest, context: GatheringContext) -> None:
         self.key = key
@@ -93,7 +99,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the task that generates the samples."""
+        """Start the task that starts attempts to generate the step's samples."""
         self._task = asyncio.create_task(self._run(), name=f"gather:{self.key}")
 
     async def stop(self) -> None:
@@ -107,7 +113,7 @@
 
     def record_batch_request(self) -> int | None:
         """
-        Record that the trainer requested the batch.
+        Record that the trainer requested the step's batch.
 
         :return: at the first request, how many versions the trainer has published since the step
             was opened; None at later requests.
@@ -161,8 +167,8 @@
             self._wake.clear()
             self.discard_stale()
             self._start_attempts()
-            # Not wait_for: it loses a cancellation that arrives in the same iteration of the event
-            # loop as the event, and stop() would wait for this task forever.
+            # asyncio.wait_for is not used here: it loses a cancellation that arrives in the same
+            # iteration of the event loop as the event, and stop() would wait for this task forever.
             try:
                 async with asyncio.timeout(PLAN_INTERVAL_S):
                     await self._wake.wait()
@@ -202,8 +208,8 @@
     def _plan(self, member: Member, engine: AttemptEngine) -> AttemptPlan:
         group = self.request.groups[member.group]
         key = self.key
-        # Uses the index of the group: its name may contain characters that are not allowed in a
-        # header or a path.
+        # The sample id contains the index of the group, since the group's name may contain
+        # characters that are not allowed in a header or a path.
         position = f"{member.group}:{member.member}.{member.attempts}"
         sample_id = f"{key.trainer}:{key.step}:{key.epoch}:{position}"
         request = GenerateRequest(
@@ -229,12 +235,12 @@
             return
         if isinstance(result, Sample):
             member.select_winner(asyncio.current_task())
-            # Includes the time in the queue for an engine: an attempt that is only queued is not a
-            # straggler, and a second attempt for it would make the queue longer.
+            # The duration includes the time in the queue for an engine: an attempt that is only
+            # queued is not a straggler, and a second attempt would make the queue longer.
             self._durations_s.append(time.monotonic() - started_s)
             self._wake.set()
             member.sample = await self._with_score(result)
-            # Forces a staleness check: the sample may have become too old while it was scored.
+            # This forces a staleness check: the sample may have become too old while it was scored.
             self._checked_bound = None
             member.failures = 0
         else:
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/member.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/member.py
@@ -15,11 +15,12 @@
 
 class Member:
     """
-    One member of a group.
+    One member of a group: a sample, with the attempts to generate it.
 
-    An attempt becomes the winner when its generation is complete, before the sample is scored.
-    Otherwise a slow scorer would make every sample look like a straggler on its engine, and both of
-    two racing attempts could win.
+    If an attempt is slow, a second engine generates the same sample, and the first complete attempt
+    wins. An attempt becomes the winner when its generation is complete, before the sample is
+    scored. Otherwise a slow scorer would make every sample look like a straggler on its engine, and
+    both of two concurrent attempts could win.
     """
 
     def __init__(self, group: int, member: int) -> None:
@@ -35,14 +36,14 @@
         self._engine_by_task: dict[asyncio.Task[None], AttemptEngine] = {}
 
     def add_attempt(self, task: asyncio.Task[None], engine: AttemptEngine, now: float) -> None:
-        """Register an attempt that has started."""
+        """Register an attempt that has started, with the engine that runs it."""
         self.tasks.add(task)
         self.started_by_task[task] = now
         self._engine_by_task[task] = engine
         task.add_done_callback(self._remove_attempt)
 
     def select_winner(self, winner: asyncio.Task[None] | None) -> None:
-        """Make one attempt the winner and cancel the others, so that none occupies an engine."""
+        """Make one attempt the winner; cancel all other attempts, which frees their engines."""
         self.has_winner = True
         for task in self.started_by_task:
             if task is not winner:
@@ -51,7 +52,7 @@
         self._engine_by_task.clear()
 
     def engines_in_use(self) -> tuple[str, ...]:
-        """Return the engines that run attempts now; a second attempt avoids them."""
+        """Return the engines that run attempts now; a second attempt avoids these engines."""
         return tuple(engine.endpoint for engine in self._engine_by_task.values())
 
     def view(self) -> SampleState:
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/owned_step.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/owned_step.py
@@ -1,4 +1,4 @@
-"""State of a step on the entry that owns it."""
+"""State of a training step on the entry that owns the step."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 class OwnedStep:
     """
-    A step owned by this entry, which holds the batch until the trainer acknowledges it.
+    A training step owned by this entry, which holds the batch until the trainer acknowledges it.
 
     `proposed` is a batch whose delivery was proposed and may have been committed; `batch` is the
     batch whose delivery is known to be committed.
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/ownership.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/ownership.py
@@ -20,7 +20,7 @@
 
 
 def may_deliver(state: StepState, key: StepKey) -> bool:
-    """Return whether samples generated under `key` may still be delivered."""
+    """Return whether samples generated under the step's epoch in `key` may still be delivered."""
     return state.state != "acknowledged" and state.epoch == key.epoch
 
 
@@ -28,11 +28,11 @@
     """
     Return whether a step is not acknowledged and its current owner is permanently lost.
 
-    An entry is listed as a peer until its lease has lapsed, and its step may be taken over only
-    after that: from then on, an owner that is cut off from control rejects its trainers' requests
-    itself.
+    The leader's view lists an entry as a peer until the entry's lease has lapsed. Its step may be
+    taken over only after that: from then on, an owner that is cut off from the control daemons
+    rejects its trainers' requests itself.
 
-    :param lease: the kernel's `lease`.
+    :param lease: the kernel's service `lease`, which provides the leader's view.
     :param state: state of a step that another entry owns.
     """
     if state.state not in ("open", "delivered"):
@@ -46,7 +46,7 @@
     Return the address of the entry that owns a step.
 
     :return: IP:port of its gRPC server, or a refusal: `owner_lost` if the owner is no longer a
-        peer, else the reason why this entry has no valid view.
+        peer, else the reason why this entry has no valid view from the leader.
     """
     view = lease.view()
     if isinstance(view, Refusal):
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/peer_batches.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/peer_batches.py
@@ -20,7 +20,7 @@
 @dataclass(frozen=True)
 class Progress:
     """
-    The progress of a step.
+    The progress of a training step, as its trainer receives it.
 
     :param state: `open`, `delivered` or `acknowledged`.
     :param ready: number of finished samples.
@@ -38,10 +38,10 @@
     rollouts: Any, request: entry_peer_pb2.FetchBatchRequest
 ) -> AsyncIterator[entry_peer_pb2.BatchChunk]:
     """
-    Send a batch to another entry; the handler of `EntryPeer.FetchBatch`.
+    Handle `EntryPeer.FetchBatch`: send a batch to another entry.
 
-    :param rollouts: the kernel's `rollouts`.
-    :param request: trainer, step and digest.
+    :param rollouts: the kernel's service `rollouts`, which holds the batch.
+    :param request: trainer, step and digest of the expected batch.
     :return: the payload in chunks, or one chunk with the step's progress or a refusal.
     """
     result = await rollouts.fetch_owned(request.trainer, request.step, request.batch_digest)
@@ -73,7 +73,7 @@
     Fetch a batch from the entry that owns the step.
 
     :param address: IP:port of the owner's gRPC server.
-    :param digest: digest of the expected batch; empty for the current one.
+    :param digest: digest of the expected batch; empty for the current batch.
     :return: the payload, the step's progress, or a refusal. A stream without the end chunk is
         rejected, because the owner failed before it had sent the complete payload.
     """
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/resources.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/resources.py
@@ -1,4 +1,4 @@
-"""HTTP routes for trainers."""
+"""HTTP routes on which trainers open steps, fetch and acknowledge batches, publish versions."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
         trainer: str,
         step: int,
     ) -> None:
-        """Open a step and respond with its progress."""
+        """Open a training step and respond with its progress."""
         result: StepRequest | Progress | Refusal
         result = await self._read_body(request, trainer, StepRequest)
         if isinstance(result, StepRequest):
@@ -137,14 +137,14 @@
 
 @dataclass(frozen=True)
 class AckBody:
-    """Body of an acknowledgement: the digest of the received batch."""
+    """Body of a trainer's acknowledgement: the digest of the received batch."""
 
     digest: str
 
 
 @dataclass(frozen=True)
 class VersionBody:
-    """Body of the publication of a weight version."""
+    """Body with which a trainer publishes a weight version of a model."""
 
     model: str
     version: int
@@ -156,7 +156,7 @@
     """
     Return the HTTP routes for trainers.
 
-    :param kernel: holds lease and counters.
+    :param kernel: registry in which the routes find the services lease and counters.
     :param rollouts: the service that handles the requests.
     :param entry_settings: contains the size limit of a body and the time limit to receive it.
     :return: pairs of path and resource.
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/samples.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/samples.py
@@ -28,7 +28,7 @@
 @dataclass(frozen=True)
 class Sample:
     """
-    A complete sample.
+    A complete sample of a training step.
 
     :param sample_id: unique over steps, epochs and attempts; a sample is delivered at most once.
     :param member: number of the sample in its group, from 0.
@@ -81,9 +81,9 @@
     ordered to load: a weight swap may happen between any two chunks, and a guessed label would let
     a sample of old weights into training undetected.
 
-    :param runs: label runs so far, without gaps.
-    :param version: the label of the tokens; None if the engine sent none.
-    :param count: number of tokens.
+    :param runs: label runs of the earlier tokens, without gaps.
+    :param version: the label of the new tokens; None if the engine sent no label.
+    :param count: number of new tokens.
     :return: the extended runs, or None if the label is missing.
     """
     if version is None:
@@ -96,12 +96,11 @@
 
 def build_batch(trainer: str, step: int, samples: tuple[Sample, ...]) -> Batch:
     """
-    Encode a complete batch.
+    Encode the samples of a step as the batch for its trainer.
 
     :param trainer: name of the trainer.
     :param step: number of the trainer's step.
     :param samples: every sample of the step, in the order of groups and members.
-    :return: the batch with payload, digest and labels.
     """
     bodies = tuple(_sample_body(sample) for sample in samples)
     digest = _digest(bodies)
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/scoring.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/scoring.py
@@ -1,4 +1,4 @@
-"""Scores samples in batches; rejects scores for another batch or another weight version."""
+"""Scores samples in scoring batches; ignores scores of another batch or weight version."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class ScoreAnswer:
-    """A scorer's response to one batch."""
+    """A scorer's response to one scoring batch."""
 
     batch_id: str
     scores: tuple[ScoreItem, ...]
@@ -65,10 +65,10 @@
 
     async def score(self, sample: Sample) -> Sample:
         """
-        Score a sample as part of a batch and wait for the result.
+        Score a sample as part of a scoring batch and wait for the result.
 
-        :param sample: a complete sample.
-        :return: the sample with the score for its newest version.
+        :param sample: a complete sample without a score.
+        :return: the sample with the score for its newest weight version.
         """
         version = sample.newest_version()
         future: asyncio.Future[Sample] = asyncio.get_running_loop().create_future()
@@ -81,7 +81,7 @@
         return await future
 
     async def stop(self) -> None:
-        """Cancel the batches that are waiting or being scored."""
+        """Cancel the scoring batches that wait for more samples or are being scored."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -97,11 +97,11 @@
 
     async def _send_until_scored(self, version: int) -> None:
         """
-        Send a batch repeatedly until each of its samples has a score.
+        Send a scoring batch repeatedly until each of its samples has a score.
 
         Samples are not discarded because of a slow scorer: regenerated samples would only wait for
-        the same scorer. They are discarded only when they have become stale; the retries end when
-        the step ends.
+        the same scorer. Samples are discarded only when they have become stale; the retries end
+        when the step ends.
         """
         pending = tuple(self._pending_by_version.pop(version, ()))
         pause_s = BATCH_DELAY_S
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/service.py
@@ -35,6 +35,7 @@
     from ibisspring_entry.rollouts.step_request import StepRequest
 
 RETRY_AFTER_S = 0.5
+# Seconds between two checks for steps that this entry no longer has to keep.
 SWEEP_INTERVAL_S = 10.0
 
 
@@ -52,10 +53,9 @@
     @classmethod
     def from_config(cls, settings: Settings) -> Rollouts:
         """
-        Build the service.
+        Build the service from the daemon's settings; it owns no steps yet.
 
-        :param settings: settings of a daemon with the entry role.
-        :return: the service.
+        :param settings: validated settings of a daemon with the entry role.
         """
         return cls(settings.daemon, settings.entry)
 
@@ -63,8 +63,8 @@
         """
         Look up the services that steps use and add the HTTP routes for trainers.
 
-        :param kernel: holds lease, registry, endpoints, control_client, counters, timer, http and
-            optionally usage_meter.
+        :param kernel: registry in which this service finds lease, registry, endpoints,
+            control_client, counters, timer, http and optionally usage_meter.
         """
         self._lease = kernel.find("lease")
         self._registry = kernel.find("registry")
@@ -78,16 +78,16 @@
             kernel.find("http").add_route(path, resource)
 
     async def stop(self) -> None:
-        """Stop all steps; another entry takes over a step at its trainer's next request."""
+        """Stop all owned steps; another entry takes over a step at its trainer's next request."""
         for owned in self._step_by_key.values():
             await owned.stop()
         self._step_by_key.clear()
 
     async def open_step(self, trainer: str, step: int, request: StepRequest) -> Progress | Refusal:
         """
-        Open a step, or return it if it is open with the same request, or take it over.
+        Open a step, unless it is already open with the same request.
 
-        A step is taken over if the entry that owned it is lost.
+        This entry takes over the step if the entry that owned the step is lost.
 
         :param trainer: name of the trainer; its API key has been checked.
         :param step: number of the step; trainer and number together are the idempotency key.
@@ -117,7 +117,7 @@
 
     async def fetch(self, trainer: str, step: int) -> bytes | Progress | Refusal:
         """
-        Return the batch of a step, fetched from the owning entry if that is not this one.
+        Return the batch of a step, fetched from the owning entry if another entry owns the step.
 
         :param trainer: name of the trainer; its API key has been checked.
         :param step: number of the step.
@@ -146,10 +146,10 @@
         The delivery is committed when the trainer requests the batch, not when the last sample is
         finished: otherwise a batch could become stale undetected while the trainer publishes new
         weights. The commit is repeated before each resend: an owner whose step was taken over while
-        it was cut off from control still holds a payload, and the state machine rejects the old
-        epoch, so that the old samples are not delivered in addition to their replacements.
+        it was cut off from the control daemons still holds a payload, and the state machine rejects
+        the old epoch, so that the old samples are not delivered in addition to their replacements.
 
-        :param digest: digest of the expected batch; empty for the current one.
+        :param digest: digest of the expected batch; empty for the current batch.
         :return: the payload, the step's progress, or a refusal.
         """
         owned = self._step_by_key.get((trainer, step))
@@ -232,8 +232,8 @@
 
     async def _deliver(self, owned: OwnedStep, batch: Batch) -> bytes | Progress | Refusal:
         key = owned.gathering.key
-        # Kept until the result of the commit is known: if the response is lost, the delivery may
-        # have been committed, and then only the same batch can be delivered.
+        # The proposed batch is kept until the result of the commit is known: if the response is
+        # lost, the delivery may have been committed, and then only the same batch can be delivered.
         owned.proposed = batch
         result = await self._commands.deliver(key, batch)
         if isinstance(result, Refusal):
@@ -296,7 +296,11 @@
         )
 
     def _may_take_over(self, state: StepState, trainer: str, step: int) -> bool:
-        """Return whether no entry holds the samples: owner lost, or dropped here after delivery."""
+        """
+        Return whether this entry may take over the step, because no entry holds its samples.
+
+        Either the owner is lost, or this entry owns the step and has dropped the delivered samples.
+        """
         if is_own(state, self._commands):
             return state.state == "delivered" and (trainer, step) not in self._step_by_key
         return is_owner_lost(self._lease, state)
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/step_commands.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/step_commands.py
@@ -78,7 +78,7 @@
 
     async def read(self, trainer: str, step: int) -> StepState | None | Refusal:
         """
-        Read a step's state, confirmed by a quorum.
+        Read a step's state from the control leader, confirmed by a quorum.
 
         :return: the state, None if the step does not exist, or a refusal.
         """
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/step_request.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/step_request.py
@@ -43,15 +43,14 @@
         return self.group_size * len(self.groups)
 
     def digest(self) -> str:
-        """Return the digest; the same step with a different digest is a conflict."""
+        """Return the request's digest; the same step with a different digest is a conflict."""
         return hashlib.sha256(msgspec.json.encode(self)).hexdigest()
 
 
 def check_step_request(request: StepRequest) -> Refusal | None:
     """
-    Check the limits that the field types do not express.
+    Check the limits of a trainer's step request that the field types do not express.
 
-    :param request: request of a trainer.
     :return: a refusal that describes the error, or None if the request is valid.
     """
     if not 1 <= request.group_size <= MAX_GROUP_SIZE:
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_calls.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_calls.py
@@ -32,7 +32,7 @@
         """Record that the trainer has received the batch with this digest."""
 
     async def publish(self, trainer: str, model: str, version: int) -> Published | Refusal:
-        """Record a published weight version."""
+        """Record a weight version of a model that the trainer has published."""
 
 
 __all__ = ["Published", "TrainerCalls"]
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_rules.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_rules.py
@@ -1,4 +1,8 @@
-"""Applies the current rules to a trainer; without a valid lease nothing is allowed."""
+"""
+Applies the operator's current rules to a trainer; without a valid lease nothing is allowed.
+
+`lease` in these functions is the kernel's service of this name, which provides the rules.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +39,7 @@
     """
     Check that a trainer may use the engines of a model.
 
-    :return: a refusal, or None if a share rule allows it.
+    :return: a refusal, or None if a share rule gives the trainer these engines.
     """
     rules = lease.rules()
     if isinstance(rules, Refusal):
@@ -50,8 +54,8 @@
     """
     Return the current staleness bound of a trainer.
 
-    The bound only saves work on this entry; the state machine checks again when the batch is
-    delivered. A lapsed lease therefore gives a bound that every sample passes.
+    The bound only saves work on this entry; the control state machine checks again when the batch
+    is delivered. A lapsed lease therefore gives a bound that every sample passes.
     """
     view = lease.view()
     rules = lease.rules()
--- a/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/ledger.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/ledger.py
@@ -1,4 +1,8 @@
-"""Usage that is metered but not confirmed as committed; uses neither network nor clock."""
+"""
+Usage that was metered and whose commit is not confirmed yet.
+
+The ledger uses neither network nor clock.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,8 @@
 
 from ibisspring_core.messages.commands import AddUsage, UsageRecord
 
-# Callers resend a request only within their retry time, so older request ids can be removed.
+# Most request ids that are kept to recognise a request that was already billed. Callers resend a
+# request only within their retry time, so older ids can be removed.
 MAX_REQUEST_IDS = 65_536
 
 
@@ -22,10 +27,10 @@
     """
     Sums usage by window, client account and service, and puts it into numbered batches.
 
-    A batch keeps its sequence number and its content until it is confirmed. The state machine
-    counts each (daemon, incarnation, sequence) once, so that a batch that is sent again after a
-    lost response is not billed twice. If the content changed between two sends, usage added in
-    between would be lost.
+    A batch keeps its sequence number and its content until it is confirmed. The control state
+    machine counts each (daemon, incarnation, sequence) once, so that a batch that is sent again
+    after a lost response is not billed twice. If the content changed between two sends, usage added
+    in between would be lost.
     """
 
     def __init__(self, daemon: str, incarnation: int) -> None:
@@ -42,7 +47,7 @@
 
         :param window: index of the usage window in which the request ended.
         :param record: usage of the request.
-        :param request_id: a request is billed once under its id, however often it was retried.
+        :param request_id: id under which the request is billed once, however often it was retried.
         :return: False if the request has already been billed.
         """
         if request_id in self._billed_request_ids:
@@ -64,7 +69,7 @@
         return True
 
     def create_batches(self) -> None:
-        """Put usage added since the last call into batches, one for each window."""
+        """Put usage added since the last call into batches, one for each usage window."""
         records_by_window: dict[int, list[UsageRecord]] = {}
         for key, record in self._unbatched_by_key.items():
             records_by_window.setdefault(key.window, []).append(record)
@@ -80,12 +85,12 @@
             )
 
     def unconfirmed(self) -> tuple[AddUsage, ...]:
-        """Return the batches that are to be sent, in the order of their sequence numbers."""
+        """Return the batches that still have to be sent, in the order of their sequence numbers."""
         return tuple(self._unconfirmed.values())
 
     def confirm(self, sequence: int) -> None:
         """
-        Remove a batch that was committed.
+        Remove a batch that the control leader has committed.
 
         :param sequence: sequence number of the batch.
         """
--- a/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/service.py
@@ -40,10 +40,9 @@
     @classmethod
     def from_config(cls, settings: Settings) -> UsageMeter:
         """
-        Build the meter.
+        Build the meter of this daemon, with an incarnation that is larger at each start.
 
-        :param settings: checked settings.
-        :return: the meter; its incarnation is larger at each start of the daemon.
+        :param settings: validated settings of the daemon.
         """
         return cls(settings.daemon, time.time_ns())
 
@@ -56,7 +55,7 @@
         self._subscription = timer.subscribe("usage_meter", FLUSH_INTERVAL_S, self._tick)
 
     async def stop(self) -> None:
-        """Send the remaining usage, for up to `STOP_FLUSH_TIMEOUT_S`; log and count the rest."""
+        """Send unsent usage for up to `STOP_FLUSH_TIMEOUT_S`; log and count what stays unsent."""
         self._subscription.cancel()
         end_s = boot_now() + STOP_FLUSH_TIMEOUT_S
         while boot_now() < end_s:
@@ -92,9 +91,9 @@
 
     async def flush(self) -> bool:
         """
-        Send the usage recorded so far.
+        Send the usage recorded so far to the control leader.
 
-        :return: True if all of it is committed.
+        :return: True if all recorded usage is committed.
         """
         async with self._flush_lock:
             self._ledger.create_batches()
@@ -113,8 +112,8 @@
             self._counters.retried(result.reason)
             return False
         if isinstance(result, Refused):
-            # Refused only if the state machine no longer knows this incarnation of the daemon, so
-            # a retry would be refused as well.
+            # The state machine refuses a batch only if it no longer knows this incarnation of the
+            # daemon, so a retry would be refused as well.
             self._counters.refused(Reason(result.reason))
             eliot.log_message("usage:refused", sequence=batch.sequence, detail=result.detail)
         self._ledger.confirm(batch.sequence)
--- a/tests/unit/entry/lease/test_holding.py
+++ b/tests/unit/entry/lease/test_holding.py
@@ -63,7 +63,8 @@
 
 def test_peers_missing_from_a_new_leaders_incomplete_view_are_kept() -> None:
     """
-    A newly elected leader has received a renewal from one entry only, and its view lists only that.
+    A newly elected leader has received a renewal from one entry only, and its view lists only this
+    entry.
 
     If this entry treated the list as complete, it would use the complete rate of each client
     account although its peers use their shares too.
--- a/tests/unit/entry/proxy/test_turns.py
+++ b/tests/unit/entry/proxy/test_turns.py
@@ -31,8 +31,8 @@
 
 
 async def test_cancelled_requests_lose_no_slot() -> None:
-    # A caller disconnects while its request waits, or just as the request gets a slot. Each such
-    # request used to keep its slot, until the entry had none left and served no requests.
+    # A caller disconnects while its request waits, or just as the request gets a slot. If such a
+    # request kept its slot, the entry would in the end have no free slots and serve no requests.
     slots = service_slots()
     first = await slots.acquire("1", "mill", 1, 10.0)
     waiting = asyncio.create_task(slots.acquire("2", "mill", 1, 10.0))
@@ -60,8 +60,8 @@
 
 
 async def test_without_endpoints_no_request_waits() -> None:
-    # When all endpoints are removed, queued requests must be started, and so refused, at once
-    # instead of waiting until their deadlines.
+    # All endpoints of a service are removed while a request is queued. If the request were not
+    # started, and so refused, at once, it would wait in vain until its deadline.
     slots = service_slots()
     await slots.acquire("1", "mill", 1, 10.0)
     waiting = asyncio.create_task(slots.acquire("2", "forge", 1, 10.0))
--- a/tests/unit/entry/registry/test_peers.py
+++ b/tests/unit/entry/registry/test_peers.py
@@ -20,9 +20,9 @@
 
 
 def test_a_restarted_peer_reports_that_it_lacks_records() -> None:
-    # An entry restarts between two exchanges. Without the report, the peer would send it only
-    # refreshes of records that the restarted entry lacks, and that entry would refuse its callers
-    # because it knows no endpoints.
+    # An entry restarts between two exchanges with a peer. If its reply did not report that the
+    # digests differ, the peer would send only refreshes of records that the restarted entry lacks,
+    # and that entry would refuse its callers because it knows no endpoints.
     restarted = PeerExchange("e2", "", EndpointTable(5.0))
     restarted._counters = Counters.from_config(None)
 
--- a/tests/unit/entry/rollouts/stand_ins.py
+++ b/tests/unit/entry/rollouts/stand_ins.py
@@ -1,4 +1,4 @@
-"""Test doubles for the services that a gathering uses."""
+"""Test doubles for the services that the generation of a step's samples uses."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     size: int = 2,
     limit: int = 100,
 ) -> tuple[Gathering, Counters]:
-    """Return a gathering for step 1, epoch 1 of trainer `t`, and its counters."""
+    """Return an unstarted `Gathering` for step 1, epoch 1 of trainer `t`, and its counters."""
     request = StepRequest(
         "scorer-lm", size, 8, tuple(GroupRequest(f"g{n}", f"prompt {n}") for n in range(groups))
     )
--- a/tests/unit/entry/rollouts/test_engine_choice.py
+++ b/tests/unit/entry/rollouts/test_engine_choice.py
@@ -71,8 +71,8 @@
     """
     An engine announces version 5 but labels its tokens with version 1.
 
-    Without the exclusion, this engine would remain the least loaded one and receive every new
-    attempt, and each of its samples would be discarded.
+    Without the exclusion, this engine would always have the fewest requests and so receive every
+    new attempt, and each of its samples would be discarded.
     """
     choice = _choice(wrong=5, correct=5)
     choice.exclude_and_report("wrong", 1, 10.0)
--- a/tests/unit/entry/rollouts/test_gathering.py
+++ b/tests/unit/entry/rollouts/test_gathering.py
@@ -34,9 +34,10 @@
 
 async def test_sample_with_a_missing_label_is_discarded() -> None:
     """
-    An engine sends a token without a label in the first attempt at each sample.
+    An engine sends a token without a version label in the first attempt at each sample.
 
-    The ordered or announced version must not be used instead: it is wrong after a failed swap.
+    The version that the engine was ordered to load, or announced, must not be used instead of the
+    label: it would be wrong after a failed weight swap.
     """
     engines = Engines(lambda request: (4, None) if request.request_id.endswith(".1") else (4, 4))
     step, counters = gathering(engines, lambda: StalenessBound(4, 0))
@@ -50,7 +51,7 @@
 
 async def test_finished_samples_are_replaced_when_they_become_stale() -> None:
     """
-    A step lacks one sample whose engine hangs, and the trainer publishes two versions meanwhile.
+    A step lacks one sample, whose engine hangs, while the trainer publishes two versions.
 
     The finished samples are then too old and must be regenerated before a delivery is proposed.
     """
@@ -122,7 +123,8 @@
     """
     The engines are full and the requests of a step are queued for long.
 
-    The queue time was billed to the trainer's client account, although no endpoint worked for it.
+    If the queue time counted as engine time, it would be billed to the trainer's client account,
+    although no endpoint worked for this account meanwhile.
     """
     engines = Engines(lambda request: (4,))
     engines.endpoint_s = 0.25
--- a/tests/unit/entry/rollouts/test_service.py
+++ b/tests/unit/entry/rollouts/test_service.py
@@ -127,7 +127,7 @@
 
     The owner delivered the batch and was then cut off until its lease lapsed; another entry took
     the step over. The old owner still holds its payload and has not received the new state.
-    Without a commit before each resend, the trainer would get the old samples and the new ones.
+    Without a commit before each resend, the trainer would get both the old and the new samples.
     """
     first, second, live = await _two_entries()
     await first.open_step(TRAINER, 1, REQUEST)
@@ -173,8 +173,9 @@
     """
     The response to a committed delivery is lost; the trainer publishes versions and retries.
 
-    A rebuilt batch without the samples that are stale by now would differ from the one in the
-    replicated log: it would be rejected forever, and the step could never be completed.
+    If the batch were built again without the samples that are stale by now, it would differ from
+    the batch in the replicated log: it would be rejected forever, and the step could never be
+    completed.
     """
     first, _, _ = await _two_entries()
     control = first._commands._control
