--- a/packages/ibisspring-entry/src/ibisspring_entry/http/caller_connection.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/http/caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection: closes silent connections and answers invalid HTTP with a refusal."""
+"""Callers' connections: closed if the caller stops responding; invalid HTTP is refused."""
 
 from __future__ import annotations
 
--- a/packages/ibisspring-entry/src/ibisspring_entry/lease/holding.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/lease/holding.py
@@ -47,7 +47,7 @@
 
         :param view: the view in a renewal's reply.
         :return: False if this entry must neither apply the view nor extend its lease by the reply
-            that carried it.
+            that contained the view.
         """
         if self.view is not None and view.index < self.view.index:
             return False
@@ -55,7 +55,7 @@
 
     def apply(self, view: EntryView, peers_digest: int) -> bool:
         """
-        Apply a view for which `accepts` returned True.
+        Apply a view from the leader for which `accepts` returned True.
 
         :param view: the view in a renewal's reply.
         :param peers_digest: the leader's digest of its live entries, which the next renewal sends
@@ -77,7 +77,7 @@
 
     def _with_known_peers(self, view: EntryView) -> EntryView:
         """
-        Keep known entries that are missing from the incomplete view of a new leader.
+        Add known entries that are missing from the incomplete view of a new leader.
 
         A new leader has not yet received renewals from all entries. If the missing entries counted
         as stopped, this entry would use the complete rate of every client account while they still
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/endpoint_use.py
@@ -24,7 +24,7 @@
 
 
 class EndpointClient:
-    """This entry's client state: routing, requests in flight, retry budget and HTTP session."""
+    """This entry's state as client of the endpoints: routing, requests in flight, retry budget."""
 
     def __init__(self, data_centre: str, silence_s: float) -> None:
         self.silence_s = silence_s
--- a/packages/ibisspring-entry/src/ibisspring_entry/proxy/engine_try.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/proxy/engine_try.py
@@ -213,7 +213,7 @@
 
     async def _check_silence(self, waiting: asyncio.Future) -> TryOutcome | None:
         """
-        Ask the engine over a new connection for the state of a request whose connection is silent.
+        Ask the engine over a new connection for the state of a request that gets no more data.
 
         A connection whose state a device in between has dropped never delivers data again, while
         new connections work, so that waiting longer on the silent connection would block the
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/attempt.py
@@ -52,7 +52,8 @@
     """
     The engine that runs an attempt and the version of its first tokens.
 
-    Both are set while the attempt runs. A second attempt at the same sample avoids this engine.
+    The engine and the version are set while the attempt runs. A second attempt at the same sample
+    avoids this engine.
 
     :param bound: the staleness bound when the attempt started.
     """
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/gathering.py
@@ -55,7 +55,7 @@
     The services and rules that the generation of one step's samples uses.
 
     :param endpoints: the kernel's service `endpoints`, which sends generations to engines.
-    :param counters: the kernel's service `counters`.
+    :param counters: the kernel's service `counters`, which counts discarded samples.
     :param client_account: client account that the generated tokens are billed to.
     :param current_bound: returns the staleness bound at the time of the call.
     :param engines: selects the engines and limits the concurrent attempts.
@@ -136,7 +136,7 @@
 
     def regenerate(self, sample_ids: tuple[str, ...]) -> None:
         """
-        Discard samples and generate them again under new ids.
+        Discard samples, and generate samples with new ids in their stead.
 
         :param sample_ids: samples that were too old when the delivery was committed.
         """
--- a/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_rules.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/rollouts/trainer_rules.py
@@ -20,7 +20,7 @@
     """
     Check that a client account may send requests for a trainer.
 
-    :param lease: the kernel's `lease`.
+    :param lease: the kernel's service `lease`.
     :param client_account: client account of the request's API key.
     :param trainer: name of the trainer in the request path.
     :return: a refusal, or None if the account may use the trainer.
--- a/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/ledger.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/ledger.py
@@ -25,7 +25,7 @@
 
 class Ledger:
     """
-    Sums usage by window, client account and service, and puts it into numbered batches.
+    Sums usage by usage window, client account and service, and puts it into numbered batches.
 
     A batch keeps its sequence number and its content until it is confirmed. The control state
     machine counts each (daemon, incarnation, sequence) once, so that a batch that is sent again
--- a/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/service.py
+++ b/packages/ibisspring-entry/src/ibisspring_entry/usage_meter/service.py
@@ -121,7 +121,8 @@
 
     def _current_window(self) -> int:
         view = self._lease.view() if self._lease is not None else None
-        # A stream may end while the lease is lapsed; the last known window length is used then.
+        # A stream may end while the lease is lapsed and there is no view. The last known length of
+        # usage windows is used then.
         if isinstance(view, EntryView):
             self._window_s = view.usage_window_s
         return int(wall_now() // self._window_s)
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/forward.py
@@ -99,7 +99,7 @@
         return cls(settings.data_centre)
 
     async def start(self, kernel: Kernel) -> None:
-        """Look up the services that this one calls."""
+        """Look up the services that the forwarder uses, such as the directory view."""
         self._view = kernel.find("directory_view")
         self._connections = kernel.find("connections")
         self._wire = kernel.find("endpoint_wire")
@@ -198,8 +198,8 @@
         """
         Let the remaining attempts of an answered request end by themselves.
 
-        Their responses are not used. The endpoints' work is wasted either way, but cancelling the
-        attempts would also close their connections.
+        The attempts' responses are not used. The endpoints' work is wasted either way, but
+        cancelling the attempts would also close their connections.
         """
         for task in attempts:
             self._background_attempts.add(task)
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/result_reads.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/result_reads.py
@@ -53,7 +53,7 @@
         return cls(settings.data_centre)
 
     async def start(self, kernel: Kernel) -> None:
-        """Look up the services that this one calls."""
+        """Look up the services that reads use, such as the runner for calls to the leader."""
         self._view = kernel.find("directory_view")
         self._client = kernel.find("peer_client")
         self._counters = kernel.find("counters")
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/reward_calls.py
@@ -60,7 +60,7 @@
         self._queue_by_route: dict[str, deque[tuple[asyncio.Future[None], float]]] = {}
 
     async def start(self, kernel: Kernel) -> None:
-        """Look up the services that this one calls."""
+        """Look up the services that reward calls use, such as the forwarder that sends them."""
         self._view = kernel.find("directory_view")
         self._forwarder = kernel.find("forwarder")
         self._wire = kernel.find("endpoint_wire")
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/wire.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/wire.py
@@ -60,8 +60,8 @@
     One event of an engine's streamed response to an item's run.
 
     :param number: position of the event in the item's text, from 1.
-    :param version: weight version that made this event and the following ones; None where it is
-        the same as for the previous event.
+    :param version: weight version that made this event and the following events; None where it is
+        the same version as for the event before.
     """
 
     number: int
--- a/tests/unit/entry/lease/test_holding.py
+++ b/tests/unit/entry/lease/test_holding.py
@@ -31,10 +31,10 @@
 
 def test_an_older_view_never_replaces_a_newer_one() -> None:
     """
-    Two replies arrive out of order: the view without the withdrawn key is already in force when the
-    older view arrives.
+    Two replies to renewals arrive out of order: the view without the withdrawn key is already in
+    force when the older view arrives.
 
-    Applying the older view would make the withdrawn key valid again.
+    If the older view were applied, the withdrawn key would be valid again.
     """
     state = LeaseState()
     state.apply(EntryView(5, 1, GRANTED), 1)
--- a/tests/unit/gateway/test_reward_calls.py
+++ b/tests/unit/gateway/test_reward_calls.py
@@ -146,8 +146,8 @@
 
 
 async def test_cancelled_calls_free_their_slots() -> None:
-    # A job ends while its calls hold or wait for slots. If the cancelled calls kept their slots, no
-    # later call of the route could start.
+    # A job ends while its reward calls use or wait for slots. If the cancelled calls kept their
+    # slots, no later call of the route could start.
     async with scripted(lambda head: [30.0]) as endpoint, calls_to(endpoint) as calls:
         tasks = [
             asyncio.create_task(calls.score(REWARD_CALL, 3, boot_now() + 30.0)) for _ in range(20)
