--- a/tests/unit/entry/lease/test_holding.py
+++ b/tests/unit/entry/lease/test_holding.py
@@ -31,10 +31,10 @@
 
 def test_an_older_view_never_replaces_a_newer_one() -> None:
     """
-    Two replies arrive out of order: the view without the withdrawn key is already in force when the
-    older view arrives.
+    Two replies to renewals arrive out of order: the view without the withdrawn key is already in
+    force when the older view arrives.
 
-    Applying the older view would make the withdrawn key valid again.
+    If the older view were applied, the withdrawn key would be valid again.
     """
     state = LeaseState()
     state.apply(EntryView(5, 1, GRANTED), 1)
@@ -63,7 +63,8 @@
 
 def test_peers_missing_from_a_new_leaders_incomplete_view_are_kept() -> None:
     """
-    A newly elected leader has received a renewal from one entry only, and its view lists only that.
+    A newly elected leader has received a renewal from one entry only, and its view lists only this
+    entry.
 
     If this entry treated the list as complete, it would use the complete rate of each client
     account although its peers use their shares too.
