--- a/bench/_emulator.py
+++ b/bench/_emulator.py
@@ -322,8 +322,8 @@
             if complete < COMPLETE_SHARE * trainer.groups:
                 continue
             submitted_s = trainer.texts[0].submitted_s
-            # All groups count as in time: the trainer waits only for the share that is complete,
-            # and its next step submits the unfinished groups again.
+            # If the step ends in time, its unfinished groups count as in time too: the trainer does
+            # not wait for them, and its next step submits them again.
             if now - submitted_s <= STEP_DUE_S:
                 self._groups_in_time += trainer.groups
             self._step_s.append(now - submitted_s)
--- a/packages/ibisspring-consensus/src/ibisspring_consensus/rpc_service.py
+++ b/packages/ibisspring-consensus/src/ibisspring_consensus/rpc_service.py
@@ -41,8 +41,9 @@
         """
         Pass received messages to the consensus core.
 
-        The core's reply messages are not part of the gRPC reply: the `Peer` of the sender's daemon
-        sends them. The gRPC reply contains this replica's disk id and cluster.
+        The core's reply messages are not part of the gRPC reply: this daemon sends them in calls of
+        its own, through its `Peer` object for the sender's daemon. The gRPC reply contains this
+        replica's disk id and cluster.
         """
         node = self._node
         sender = ReplicaId(request.daemon, request.disk_id)
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/dispatch.py
@@ -32,8 +32,8 @@
 
 ItemRank = tuple[int, float, bool, int, tuple[str, str]]
 """
-Sort key of a waiting item: priority and due time of its job, whether its group is a new one, its
-negated expected length, and the ids of its job and of the item.
+Sort key of a waiting item: priority and due time of its job, whether its group is new (not carried
+over from an earlier job), its negated expected length, and the ids of its job and of the item.
 """
 
 # Cost factor of an engine that has read the group's prompt already. A cached prompt saves half a
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/fleet_size.py
@@ -27,8 +27,10 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Number of slots in the fleet as a share of the items that are to run at the same time. The items
-# without a slot are short and wait for other short items to end.
+# Least number of slots that the fleet shall have, as a share of the highest recent number of open
+# items (items of running jobs that have no result yet). The other items wait for a slot. Within a
+# job the longest items begin first, so only short items wait, until other short items end; the
+# longest item, with which a step ends, does not wait.
 IMMEDIATE_SLOT_SHARE = 0.75
 # Seconds for which nothing is ordered in a data centre that had no endpoints available, so that the
 # data centre is asked three times while a reclaim lasts.
--- a/packages/ibisspring-decisions/src/ibisspring_decisions/queue_lines.py
+++ b/packages/ibisspring-decisions/src/ibisspring_decisions/queue_lines.py
@@ -64,7 +64,8 @@
     :param weight: relative share of the slots that the account gets.
     :param charge_s: virtual seconds charged to the account: seconds of its started work, divided by
         its weight.
-    :param last_retry_s: latest retry time that was sent with a rejection, on the clock of `now`.
+    :param last_retry_s: retry time computed for the account's most recent rejection, never earlier
+        than those computed before, in seconds on the clock of the fair queue's `now`.
     :param heap: (sort key, arrival number, item), lowest first.
     :param backlog_s: expected seconds of work of all queued items.
     """
--- a/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
+++ b/packages/ibisspring-gateway/src/ibisspring_gateway/usage.py
@@ -12,8 +12,9 @@
     from ibisspring_core.kernel import Kernel
     from ibisspring_core.settings.vm import VmSettings
 
-# Most usage windows before the newest one whose counts are kept. Older counts are dropped, so that
-# memory stays bounded while the directory confirms no counts, as during a long network partition.
+# Maximum number of usage windows, besides the newest one, whose counts are kept. Older counts are
+# dropped, so that memory stays bounded while the directory confirms no counts, as during a long
+# network partition.
 MAX_WINDOWS = 24
 
 
--- a/tests/unit/core/test_guarded_http.py
+++ b/tests/unit/core/test_guarded_http.py
@@ -138,7 +138,11 @@
     answer = await sending
 
     assert answer.sent
-    await wait_until(lambda: received and received[-1] == 0, "the receiver's end", 30.0)
+    await wait_until(
+        lambda: received and received[-1] == 0,
+        "the receiver to see the end of the connection",
+        30.0,
+    )
     assert sum(received) < len(order)
 
 
--- a/tests/unit/decisions/test_call_window.py
+++ b/tests/unit/decisions/test_call_window.py
@@ -94,9 +94,9 @@
 
 
 def test_a_window_grows_only_while_calls_wait() -> None:
-    # Each concurrent call needs a connection. A sender whose calls never wait must keep the initial
-    # limit; a sender that reads all texts of an engine must get the larger limit that these texts
-    # need.
+    # Each concurrent call needs a connection. A sender whose reward calls never wait must keep the
+    # initial limit; a sender that makes the reward calls for all texts of an engine must get the
+    # larger limit that these calls need.
     idle, busy = CallWindow(), CallWindow()
     for n in range(100):
         idle.call_started(n * 0.1, 0.0, CAPACITY)
--- a/tests/unit/platform/test_day_reports.py
+++ b/tests/unit/platform/test_day_reports.py
@@ -32,12 +32,12 @@
 
 
 def test_losses_add_up_to_the_parts_and_prices(report) -> None:
-    lost = losses(read_report(report))
+    worth_lost_by_cause = losses(read_report(report))
 
-    assert lost["part: worst windows"] == pytest.approx(0.15)
-    assert lost["part: whole day"] == pytest.approx(0.07)
-    assert lost["price: new connections to servers"] == 0.08
-    assert sum(lost.values()) == pytest.approx(0.15 + 0.07 + 0.08 + 0.0003)
+    assert worth_lost_by_cause["part: worst windows"] == pytest.approx(0.15)
+    assert worth_lost_by_cause["part: whole day"] == pytest.approx(0.07)
+    assert worth_lost_by_cause["price: new connections to servers"] == 0.08
+    assert sum(worth_lost_by_cause.values()) == pytest.approx(0.15 + 0.07 + 0.08 + 0.0003)
 
 
 def test_window_lists_the_disturbances_that_overlap_it(report) -> None:
