--- a/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
@@ -54,7 +54,7 @@
         """
         earlier = self._line_by_definition.get((kind, name))
         if earlier is not None:
-            line.report(f"{kind} {name!r} is already defined on line {earlier.number}", 1)
+            line.report(f"{kind} {name!r} stands on line {earlier.number} already", 1)
             return False
         self._line_by_definition[(kind, name)] = line
         return True
@@ -76,7 +76,7 @@
                 continue
             line = self._line_by_definition[("trainer", trainer)]
             line.report(
-                f"add 'staleness trainer {trainer} N versions': it has no staleness bound", 1
+                f"add 'staleness trainer {trainer} N versions': it has no bound", 1
             )
 
     def rules(self) -> Rules:
--- a/packages/ibisspring-core/src/ibisspring_core/rules/line.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/line.py
@@ -80,7 +80,7 @@
             if name is None:
                 return None
             if name in names:
-                self.report(f"{name!r} is listed twice", column)
+                self.report(f"{name!r} stands here twice", column)
                 return None
             names.append(name)
             if self.peek() != ",":
--- a/tests/unit/core/rules/test_parser.py
+++ b/tests/unit/core/rules/test_parser.py
@@ -60,7 +60,7 @@
         (f"client_account a key sha256:12 rate 1/s weight 1 {ASKED}", 22, "64 lower-case"),
         (f"client_account a rate 1 weight 1 {ASKED}", 23, "such as 40/s"),
         (f"client_account a rate 1/s weight 1 burst 0.5 {ASKED}", 42, "at least 1"),
-        (f"place a in b, b count 1 {ASKED}", 15, "is listed twice"),
+        (f"place a in b, b count 1 {ASKED}", 15, "stands here twice"),
         (f"place a in b count 1 cheap at-most 101% {ASKED}", 40, "at most 100%"),
         (f"idempotent a post {ASKED}", 14, "in capitals"),
         (f"share a trainer t {ASKED}", 17, "no rule defines trainer 't'"),
@@ -93,5 +93,5 @@
         (5, 1),
         (6, 1),
     ]
-    assert str(findings[0]) == "rules.txt:2:1: timeout 'a' is already defined on line 1"
-    assert "has no staleness bound" in findings[-1].message
+    assert str(findings[0]) == "rules.txt:2:1: timeout 'a' stands on line 1 already"
+    assert "has no bound" in findings[-1].message
