--- a/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
+++ b/packages/ibisspring-core/src/ibisspring_core/rules/draft.py
@@ -75,9 +75,7 @@
             if trainer in self.staleness_by_trainer:
                 continue
             line = self._line_by_definition[("trainer", trainer)]
-            line.report(
-                f"add 'staleness trainer {trainer} N versions': it has no bound", 1
-            )
+            line.report(f"add 'staleness trainer {trainer} N versions': it has no bound", 1)
 
     def rules(self) -> Rules:
         """Return the complete rules; call this only if no finding was reported."""
