--- a/tests/unit/encoded/test_encoded_messages.py
+++ b/tests/unit/encoded/test_encoded_messages.py
@@ -10,6 +10,7 @@
 
 from __future__ import annotations
 
+import functools
 import json
 import sys
 from pathlib import Path
@@ -92,9 +93,8 @@
         return sample(next(t for t in kind.types if not isinstance(t, inspect.NoneType)), name)
     if isinstance(kind, inspect.DictType):
         return {sample(kind.key_type, "key"): sample(kind.value_type, name)}
-    if isinstance(kind, inspect.VarTupleType | inspect.ListType | inspect.SetType):
-        return [sample(kind.item_type, name)]
-    if isinstance(kind, inspect.FrozenSetType):
+    collections = inspect.VarTupleType | inspect.ListType | inspect.SetType | inspect.FrozenSetType
+    if isinstance(kind, collections):
         return [sample(kind.item_type, name)]
     if isinstance(kind, inspect.TupleType):
         return [sample(item, name) for item in kind.item_types]
@@ -119,6 +119,7 @@
     return msgspec.msgpack.decode(msgspec.msgpack.encode(plain), type=message_type)
 
 
+@functools.cache
 def encoded_samples() -> dict[str, bytes]:
     data_by_name = {}
     for name, codec in CODEC_BY_NAME.items():
@@ -131,6 +132,7 @@
     return data_by_name
 
 
+@functools.cache
 def of_earlier_release() -> dict[str, bytes]:
     if not ENCODED.exists():
         return {}
